--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use pond_job::{
-    Change, Configuration, Leader, Lesson, Output, Pool, Queue, Reply, Start, State, Terms,
+    Change, Configuration, Estimates, Leader, Output, Pool, Queue, Reply, Start, State, Terms,
 };
 use pond_proto::Millis;
 use pond_proto::fleet::{Report, RunRow};
@@ -103,7 +103,7 @@
 }
 
 /// What a former leader knew: one image disturbs, the others hardly do.
-fn lesson() -> Lesson {
+fn lesson() -> Estimates {
     let mut fillers: Vec<String> = (0..FILLING_IMAGES).map(filling_image).collect();
     fillers.push(LOUD.to_owned());
     let mean = |image: &String| if image == LOUD { DISTURBING } else { STILL };
--- a/crates/pond-job/src/change.rs
+++ b/crates/pond-job/src/change.rs
@@ -4,7 +4,7 @@
 use pond_proto::job::{How, Phase, RunName, Spec};
 use serde::{Deserialize, Serialize};
 
-use crate::{Blame, Configuration, Lesson};
+use crate::{Blame, Configuration, Estimates};
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
     /// Jobs that ended long ago are dropped.
     Forget(Vec<u64>),
     /// What the leader has learned of harm, for the next one.
-    Learned(Lesson),
+    Learned(Estimates),
     /// Workers have lived on with these runs for long enough to clear their tasks.
     Cleared(Vec<RunName>),
     /// Nothing more is started in a data centre.
--- a/crates/pond-job/src/lesson.rs
+++ b/crates/pond-job/src/estimates.rs
@@ -9,7 +9,7 @@
 
 /// What filling images do to serving ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lesson {
+pub struct Estimates {
     /// When it was written down, on the operators' clock of the leader of that time.
     pub at: Millis,
     /// By the image of the serving tasks.
@@ -23,9 +23,11 @@
     /// The tail on an idle worker, in milliseconds.
     pub idle_ms: f32,
     /// The filling images, in the order of `means` and `spread`.
-    pub fillers: Vec<String>,
+    #[serde(rename = "fillers")]
+    pub best_effort: Vec<String>,
     /// What each adds to the pressure, over shares of the worker's processors.
     pub means: Vec<f32>,
     /// Covariances of the means, row by row.
-    pub spread: Vec<Vec<f32>>,
+    #[serde(rename = "spread")]
+    pub covariances: Vec<Vec<f32>>,
 }
--- a/crates/pond-job/src/lead/harm.rs
+++ b/crates/pond-job/src/lead/harm.rs
@@ -11,7 +11,7 @@
 use super::load::Load;
 use super::pressure::{SATURATED, Scale};
 use super::regression::{Regression, Tuning};
-use crate::lesson::{self, Lesson};
+use crate::estimates::{self, Estimates};
 use crate::state::State;
 
 /// Filling work is placed only where pressures are expected to stay this far below those at which
@@ -117,7 +117,7 @@
 
 impl Harm {
     /// What was written down, as it is worth now on the operators' clock.
-    pub fn recall(lesson: &Lesson, wall: Millis) -> Harm {
+    pub fn recall(lesson: &Estimates, wall: Millis) -> Harm {
         let age_ms = wall.since(lesson.at);
         let mut harm = Harm::default();
         for (name, image) in &lesson.images {
@@ -130,14 +130,14 @@
     }
 
     /// Writes down what may help the next leader. Loads change within seconds and are left out.
-    pub fn write(&self, wall: Millis) -> Lesson {
-        let image = |model: &Model| -> lesson::Image {
+    pub fn write(&self, wall: Millis) -> Estimates {
+        let image = |model: &Model| -> estimates::Image {
             model.added.write(model.scale.idle_ms(), &self.images)
         };
         let written = self.models.iter().enumerate().filter_map(|(place, model)| {
             Some((self.images.at(place).to_owned(), image(model.as_ref()?)))
         });
-        Lesson { at: wall, images: written.collect() }
+        Estimates { at: wall, images: written.collect() }
     }
 
     /// Where what is known of an image stands.
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -43,7 +43,7 @@
 use pond_proto::{Millis, Span};
 
 use crate::change::{Change, Reply};
-use crate::lesson::Lesson;
+use crate::estimates::Estimates;
 use crate::state::State;
 
 use absent::Absence;
@@ -170,7 +170,7 @@
     }
 
     /// Goes on with what former leaders learned.
-    pub fn with_lesson(mut self, lesson: &Lesson, wall: Millis) -> Leader {
+    pub fn with_lesson(mut self, lesson: &Estimates, wall: Millis) -> Leader {
         self.harm = Harm::recall(lesson, wall);
         self
     }
@@ -331,7 +331,7 @@
         }
         self.written = now;
         let lesson = self.harm.write(wall);
-        if lesson.images != state.lesson().images {
+        if lesson.images != state.estimates().images {
             self.outputs.push(Output::Propose(Change::Learned(lesson)));
         }
     }
--- a/crates/pond-job/src/lead/regression.rs
+++ b/crates/pond-job/src/lead/regression.rs
@@ -6,7 +6,7 @@
 use pond_proto::Span;
 
 use super::image::{Image, Images};
-use crate::lesson;
+use crate::estimates;
 
 /// Growth of a coefficient's variance with each second in which nobody measured: about ten
 /// measurements a second come in otherwise.
@@ -59,18 +59,21 @@
 
     /// The model that was written down this long ago, in milliseconds.
     pub fn recall(
-        image: &lesson::Image,
+        image: &estimates::Image,
         age_ms: Span,
         tuning: Tuning,
         images: &mut Images,
     ) -> Regression {
-        let mut spread: Vec<Vec<f64>> =
-            image.spread.iter().map(|row| row.iter().map(|x| f64::from(*x)).collect()).collect();
+        let mut spread: Vec<Vec<f64>> = image
+            .covariances
+            .iter()
+            .map(|row| row.iter().map(|x| f64::from(*x)).collect())
+            .collect();
         let growth = FORGETTING * age_ms as f64 / 1_000.0;
         for (i, row) in spread.iter_mut().enumerate() {
             row[i] = (row[i] + growth).min(tuning.variance).max(row[i]);
         }
-        let terms: Vec<Image> = image.fillers.iter().map(|name| images.key(name)).collect();
+        let terms: Vec<Image> = image.best_effort.iter().map(|name| images.key(name)).collect();
         let mut places = Vec::new();
         for (place, term) in terms.iter().enumerate() {
             note_place(&mut places, *term, place);
@@ -85,13 +88,13 @@
     }
 
     /// Writes the model down.
-    pub fn write(&self, idle_ms: f64, images: &Images) -> lesson::Image {
+    pub fn write(&self, idle_ms: f64, images: &Images) -> estimates::Image {
         let row = |row: &Vec<f64>| row.iter().map(|x| *x as f32).collect();
-        lesson::Image {
+        estimates::Image {
             idle_ms: idle_ms as f32,
-            fillers: self.terms.iter().map(|term| images.name(*term).to_owned()).collect(),
+            best_effort: self.terms.iter().map(|term| images.name(*term).to_owned()).collect(),
             means: self.means.iter().map(|mean| *mean as f32).collect(),
-            spread: self.spread.iter().map(row).collect(),
+            covariances: self.spread.iter().map(row).collect(),
         }
     }
 
--- a/crates/pond-job/src/lib.rs
+++ b/crates/pond-job/src/lib.rs
@@ -6,18 +6,18 @@
 
 mod change;
 mod configuration;
+mod estimates;
 mod job;
 mod lead;
-mod lesson;
 mod state;
 mod suspicion;
 
 pub use change::{Change, End, Reply, Start};
 pub use configuration::{Advice, Configuration, Invalid, Limits, Pool, Queue};
+pub use estimates::Estimates;
 pub use job::{Job, Task};
 pub use lead::{
     Decision, Leader, Lost, Obstacle, Obstacles, Output, Permit, Question, StepName, Terms,
 };
-pub use lesson::Lesson;
 pub use state::State;
 pub use suspicion::{BLAMED_MS, Blame, SURVIVED_MS, Suspicion, Verdict};
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -11,8 +11,8 @@
 
 use crate::change::{Change, End, Reply};
 use crate::configuration::Configuration;
+use crate::estimates::Estimates;
 use crate::job::{Job, Task, longest_chain};
-use crate::lesson::Lesson;
 use crate::suspicion::Suspicion;
 
 /// Most tasks of one job; more are refused, so that one job cannot fill the memory: a task takes
@@ -33,8 +33,8 @@
     /// The agents beside lives of workers that have runs.
     agents: BTreeMap<String, String>,
     /// What former leaders learned of harm. (Snapshots of earlier versions have none.)
-    #[serde(default)]
-    lesson: Lesson,
+    #[serde(default, rename = "lesson")]
+    estimates: Estimates,
     /// The data centres in which nothing is started, and since when. (Snapshots of earlier versions have none.)
     #[serde(default)]
     evacuated: BTreeMap<String, Millis>,
@@ -123,8 +123,8 @@
     }
 
     /// What former leaders learned of harm.
-    pub fn lesson(&self) -> &Lesson {
-        &self.lesson
+    pub fn estimates(&self) -> &Estimates {
+        &self.estimates
     }
 
     /// How many jobs of a queue wait with no task begun, where `begun` tells whether a run has on the life on
@@ -169,8 +169,8 @@
             Change::Evacuate { data_centre, at } => self.evacuate(data_centre, at),
             Change::Readmit { data_centre } => self.readmit(&data_centre),
             Change::Forget(ids) => self.forget(&ids),
-            Change::Learned(lesson) => {
-                self.lesson = lesson;
+            Change::Learned(estimates) => {
+                self.estimates = estimates;
                 Reply::Accepted
             }
         }
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -189,7 +189,7 @@
     /// Another replica leads, which knows only the log.
     pub fn replace_leader(&mut self) {
         let leader = Leader::new(8, terms(), self.now);
-        self.leader = leader.with_lesson(self.state.lesson(), self.now);
+        self.leader = leader.with_lesson(self.state.estimates(), self.now);
     }
 
     /// A worker reports what it has, with its clock as it stands.
