--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -167,7 +167,7 @@
         begun: impl Iterator<Item = &'a (&'a Last, Span)>,
     ) -> f64 {
         let window = |(last, _): &(&Last, Span)| {
-            let clears_ms = state.held(last.run).map(Suspicion::clears_at_ms);
+            let clears_ms = state.recorded_suspicion(last.run).map(Suspicion::clears_at_ms);
             cause::window_ms(last.met, clears_ms.unwrap_or(SURVIVED_MS))
         };
         let window_ms = begun.map(window).max().unwrap_or(SURVIVED_MS);
@@ -198,7 +198,8 @@
         };
         let likely: BTreeSet<RunName> =
             there.iter().filter(likely).map(|(last, _)| last.run).collect();
-        let losses = |run: &RunName| state.held(*run).map_or(0, |before| before.losses);
+        let losses =
+            |run: &RunName| state.recorded_suspicion(*run).map_or(0, |before| before.losses);
         let repeated = likely.iter().filter(|run| losses(run) >= REPEATED).copied().collect();
         Case { why, there, together, alone, likely, repeated }
     }
@@ -239,13 +240,13 @@
 
 /// How likely the task of a run takes down its workers, as far as its losses tell.
 fn probability_of(state: &State, run: RunName) -> Option<f64> {
-    state.held(run)?.probability
+    state.recorded_suspicion(run)?.probability
 }
 
 /// Whether a run with which its worker had lived on for so long may have taken it down: it had just begun, or
 /// has not cleared its task yet.
 fn just_begun(state: &State, run: RunName, lived_ms: Span) -> bool {
-    let suspicion = state.held(run).filter(|suspicion| suspicion.suspect);
+    let suspicion = state.recorded_suspicion(run).filter(|suspicion| suspicion.suspect);
     let uncleared = suspicion.is_some_and(|suspicion| lived_ms < suspicion.clears_at_ms());
     lived_ms < SURVIVED_MS || uncleared
 }
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -55,7 +55,7 @@
             |(other, worker): &(&String, &Worker)| worker.agent == agent && other.as_str() != life;
         let known = self.workers.iter().filter(former).map(|(other, _)| other.as_str());
         // A leader that has just come to lead knows former lives only from the log.
-        let logged = state.lives_beside(agent).filter(|other| *other != life);
+        let logged = state.incarnations_at(agent).filter(|other| *other != life);
         let former: BTreeSet<String> = known.chain(logged).map(str::to_owned).collect();
         for other in former {
             self.over(state, now, &other, None);
@@ -87,7 +87,7 @@
         let end = end.or(told.as_ref());
         let left = end.is_some_and(|end| end.left)
             || self.workers.get(life).is_some_and(|worker| worker.draining);
-        let logged = state.placed(life).next().is_some() || state.settled(life) > 0;
+        let logged = state.placed(life).next().is_some() || state.last_committed_end(life) > 0;
         if logged {
             self.propose_last_ends(state, life, end);
             let why = if left { Lost::Left } else { Lost::Crashed };
@@ -198,7 +198,7 @@
     /// The agent beside a life; empty if it is not known any more.
     fn agent_of(&self, state: &State, life: &str) -> String {
         let known = self.workers.get(life).map(|worker| worker.agent.as_str());
-        known.or(state.agent_beside(life)).unwrap_or_default().to_owned()
+        known.or(state.agent_of(life)).unwrap_or_default().to_owned()
     }
 
     /// What is known of the runs that have their place on a life. What its agent told once it was over
@@ -234,7 +234,7 @@
     /// no effect. Each proposal holds all that is not settled: were one lost and only what came
     /// since proposed, the ends in it would be taken for settled with the higher ones.
     pub(super) fn propose_ends(&mut self, state: &State, now: Millis, life: &str, report: &Report) {
-        let settled = state.settled(life);
+        let settled = state.last_committed_end(life);
         let placed: BTreeSet<RunName> = state.placed(life).collect();
         let Some(worker) = self.workers.get_mut(life) else { return };
         let open = report.ends.iter().filter(|end| end.number > settled);
@@ -300,7 +300,7 @@
 
 /// The ends of a life that is over, of runs that have their place there, in their order.
 fn last_ends(state: &State, report: &Report) -> Vec<End> {
-    let (life, settled) = (report.worker.as_str(), state.settled(&report.worker));
+    let (life, settled) = (report.worker.as_str(), state.last_committed_end(&report.worker));
     let placed: BTreeSet<RunName> = state.placed(life).collect();
     let open = |row: &&EndRow| row.number > settled && placed.contains(&row.run);
     let mut ends: Vec<End> = report.ends.iter().filter(open).map(end_from).collect();
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -271,7 +271,7 @@
     /// another task may have taken the worker down in the same moment. On a worker that has not
     /// reported since this replica leads it counts as begun, as most has.
     pub fn waiting(&self, state: &State, queue: &str) -> u64 {
-        state.waiting(queue, |run, life| {
+        state.waiting_jobs(queue, |run, life| {
             self.workers.get(life).is_none_or(|worker| worker.has_listed(run))
         })
     }
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -111,7 +111,7 @@
             worker: life.to_owned(),
             term: self.term,
             lease_end_ms: worker.clock_ms + self.terms.hold_ms,
-            settled: state.settled(life),
+            settled: state.last_committed_end(life),
             forget: std::mem::take(&mut worker.forget).into_iter().collect(),
             starts,
             stops: stops(now, worker, &wanted),
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -17,7 +17,7 @@
 
 /// Most tasks of one job; more are refused, so that one job cannot fill the memory: a task takes
 /// some hundred bytes, so this many take a few megabytes.
-const MOST_TASKS: usize = 20_000;
+const MAX_TASKS_PER_JOB: usize = 20_000;
 
 /// All that the control replicas agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,7 +29,8 @@
     /// Runs by the life of the worker that has them.
     placed: BTreeMap<String, BTreeSet<RunName>>,
     /// Ends of each life of a worker up to this number are settled.
-    settled: BTreeMap<String, u64>,
+    #[serde(rename = "settled")]
+    committed: BTreeMap<String, u64>,
     /// The agents beside lives of workers that have runs.
     agents: BTreeMap<String, String>,
     /// What former leaders learned of harm. (Snapshots of earlier versions have none.)
@@ -82,41 +83,41 @@
     }
 
     /// The lives of workers beside an agent that have runs.
-    pub fn lives_beside<'a>(&'a self, agent: &'a str) -> impl Iterator<Item = &'a str> + 'a {
+    pub fn incarnations_at<'a>(&'a self, agent: &'a str) -> impl Iterator<Item = &'a str> + 'a {
         let beside = move |(_, other): &(&String, &String)| other.as_str() == agent;
         self.agents.iter().filter(beside).map(|(life, _)| life.as_str())
     }
 
     /// The agent beside a life of a worker that has runs.
-    pub fn agent_beside(&self, life: &str) -> Option<&str> {
+    pub fn agent_of(&self, life: &str) -> Option<&str> {
         self.agents.get(life).map(String::as_str)
     }
 
     /// Ends of that life of a worker up to this number are settled.
-    pub fn settled(&self, worker: &str) -> u64 {
-        self.settled.get(worker).copied().unwrap_or(0)
+    pub fn last_committed_end(&self, worker: &str) -> u64 {
+        self.committed.get(worker).copied().unwrap_or(0)
     }
 
     /// What is held against the task of a run, if the run is the task's newest and its job goes on.
     pub fn suspicion(&self, run: RunName) -> Option<&Suspicion> {
         self.job(run.task.job).filter(|job| !job.phase.ended())?;
-        self.held(run)
+        self.recorded_suspicion(run)
     }
 
     /// The same, whether its job goes on or has ended.
-    pub fn held(&self, run: RunName) -> Option<&Suspicion> {
+    pub fn recorded_suspicion(&self, run: RunName) -> Option<&Suspicion> {
         let task = self.job(run.task.job)?.task(run.task);
         task.filter(|task| task.run == run.number)?.suspicion.as_deref()
     }
 
     /// What of the ends and unstarted runs of a worker is news here; the rest was applied before.
-    pub fn unsettled<'a>(
+    pub fn uncommitted<'a>(
         &self,
         worker: &str,
         ends: &'a [End],
         unstarted: &'a [RunName],
     ) -> (Vec<&'a End>, Vec<&'a RunName>) {
-        let settled = self.settled(worker);
+        let settled = self.last_committed_end(worker);
         let has = |run: &&RunName| self.placed.get(worker).is_some_and(|runs| runs.contains(run));
         let ends = ends.iter().filter(|end| end.number > settled).collect();
         (ends, unstarted.iter().filter(has).collect())
@@ -129,7 +130,7 @@
 
     /// How many jobs of a queue wait with no task begun, where `begun` tells whether a run has on the life on
     /// which it has its place. Repeated jobs do not count.
-    pub fn waiting(&self, queue: &str, begun: impl Fn(RunName, &str) -> bool) -> u64 {
+    pub fn waiting_jobs(&self, queue: &str, begun: impl Fn(RunName, &str) -> bool) -> u64 {
         let waits = |(id, job): &(u64, &Job)| {
             let counts = job.queue == queue && !job.phase.ended() && job.spec.repeat.is_none();
             counts && !job.begun && !job.places(*id).any(|(run, life)| begun(run, life))
@@ -260,13 +261,14 @@
     }
 
     /// Whether a job of that description can be kept.
-    pub fn bearable(spec: &Spec) -> bool {
+    pub fn within_limits(spec: &Spec) -> bool {
         let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
         let tasks: usize = spec.steps.iter().map(|step| step.tasks as usize).sum();
         // Steps and times take memory even without tasks.
         let tasks = tasks.max(spec.steps.len()).max(1);
         let refers_back =
             |(i, step): (usize, &Step)| step.after.iter().all(|before| (*before as usize) < i);
-        tasks.saturating_mul(times) <= MOST_TASKS && spec.steps.iter().enumerate().all(refers_back)
+        tasks.saturating_mul(times) <= MAX_TASKS_PER_JOB
+            && spec.steps.iter().enumerate().all(refers_back)
     }
 }
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -39,10 +39,10 @@
     pub(super) fn end(&mut self, worker: &str, ends: Vec<End>, unstarted: &[RunName]) -> Reply {
         let mut touched = BTreeSet::new();
         for end in ends {
-            if end.number <= self.settled(worker) {
+            if end.number <= self.last_committed_end(worker) {
                 continue;
             }
-            self.settled.insert(worker.to_owned(), end.number);
+            self.committed.insert(worker.to_owned(), end.number);
             self.take_away(worker, end.run);
             self.end_one(end.run, end.how, end.save);
             touched.insert(end.run.task.job);
@@ -125,7 +125,7 @@
 
     /// What is held against the task of a run with the loss of a life; none if the loss does not count, as the
     /// run has no place there any more or nothing of its job goes on.
-    pub fn held_with(&self, worker: &str, blame: &Blame) -> Option<Suspicion> {
+    pub fn suspicion_with(&self, worker: &str, blame: &Blame) -> Option<Suspicion> {
         let runs = self.placed.get(worker)?;
         let job = self.jobs.get(&blame.run.task.job).filter(|job| !job.phase.ended())?;
         let task = job.task(blame.run.task).filter(|task| !task.done)?;
@@ -140,7 +140,7 @@
     /// do so for ever: its job has failed, whatever attempts it has left.
     pub(super) fn blame(&mut self, worker: &str, blame: &[Blame]) {
         for blame in blame {
-            let Some(held) = self.held_with(worker, blame) else { continue };
+            let Some(held) = self.suspicion_with(worker, blame) else { continue };
             let Some(job) = self.jobs.get_mut(&blame.run.task.job) else { continue };
             if held.convicts() {
                 job.phase = Phase::Failed;
@@ -183,7 +183,7 @@
             self.take_away(worker, *run);
         }
         if over {
-            self.settled.remove(worker);
+            self.committed.remove(worker);
         }
         Reply::Ended(runs.iter().filter_map(|run| self.settle_job(run.task.job)).collect())
     }
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -387,7 +387,7 @@
     report_late(&mut bench, run);
     bench.end("a", run, How::Done);
     assert_eq!(bench.phase(1), Some(Phase::Cancelled));
-    assert_eq!(bench.state.settled("a"), 1);
+    assert_eq!(bench.state.last_committed_end("a"), 1);
     assert_eq!(bench.state.active().count(), 0);
 }
 
--- a/crates/pond-job/tests/ghosts.rs
+++ b/crates/pond-job/tests/ghosts.rs
@@ -341,7 +341,7 @@
     bench.vms.get_mut("a").unwrap().runs.clear();
     // A list holds five hundred of the ends that are not settled.
     for _ in 0..3 {
-        let settled = bench.state.settled("a");
+        let settled = bench.state.last_committed_end("a");
         let listed = all.iter().filter(|end| end.number > settled).take(500).cloned().collect();
         bench.vms.get_mut("a").unwrap().ends = listed;
         bench.report("a");
@@ -350,7 +350,7 @@
         bench.leader = Leader::new(9, terms(), bench.now);
         bench.pass(1, &["a"]);
     }
-    assert_eq!(bench.state.settled("a"), 1_200);
+    assert_eq!(bench.state.last_committed_end("a"), 1_200);
     assert_eq!(bench.place_of(task(1, 1, 0)).as_deref(), Some("a"));
 }
 
@@ -390,7 +390,7 @@
         .to_vec();
     // The one that was done has at most a newer run, which is stopped.
     assert!(tasks[0].0 && !tasks[1].0 && tasks[1].1 == 2, "{tasks:?}");
-    assert_eq!(bench.state.settled("a"), 2);
+    assert_eq!(bench.state.last_committed_end("a"), 2);
 }
 
 #[test]
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -203,7 +203,7 @@
 #[test]
 fn waiting_jobs_are_counted_until_their_first_start() {
     let mut state = state(vec![step(1, 100)]);
-    let waiting = |state: &State| state.waiting("quick", |_, _| true);
+    let waiting = |state: &State| state.waiting_jobs("quick", |_, _| true);
     assert_eq!(waiting(&state), 1);
     start(&mut state, run(0, 0, 1), "a");
     assert_eq!(waiting(&state), 0);
@@ -227,17 +227,17 @@
 #[test]
 fn job_that_refers_to_later_steps_is_not_bearable() {
     let first = Step { after: vec![1], ..step(1, 100) };
-    assert!(!State::bearable(&spec(vec![first, step(1, 100)])));
-    assert!(!State::bearable(&spec(vec![step(30_000, 100)])));
-    assert!(State::bearable(&spec(vec![step(30, 100)])));
+    assert!(!State::within_limits(&spec(vec![first, step(1, 100)])));
+    assert!(!State::within_limits(&spec(vec![step(30_000, 100)])));
+    assert!(State::within_limits(&spec(vec![step(30, 100)])));
 }
 
 #[test]
 fn repeated_job_without_tasks_still_counts_its_times() {
     let repeat = pond_proto::job::Repeat { times: u32::MAX, first_ms: 0, every_ms: 1 };
     let endless = Spec { repeat: Some(repeat), ..spec(vec![]) };
-    assert!(!State::bearable(&endless));
-    assert!(!State::bearable(&Spec { repeat: Some(repeat), ..spec(vec![step(0, 1)]) }));
+    assert!(!State::within_limits(&endless));
+    assert!(!State::within_limits(&Spec { repeat: Some(repeat), ..spec(vec![step(0, 1)]) }));
 }
 
 #[test]
@@ -275,7 +275,7 @@
     let end = End { number: 1, run: run(0, 0, 1), how: How::Failed, save: String::new() };
     let (ends, unstarted) = ([end], [run(0, 1, 1)]);
     let news = |state: &State| {
-        let (ends, unstarted) = state.unsettled("a", &ends, &unstarted);
+        let (ends, unstarted) = state.uncommitted("a", &ends, &unstarted);
         (ends.len(), unstarted.len())
     };
     let before = news(&state);
--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -133,7 +133,7 @@
     /// up for it.
     fn log_blame(&self, worker: &str, blame: &[Blame]) {
         for blame in blame.iter().filter(|blame| blame.is_news()) {
-            let Some(held) = self.state.held_with(worker, blame) else { continue };
+            let Some(held) = self.state.suspicion_with(worker, blame) else { continue };
             let (run, verdict) = (blame.run.to_string(), format!("{:?}", blame.verdict));
             event!(self.log, TASK_SUSPECTED, "run" => run.clone(), "worker" => worker.to_owned(),
                 "verdict" => verdict, "lived_ms" => blame.lived_ms, "losses" => held.losses,
@@ -147,7 +147,7 @@
     }
 
     fn log_ended(&self, worker: &str, ends: &[End], unstarted: &[RunName]) {
-        let (ends, unstarted) = self.state.unsettled(worker, ends, unstarted);
+        let (ends, unstarted) = self.state.uncommitted(worker, ends, unstarted);
         for end in ends {
             event!(self.log, RUN_ENDED, "run" => end.run.to_string(),
                 "worker" => worker.to_owned(), "how" => format!("{:?}", end.how),
