--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -12,7 +12,7 @@
 use super::{Leader, Lost, Output, PROPOSE_AGAIN_MS};
 use crate::change::Change;
 use crate::state::State;
-use crate::suspicion::{BLAMED_MS, Blame, SURVIVED_MS, Suspicion, Verdict};
+use crate::suspicion::{BLAME_WINDOW_MS, Blame, STARTUP_WINDOW_MS, Suspicion, Verdict};
 
 /// Losses of workers that are no further apart than this may have one cause, as a rack or a switch, in
 /// milliseconds. Lives that come back after a loss of power register within some two seconds.
@@ -168,9 +168,9 @@
     ) -> f64 {
         let window = |(last, _): &(&Last, Span)| {
             let clears_ms = state.recorded_suspicion(last.run).map(Suspicion::clears_at_ms);
-            cause::window_ms(last.met, clears_ms.unwrap_or(SURVIVED_MS))
+            cause::window_ms(last.met, clears_ms.unwrap_or(STARTUP_WINDOW_MS))
         };
-        let window_ms = begun.map(window).max().unwrap_or(SURVIVED_MS);
+        let window_ms = begun.map(window).max().unwrap_or(STARTUP_WINDOW_MS);
         self.losses.rate.within(window_ms, self.workers.len(), now.since(self.since))
     }
 
@@ -187,7 +187,8 @@
         why: Lost,
         last: &'a [Last],
     ) -> Case<'a> {
-        let lived = |last: &'a Last| Some((last, last.lived_ms.filter(|ms| *ms < BLAMED_MS)?));
+        let lived =
+            |last: &'a Last| Some((last, last.lived_ms.filter(|ms| *ms < BLAME_WINDOW_MS)?));
         let open = |last: &&Last| !is_done(state, last.run);
         let there: Vec<(&Last, Span)> = last.iter().filter(open).filter_map(lived).collect();
         let together = self.losses.others(now, agent);
@@ -248,5 +249,5 @@
 fn just_begun(state: &State, run: RunName, lived_ms: Span) -> bool {
     let suspicion = state.recorded_suspicion(run).filter(|suspicion| suspicion.suspect);
     let uncleared = suspicion.is_some_and(|suspicion| lived_ms < suspicion.clears_at_ms());
-    lived_ms < SURVIVED_MS || uncleared
+    lived_ms < STARTUP_WINDOW_MS || uncleared
 }
--- a/crates/pond-job/src/lead/candidate.rs
+++ b/crates/pond-job/src/lead/candidate.rs
@@ -6,7 +6,7 @@
 use pond_proto::{Millis, Size, Span};
 
 use crate::change::Start;
-use crate::suspicion::{SURVIVED_MS, Suspicion};
+use crate::suspicion::{STARTUP_WINDOW_MS, Suspicion};
 
 use super::advice::StepName;
 use super::beside::{Filler, Served, share};
@@ -34,7 +34,7 @@
 
 /// What a worker was given has shown itself after this time, in milliseconds: it has survived, and the order,
 /// the call and the start took their time before.
-const SHOWN_MS: Span = SURVIVED_MS + 200;
+const SHOWN_MS: Span = STARTUP_WINDOW_MS + 200;
 
 /// A worker with what it has room for. What hangs on its runs alone is made when one of them changes, see
 /// the module `board`; what also hangs on the time, before each plan, by [`Candidate::refresh`].
@@ -138,7 +138,7 @@
     /// Adds that a run placed there is of a suspect, with which the worker has lived on for so long.
     pub fn add_suspect(&mut self, suspicion: &Suspicion, lived_ms: Span) {
         self.suspects += 1;
-        self.closed |= lived_ms < suspicion.apart_ms();
+        self.closed |= lived_ms < suspicion.isolation_ms();
     }
 
     /// Brings up to date what changes with time and with what is learned elsewhere. `begun` tells when the
--- a/crates/pond-job/src/lead/suspect.rs
+++ b/crates/pond-job/src/lead/suspect.rs
@@ -100,7 +100,7 @@
                 let name = group.task(index);
                 candidates[found].take(name, group.step, group.image, group.served, &self.harm);
                 candidates[found].take_suspect(group.id);
-                if suspect.is_some_and(|suspect| suspect.suspicion.repeated()) {
+                if suspect.is_some_and(|suspect| suspect.suspicion.is_repeat_suspect()) {
                     // Nobody joins what is likely the cause of several losses.
                     candidates[found].suspects = TOGETHER;
                 }
@@ -154,7 +154,7 @@
 
     /// The place of a worker on which a suspect begins together with others, once it has waited for long.
     fn company(&self, suspect: Suspect<'_>, candidates: &[Candidate]) -> Option<usize> {
-        if suspect.suspicion.repeated() || suspect.waited_ms < ALONE_MS {
+        if suspect.suspicion.is_repeat_suspect() || suspect.waited_ms < ALONE_MS {
             return None;
         }
         let joins = |there: &Candidate| (1..TOGETHER).contains(&there.suspects) && there.planned;
--- a/crates/pond-job/src/lib.rs
+++ b/crates/pond-job/src/lib.rs
@@ -20,4 +20,4 @@
     Decision, Leader, Lost, Obstacle, Obstacles, Output, Permit, Question, StepName, Terms,
 };
 pub use state::State;
-pub use suspicion::{BLAMED_MS, Blame, SURVIVED_MS, Suspicion, Verdict};
+pub use suspicion::{BLAME_WINDOW_MS, Blame, STARTUP_WINDOW_MS, Suspicion, Verdict};
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -91,8 +91,8 @@
         // clears nothing.
         let held = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
         let given_up = held.is_some_and(|held| {
-            held.add_failure();
-            held.convicts()
+            held.record_failure();
+            held.is_culprit()
         });
         match how {
             How::Done if !lasting => self.done(run.task, gang),
@@ -131,7 +131,7 @@
         let task = job.task(blame.run.task).filter(|task| !task.done)?;
         let mut held = task.suspicion.as_deref().cloned().unwrap_or_default();
         let agent = self.agents.get(worker).map_or("", String::as_str);
-        held.add(blame, agent);
+        held.record_loss(blame, agent);
         Some(held).filter(|_| runs.contains(&blame.run))
     }
 
@@ -142,7 +142,7 @@
         for blame in blame {
             let Some(held) = self.suspicion_with(worker, blame) else { continue };
             let Some(job) = self.jobs.get_mut(&blame.run.task.job) else { continue };
-            if held.convicts() {
+            if held.is_culprit() {
                 job.phase = Phase::Failed;
             }
             if let Some(task) = job.task_mut(blame.run.task) {
--- a/crates/pond-job/src/suspicion.rs
+++ b/crates/pond-job/src/suspicion.rs
@@ -12,47 +12,47 @@
 /// A run with which its worker has lived on for this long did not take it down at its start, in
 /// milliseconds. The shorter it is, the fewer begin within it beside a culprit, and the sooner a suspect frees its
 /// worker.
-pub const SURVIVED_MS: Span = 100;
+pub const STARTUP_WINDOW_MS: Span = 100;
 
 /// A loss says nothing about a run with which the worker has lived on for this long, in milliseconds. So
 /// tasks that take down their workers later than this are not bounded: each such loss comes at most
 /// every ten seconds.
-pub const BLAMED_MS: Span = 10_000;
+pub const BLAME_WINDOW_MS: Span = 10_000;
 
 /// A suspect keeps a worker from other work for this long at most, in milliseconds. What takes its worker down
 /// later is found out all the same, but by more losses.
-const APART_MS: Span = 2_500;
+const MAX_ISOLATION_MS: Span = 2_500;
 
 /// So many losses at which nothing else can have been the cause, and a task is given up. A single one can
 /// be chance: whatever ends workers by itself may strike one while a suspect has just begun there.
-const PROVEN: u32 = 2;
+const CONCLUSIVE_LOSSES: u32 = 2;
 
 /// A task is given up for two proofs only with so many losses in all.
-const LOSSES_WITH_PROOFS: u32 = 3;
+const MIN_LOSSES_IF_CONCLUSIVE: u32 = 3;
 
 /// A task is given up for no fewer losses, however likely it is.
-const FEWEST: u32 = 2;
+const MIN_LOSSES: u32 = 2;
 
 /// A task is given up that takes down its workers this likely, from 0 to 1: a bystander that is given up, which costs
 /// its caller the whole job, is taken for as bad as fifty workers more that go down.
-const CERTAIN: f64 = 0.98;
+const GIVE_UP_PROBABILITY: f64 = 0.98;
 
 /// With so many losses a task is given up for one proof, or if it was likely the cause of most of them, unless their odds
 /// say otherwise; or if it had just begun at each: users bear five starts.
-const LOSSES: u32 = 5;
+const MAX_LOSSES: u32 = 5;
 
 /// Where the losses tell how likely it takes down its workers, a task is given up by their number only if it is more
 /// likely than not, from 0 to 1.
-const EVEN: f64 = 0.5;
+const EVEN_ODDS: f64 = 0.5;
 
 /// So many of these losses it must have caused as likely as anything else.
-const LIKELY: u32 = 3;
+const LIKELY_LOSSES: u32 = 3;
 
 /// A task that was beside so many losses is a suspect, though others had begun later each time.
-const BESIDE: u32 = 2;
+const COLOCATED_LOSSES: u32 = 2;
 
 /// Agents that are remembered of a task's losses, the newest.
-const AGENTS: usize = 4;
+const MAX_AGENTS: usize = 4;
 
 /// How a loss counts against a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,8 @@
     /// How it counts.
     pub verdict: Verdict,
     /// For how long the worker was known to have lived on with the run, in milliseconds.
-    pub lived_ms: Span,
+    #[serde(rename = "lived_ms")]
+    pub survived_ms: Span,
     /// How likely the task takes down its workers, with this loss, from 0 to 1; none if the loss tells nothing of
     /// it. (Entries of earlier versions have none.)
     #[serde(default)]
@@ -82,8 +83,8 @@
 
 impl Blame {
     /// The loss of a run with which its worker had lived on for so long, in milliseconds.
-    pub fn new(run: RunName, verdict: Verdict, lived_ms: Span) -> Blame {
-        Blame { run, verdict, lived_ms, probability: None }
+    pub fn new(run: RunName, verdict: Verdict, survived_ms: Span) -> Blame {
+        Blame { run, verdict, survived_ms, probability: None }
     }
 
     /// With this loss the task takes down its workers so likely, from 0 to 1.
@@ -94,11 +95,11 @@
 
     /// Whether the run had just begun, or nothing is known of how long it had lived.
     pub fn just_begun(&self) -> bool {
-        self.lived_ms < SURVIVED_MS
+        self.survived_ms < STARTUP_WINDOW_MS
     }
 
     /// Whether operators should know of it: the run may have taken the worker down.
-    pub fn is_news(&self) -> bool {
+    pub fn is_reportable(&self) -> bool {
         self.verdict != Verdict::Beside || self.just_begun()
     }
 }
@@ -111,17 +112,19 @@
     /// How many of them it may have caused, by how little it had lived.
     pub likely: u32,
     /// At how many of them nothing else can have been the cause.
-    pub proven: u32,
+    #[serde(rename = "proven")]
+    pub conclusive: u32,
     /// It may be the cause, and is started apart from other work.
     pub suspect: bool,
     /// The longest that a worker was known to have lived on with it, in milliseconds.
-    pub lived_ms: Span,
+    #[serde(rename = "lived_ms")]
+    pub survived_ms: Span,
     /// The agents beside the workers that were lost, the newest last.
     pub agents: Vec<String>,
     /// At how many of the losses it had just begun, or nothing is known of how long it had lived; and how many
     /// runs failed after several losses. (Snapshots of earlier versions have none.)
-    #[serde(default)]
-    pub begun: u32,
+    #[serde(default, rename = "begun")]
+    pub failed_starts: u32,
     /// How likely it takes down its workers, from 0 to 1; none before a loss told of it.
     #[serde(default)]
     pub probability: Option<f64>,
@@ -129,22 +132,22 @@
 
 impl Suspicion {
     /// One more worker is lost, beside that agent.
-    pub fn add(&mut self, blame: &Blame, agent: &str) {
+    pub fn record_loss(&mut self, blame: &Blame, agent: &str) {
         self.losses += 1;
         self.likely += u32::from(blame.verdict != Verdict::Beside);
-        self.proven += u32::from(blame.verdict == Verdict::Proven);
-        self.begun += u32::from(blame.just_begun());
+        self.conclusive += u32::from(blame.verdict == Verdict::Proven);
+        self.failed_starts += u32::from(blame.just_begun());
         self.probability = blame.probability.or(self.probability);
-        self.suspect |= blame.verdict != Verdict::Beside || self.losses >= BESIDE;
-        self.lived_ms = self.lived_ms.max(blame.lived_ms);
+        self.suspect |= blame.verdict != Verdict::Beside || self.losses >= COLOCATED_LOSSES;
+        self.survived_ms = self.survived_ms.max(blame.survived_ms);
         self.agents.push(agent.to_owned());
-        let more = self.agents.len().saturating_sub(AGENTS);
+        let more = self.agents.len().saturating_sub(MAX_AGENTS);
         self.agents.drain(..more);
     }
 
     /// A run of it ended as failed: one more start in which it did not live on, once users only bear so many.
-    pub fn add_failure(&mut self) {
-        self.begun += u32::from(self.losses >= LOSSES_WITH_PROOFS);
+    pub fn record_failure(&mut self) {
+        self.failed_starts += u32::from(self.losses >= MIN_LOSSES_IF_CONCLUSIVE);
     }
 
     /// Whether the task is given up.
@@ -152,28 +155,32 @@
     /// Verdicts say how likely it caused each loss, by what else went down and by what was told, and a history in
     /// which nothing is told may go on for ever. That it never once lived on through so many starts needs no
     /// verdict: this is what bounds its starts on any history.
-    pub fn convicts(&self) -> bool {
-        let proven = self.proven >= PROVEN && self.losses >= LOSSES_WITH_PROOFS;
-        let odds = self.probability.is_none_or(|likely| likely >= EVEN);
-        let likely = odds && (self.proven > 0 || self.likely >= LIKELY);
-        let certain =
-            self.losses >= FEWEST && self.probability.is_some_and(|likely| likely >= CERTAIN);
-        certain || proven || (self.losses >= LOSSES && likely) || self.begun >= LOSSES
+    pub fn is_culprit(&self) -> bool {
+        let conclusive =
+            self.conclusive >= CONCLUSIVE_LOSSES && self.losses >= MIN_LOSSES_IF_CONCLUSIVE;
+        let odds = self.probability.is_none_or(|probability| probability >= EVEN_ODDS);
+        let likely = odds && (self.conclusive > 0 || self.likely >= LIKELY_LOSSES);
+        let certain = self.losses >= MIN_LOSSES
+            && self.probability.is_some_and(|probability| probability >= GIVE_UP_PROBABILITY);
+        certain
+            || conclusive
+            || (self.losses >= MAX_LOSSES && likely)
+            || self.failed_starts >= MAX_LOSSES
     }
 
     /// Whether it was the likely cause of several losses, or had just begun at several.
-    pub fn repeated(&self) -> bool {
-        self.likely.max(self.begun) > 1
+    pub fn is_repeat_suspect(&self) -> bool {
+        self.likely.max(self.failed_starts) > 1
     }
 
     /// A run that has lived on for this long clears the task, in milliseconds.
     pub fn clears_at_ms(&self) -> Span {
-        (self.lived_ms * 2 + SURVIVED_MS).min(BLAMED_MS)
+        (self.survived_ms * 2 + STARTUP_WINDOW_MS).min(BLAME_WINDOW_MS)
     }
 
     /// Nothing else is started beside a run of it until the worker has lived on with the run for this long,
     /// in milliseconds.
-    pub fn apart_ms(&self) -> Span {
-        self.clears_at_ms().min(APART_MS)
+    pub fn isolation_ms(&self) -> Span {
+        self.clears_at_ms().min(MAX_ISOLATION_MS)
     }
 }
--- a/crates/pond-job/tests/suspects.rs
+++ b/crates/pond-job/tests/suspects.rs
@@ -187,9 +187,9 @@
     let falls: Vec<u64> = falls.map(|at| at.0).collect();
     let blames = world.watch.blames.iter().filter(|(_, blame)| blame.run.task == *task);
     let line = |(at, blame): &(Millis, Blame)| {
-        let Blame { run, verdict, lived_ms, probability } = blame;
+        let Blame { run, verdict, survived_ms, probability } = blame;
         let likely = probability.unwrap_or(0.0);
-        format!("{} #{} {verdict:?} {lived_ms} {likely:.4}", at.0, run.number)
+        format!("{} #{} {verdict:?} {survived_ms} {likely:.4}", at.0, run.number)
     };
     let blames: Vec<String> = blames.map(line).collect();
     let step = &work.spec.steps[0];
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -174,7 +174,7 @@
     lose(&mut state, &[Suspected, Suspected, Proven]);
     start(&mut state, 4);
     end(&mut state, 4, How::Failed);
-    assert_eq!(suspicion(&state).map(|held| (held.losses, held.begun)), Some((3, 4)));
+    assert_eq!(suspicion(&state).map(|held| (held.losses, held.failed_starts)), Some((3, 4)));
     assert_eq!(phase(&state), Phase::Running);
     start(&mut state, 5);
     state.apply(loss(5, Suspected));
@@ -187,7 +187,7 @@
     lose(&mut state, &[Verdict::Suspected, Verdict::Proven]);
     let bytes = state.encode().unwrap();
     assert_eq!(State::decode(&bytes).as_ref(), Ok(&state));
-    assert_eq!(suspicion(&state).map(|suspicion| suspicion.proven), Some(1));
+    assert_eq!(suspicion(&state).map(|suspicion| suspicion.conclusive), Some(1));
 }
 
 /// A lost worker as versions wrote it that kept nothing of losses.
@@ -217,11 +217,11 @@
     let wanted = Suspicion {
         losses: 4,
         likely: 2,
-        proven: 1,
+        conclusive: 1,
         suspect: true,
-        lived_ms: 7,
+        survived_ms: 7,
         agents,
-        begun: 0,
+        failed_starts: 0,
         probability: None,
     };
     assert_eq!(suspicion, wanted);
@@ -317,7 +317,7 @@
 
 #[test]
 fn operators_are_told_of_each_loss_of_what_had_just_begun() {
-    let told = |verdict, lived_ms| Blame::new(run(1), verdict, lived_ms).is_news();
+    let told = |verdict, lived_ms| Blame::new(run(1), verdict, lived_ms).is_reportable();
     assert!(told(Verdict::Beside, 99) && told(Verdict::Suspected, 5_000));
     assert!(!told(Verdict::Beside, 100));
 }
--- a/crates/pond-job/tests/world/mod.rs
+++ b/crates/pond-job/tests/world/mod.rs
@@ -261,7 +261,7 @@
         for task in blame.iter().map(|blame| blame.run.task) {
             let job = self.state.job(task.job).filter(|job| job.phase == Phase::Failed);
             let suspicion = job.and_then(|job| job.task(task)?.suspicion.as_ref());
-            if open.contains(&task.job) && suspicion.is_some_and(|lost| lost.convicts()) {
+            if open.contains(&task.job) && suspicion.is_some_and(|lost| lost.is_culprit()) {
                 self.watch.given_up.insert(task, self.now);
             }
         }
--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -132,14 +132,14 @@
     /// Logs which tasks may have taken down a worker, with all that is then held against each, and which are given
     /// up for it.
     fn log_blame(&self, worker: &str, blame: &[Blame]) {
-        for blame in blame.iter().filter(|blame| blame.is_news()) {
+        for blame in blame.iter().filter(|blame| blame.is_reportable()) {
             let Some(held) = self.state.suspicion_with(worker, blame) else { continue };
             let (run, verdict) = (blame.run.to_string(), format!("{:?}", blame.verdict));
             event!(self.log, TASK_SUSPECTED, "run" => run.clone(), "worker" => worker.to_owned(),
-                "verdict" => verdict, "lived_ms" => blame.lived_ms, "losses" => held.losses,
-                "likely" => held.likely, "proven" => held.proven, "begun" => held.begun,
+                "verdict" => verdict, "lived_ms" => blame.survived_ms, "losses" => held.losses,
+                "likely" => held.likely, "proven" => held.conclusive, "begun" => held.failed_starts,
                 "probability" => format!("{:.4}", held.probability.unwrap_or(0.0)));
-            if held.convicts() {
+            if held.is_culprit() {
                 self.metrics.count("tasks_given_up", 1);
                 event!(self.log, TASK_GIVEN_UP, "run" => run, "worker" => worker.to_owned());
             }
