--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -91,13 +91,13 @@
         prefix: prefix.to_owned(),
         pool: "vms".to_owned(),
         priority,
-        attempts: 2,
+        max_attempts: 2,
         stretch_permille: 1500,
         target_ms: 250,
         timeout_ms: 3000,
         advice: None,
     };
-    let pool = Pool { name: "vms".to_owned(), guards: true, spare: false };
+    let pool = Pool { name: "vms".to_owned(), admission_check: true, powered_off: false };
     let queues = vec![queue("serve", SERVE, 0), queue("fill", FILL, 2)];
     Configuration { version: 1, queues, pools: vec![pool], ..Configuration::default() }
 }
--- a/crates/pond-job/src/change.rs
+++ b/crates/pond-job/src/change.rs
@@ -49,9 +49,11 @@
         /// The life of the worker.
         worker: String,
         /// What is known to have run there, with its newest known saves.
-        saves: Vec<(RunName, String)>,
+        #[serde(rename = "saves")]
+        checkpoints: Vec<(RunName, String)>,
         /// Whether the worker will not come back under this name.
-        over: bool,
+        #[serde(rename = "over")]
+        ended: bool,
         /// How the loss counts against what ran there. (Entries of earlier versions have none.)
         #[serde(default)]
         blame: Vec<Blame>,
@@ -98,7 +100,8 @@
     /// How it ended.
     pub how: How,
     /// The newest save of its progress.
-    pub save: String,
+    #[serde(rename = "save")]
+    pub checkpoint: String,
 }
 
 /// What came of a change.
--- a/crates/pond-job/src/configuration.rs
+++ b/crates/pond-job/src/configuration.rs
@@ -34,7 +34,8 @@
     /// Zero goes first.
     pub priority: u32,
     /// A job has failed when one of its tasks has failed this often.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// A job should be done within this many thousandths of its longest chain of tasks.
     pub stretch_permille: u64,
     /// Time that a job may take on top of that, in milliseconds.
@@ -51,7 +52,8 @@
     /// What a question takes.
     pub decide_ms: u64,
     /// What each worker named in it takes on top.
-    pub each_ms: u64,
+    #[serde(rename = "each_ms")]
+    pub per_worker_ms: u64,
     /// How long a ticket is good for.
     pub valid_ms: u64,
 }
@@ -62,24 +64,28 @@
     /// Its name.
     pub name: String,
     /// Whether its workers refuse what does not fit. If not, only the scheduler protects them.
-    pub guards: bool,
+    #[serde(rename = "guards")]
+    pub admission_check: bool,
     /// Whether its VMs are switched off.
-    pub spare: bool,
+    #[serde(rename = "spare")]
+    pub powered_off: bool,
 }
 
 /// Limits of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Largest body of a request, in bytes.
-    pub body_bytes: usize,
+    #[serde(rename = "body_bytes")]
+    pub max_body_bytes: usize,
     /// Time for the head of a request, in milliseconds.
-    pub head_ms: u64,
+    #[serde(rename = "head_ms")]
+    pub header_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         // Used until the first configuration is there, and where it says nothing.
-        Limits { body_bytes: 256 << 10, head_ms: 3_000 }
+        Limits { max_body_bytes: 256 << 10, header_timeout_ms: 3_000 }
     }
 }
 
@@ -96,7 +102,7 @@
     },
     /// Two queues cannot be told apart.
     #[snafu(display("queue {queue}: another queue has host {host} and prefix {prefix}"))]
-    SharedTarget {
+    DuplicateTarget {
         /// The queue.
         queue: String,
         /// The host of both.
@@ -106,7 +112,7 @@
     },
     /// A request would have no time at all.
     #[snafu(display("queue {queue}: the time limit is zero; give at least one millisecond"))]
-    NoTime {
+    ZeroTimeout {
         /// The queue.
         queue: String,
     },
@@ -127,10 +133,10 @@
             }
             let (host, prefix) = (queue.host.clone(), queue.prefix.clone());
             if !targets.insert((host.clone(), prefix.clone())) {
-                return Err(Invalid::SharedTarget { queue: name, host, prefix });
+                return Err(Invalid::DuplicateTarget { queue: name, host, prefix });
             }
             if queue.timeout_ms == 0 {
-                return Err(Invalid::NoTime { queue: name });
+                return Err(Invalid::ZeroTimeout { queue: name });
             }
         }
         Ok(())
--- a/crates/pond-job/src/job.rs
+++ b/crates/pond-job/src/job.rs
@@ -17,21 +17,25 @@
     /// The priority of its queue when it was handed in; zero goes first.
     pub priority: u32,
     /// How often a task may fail.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// How the adviser decides which workers may run it; none if all may.
     pub advice: Option<Advice>,
     /// What it consists of; empty once it has ended.
     pub spec: Spec,
     /// When it was handed in, on the operators' clock of the leader of that time.
-    pub at: Millis,
+    #[serde(rename = "at")]
+    pub submitted_at: Millis,
     /// When it should be done, on the same clock.
-    pub aim: Millis,
+    #[serde(rename = "aim")]
+    pub target_at: Millis,
     /// What is known of it.
     pub phase: Phase,
     /// The tasks by time and step; empty once it has ended and nothing runs.
     pub times: Vec<Vec<Vec<Task>>>,
     /// Tasks that are not done.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub unfinished: usize,
     /// Tasks that are placed on a worker.
     pub placed: usize,
     /// A run of it is known to have begun that is over since. (Snapshots of earlier versions do not say.)
@@ -47,11 +51,13 @@
     /// The life of the worker that has the newest run, until its end is settled.
     pub worker: Option<String>,
     /// How many runs have failed.
-    pub failed: u32,
+    #[serde(rename = "failed")]
+    pub failures: u32,
     /// Whether it is done.
     pub done: bool,
     /// The newest save of its progress.
-    pub save: String,
+    #[serde(rename = "save")]
+    pub checkpoint: String,
     /// The workers that were lost under it; none if none were, or since it was cleared. (Snapshots of
     /// earlier versions have none.)
     #[serde(default)]
@@ -60,12 +66,12 @@
 
 impl Task {
     /// Whether it still needs a worker.
-    pub fn waits(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         !self.done && self.worker.is_none()
     }
 
     /// Whether it may have taken down workers.
-    pub fn suspect(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         self.suspicion.as_ref().is_some_and(|suspicion| suspicion.suspect)
     }
 }
@@ -101,7 +107,7 @@
     }
 
     /// Whether a step's turn has come at a time of the job: all steps before it are done.
-    pub fn turn(&self, time: usize, step: usize) -> bool {
+    pub fn is_step_ready(&self, time: usize, step: usize) -> bool {
         let (Some(steps), Some(spec)) = (self.times.get(time), self.spec.steps.get(step)) else {
             return false;
         };
@@ -119,7 +125,7 @@
                 let since_first = repeat.every_ms.saturating_mul(time as u64);
                 Millis(repeat.first_ms.saturating_add(since_first))
             }
-            None => self.at,
+            None => self.submitted_at,
         }
     }
 }
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -140,7 +140,7 @@
         self.told.retain(|life, _| state.placed(life).next().is_some());
     }
 
-    /// Proposes that nothing of a life runs any more, with the newest known saves of what ran there.
+    /// Proposes that nothing of a life runs any more, with the newest known checkpoints of what ran there.
     fn propose_lost(
         &mut self,
         state: &State,
@@ -168,7 +168,7 @@
             .cloned()
             .collect();
         let began = runs.iter().filter(|last| last.began);
-        let saves = began.map(|last| (last.run, last.save.clone())).collect();
+        let checkpoints = began.map(|last| (last.run, last.save.clone())).collect();
         let agent = self.agent_of(state, life);
         let blame = match tried {
             Some(tried) if tried.why == why => tried.blame.clone(),
@@ -179,8 +179,13 @@
         let runs = runs.into_iter().map(|last| (last.run, last.lived_ms)).collect();
         let decision = Decision::WorkerLost { worker: worker.clone(), why, silent_ms, runs };
         self.outputs.push(Output::Decided(decision));
-        let over = why != Lost::Silent;
-        self.outputs.push(Output::Propose(Change::WorkerLost { worker, saves, over, blame }));
+        let ended = why != Lost::Silent;
+        self.outputs.push(Output::Propose(Change::WorkerLost {
+            worker,
+            checkpoints,
+            ended,
+            blame,
+        }));
     }
 
     /// A loss is in the log: the jobs of its runs have stood still since the worker was last known to live, unless
@@ -309,5 +314,5 @@
 }
 
 fn end_from(row: &EndRow) -> End {
-    End { number: row.number, run: row.run, how: row.how(), save: row.save.clone() }
+    End { number: row.number, run: row.run, how: row.how(), checkpoint: row.save.clone() }
 }
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -197,7 +197,7 @@
     ticket: &str,
 ) -> Option<StartOrder> {
     let job = state.job(run.task.job)?;
-    let save = job.task(run.task)?.save.clone();
+    let save = job.task(run.task)?.checkpoint.clone();
     let text = job.spec.text.clone();
     Some(StartOrder { run, text, save, watch: watch?, ticket: ticket.to_owned() })
 }
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -201,8 +201,8 @@
     ) -> Vec<Obstacle> {
         let mut overlooked: Vec<Obstacle> =
             boldness.takes_kept.then_some(Obstacle::Kept).into_iter().collect();
-        let failed = group.tasks().get(task.index as usize).is_some_and(|task| task.failed > 0);
-        let spared = (failed || group.job.attempts < 2) && !boldness.desperate;
+        let failed = group.tasks().get(task.index as usize).is_some_and(|task| task.failures > 0);
+        let spared = (failed || group.job.max_attempts < 2) && !boldness.desperate;
         let sound = |there: &Candidate| {
             there.admits(&group.job.pool, task, group.step, &[Obstacle::Kept])
                 && !self.lacks_ticket(now, group, task, &there.life)
@@ -231,7 +231,7 @@
         candidates: &[Candidate],
     ) -> Option<usize> {
         let overlooked = self.overlooked(now, group, task, boldness, candidates);
-        let suspect = group.tasks().get(task.index as usize).is_some_and(Task::suspect);
+        let suspect = group.tasks().get(task.index as usize).is_some_and(Task::is_suspect);
         let open = |candidate: &Candidate| {
             let lacking = self.lacks_ticket(now, group, task, &candidate.life);
             let admitted = candidate.admits(&group.job.pool, task, group.step, &overlooked);
@@ -261,17 +261,17 @@
 /// one that has not failed before, as a failure would say little of it.
 fn tried_tasks(group: &Ready<'_>) -> Vec<(usize, u32)> {
     let tasks = group.tasks();
-    let waiting = || tasks.iter().enumerate().filter(|(_, task)| task.waits());
+    let waiting = || tasks.iter().enumerate().filter(|(_, task)| task.is_pending());
     let next = |(index, task): (usize, &Task)| (index, task.run + 1);
     if group.step.gang {
-        let whole = tasks.iter().all(Task::waits);
+        let whole = tasks.iter().all(Task::is_pending);
         let number = tasks.iter().map(|task| task.run).max().unwrap_or(0) + 1;
         return (0..tasks.len()).filter(|_| whole).map(|index| (index, number)).collect();
     }
     if group.step.lasting {
         return waiting().map(next).collect();
     }
-    waiting().min_by_key(|(_, task)| task.failed).map(next).into_iter().collect()
+    waiting().min_by_key(|(_, task)| task.failures).map(next).into_iter().collect()
 }
 
 /// Whether a run is the newest of its task and has a worker.
--- a/crates/pond-job/src/lead/plan.rs
+++ b/crates/pond-job/src/lead/plan.rs
@@ -122,7 +122,7 @@
         let mut ranking = Ranking::new(self, now, group, candidates);
         for (index, task) in group.tasks().iter().enumerate() {
             let apart = self.begins_apart(now, group, index);
-            if !task.waits() || apart || starts.len() >= STARTS {
+            if !task.is_pending() || apart || starts.len() >= STARTS {
                 continue;
             }
             let name = group.task(index);
@@ -149,7 +149,7 @@
         starts: &mut Vec<Start>,
     ) -> Option<Obstacles> {
         let tasks = group.tasks();
-        if !tasks.iter().all(Task::waits) {
+        if !tasks.iter().all(Task::is_pending) {
             return None;
         }
         let number = tasks.iter().map(|task| task.run).max().unwrap_or(0) + 1;
@@ -219,7 +219,7 @@
     if !group.step.lasting {
         return;
     }
-    let waiting = |(_, task): &(usize, &Task)| task.waits();
+    let waiting = |(_, task): &(usize, &Task)| task.is_pending();
     for (index, _) in group.tasks().iter().enumerate().skip(first).filter(waiting) {
         let name = group.task(index);
         let could =
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -97,7 +97,7 @@
                 continue;
             }
             for (step_index, (step, tasks)) in job.spec.steps.iter().zip(steps).enumerate() {
-                if tasks.iter().any(Task::waits) && job.turn(time, step_index) {
+                if tasks.iter().any(Task::is_pending) && job.is_step_ready(time, step_index) {
                     let urgency = urgency(state, durations, job, time, wall);
                     let served = harm.newly_served(now, step);
                     let image = harm.image(&step.image);
@@ -117,7 +117,7 @@
 fn pack(ready: &mut [Ready<'_>]) {
     let mut asked: BTreeMap<String, u64> = BTreeMap::new();
     for group in ready.iter().filter(|group| group.served.is_some()) {
-        let waiting = group.tasks().iter().filter(|task| task.waits()).count() as u64;
+        let waiting = group.tasks().iter().filter(|task| task.is_pending()).count() as u64;
         let milli_cpu = u64::from(group.step.milli_cpu);
         *asked.entry(group.step.image.clone()).or_default() += waiting * milli_cpu;
     }
@@ -138,7 +138,7 @@
     let mut queues = state.configuration().into_iter().flat_map(|held| &held.queues);
     let queue = queues.find(|queue| queue.name == job.queue);
     let chain_ms = longest_chain(&job.spec.steps, |_, step| takes_ms(step));
-    let span = queue.map_or(job.aim.since(job.at), |queue| {
+    let span = queue.map_or(job.target_at.since(job.submitted_at), |queue| {
         chain_ms.saturating_mul(queue.stretch_permille) / 1000 + queue.target_ms
     });
     let aim = due + span;
--- a/crates/pond-job/src/lead/suspect.rs
+++ b/crates/pond-job/src/lead/suspect.rs
@@ -214,7 +214,7 @@
 
 /// Whether a task is a suspect that needs a worker.
 fn waits(task: &Task) -> bool {
-    task.waits() && task.suspect()
+    task.is_pending() && task.is_suspect()
 }
 
 /// How many more workers of each pool may be given to suspects.
--- a/crates/pond-job/src/lead/wait.rs
+++ b/crates/pond-job/src/lead/wait.rs
@@ -38,7 +38,7 @@
     /// was accepted, whoever led; of others only the former leader knew.
     fn new(now: Millis, wall: Millis, job: &Job) -> Wait {
         let begun = job.phase != Phase::Queued || job.spec.repeat.is_some();
-        let waited = if begun { 0 } else { wall.since(job.at).min(INHERITED_MS) };
+        let waited = if begun { 0 } else { wall.since(job.submitted_at).min(INHERITED_MS) };
         let since = Millis(now.0.saturating_sub(waited));
         Wait { since, still: Some(since), logged: now }
     }
@@ -103,7 +103,7 @@
     }
 
     fn log_wait(&mut self, now: Millis, group: &Ready<'_>, wait: Wait, obstacles: &Obstacles) {
-        let waiting = group.tasks().iter().filter(|task| task.waits()).count();
+        let waiting = group.tasks().iter().filter(|task| task.is_pending()).count();
         let decision = Decision::Waiting {
             job: group.id,
             step: group.step_index,
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -160,13 +160,13 @@
             Change::Configure(configuration) => self.configure(configuration),
             Change::Submit { host, path, id, spec, at } => self.submit(&host, &path, id, spec, at),
             Change::Cancel { host, path, id } => self.cancel(&host, &path, id),
-            Change::Start(starts) => self.start(starts),
-            Change::Ended { worker, ends, unstarted } => self.end(&worker, ends, &unstarted),
-            Change::WorkerLost { worker, saves, over, blame } => {
-                self.blame(&worker, &blame);
-                self.lose(&worker, saves, over)
+            Change::Start(starts) => self.place_runs(starts),
+            Change::Ended { worker, ends, unstarted } => self.apply_ends(&worker, ends, &unstarted),
+            Change::WorkerLost { worker, checkpoints, ended, blame } => {
+                self.record_losses(&worker, &blame);
+                self.lose_worker(&worker, checkpoints, ended)
             }
-            Change::Cleared(runs) => self.clear(&runs),
+            Change::Cleared(runs) => self.clear_suspicions(&runs),
             Change::Evacuate { data_centre, at } => self.evacuate(data_centre, at),
             Change::Readmit { data_centre } => self.readmit(&data_centre),
             Change::Forget(ids) => self.forget(&ids),
@@ -203,20 +203,20 @@
             queue: queue.name.clone(),
             pool: queue.pool.clone(),
             priority: queue.priority,
-            attempts: queue.attempts.max(1),
+            max_attempts: queue.max_attempts.max(1),
             advice: queue.advice,
             spec,
-            at,
-            aim: at + span,
+            submitted_at: at,
+            target_at: at + span,
             phase: Phase::Queued,
             times: vec![steps; times],
-            open,
+            unfinished: open,
             placed: 0,
             begun: false,
         };
         self.jobs.insert(id, job);
         self.active.insert(id);
-        self.settle_job(id);
+        self.update_phase(id);
         Reply::Accepted
     }
 
@@ -229,14 +229,14 @@
         if !job.phase.ended() {
             job.phase = Phase::Cancelled;
         }
-        self.settle_job(id);
+        self.update_phase(id);
         Reply::Accepted
     }
 
     /// Brings a job's phase up to date; the job and its phase if it has ended.
-    fn settle_job(&mut self, id: u64) -> Option<(u64, Phase)> {
+    fn update_phase(&mut self, id: u64) -> Option<(u64, Phase)> {
         let job = self.jobs.get_mut(&id)?;
-        if job.open == 0 && !job.phase.ended() {
+        if job.unfinished == 0 && !job.phase.ended() {
             job.phase = Phase::Completed;
         }
         if !job.phase.ended() {
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -10,15 +10,15 @@
 
 impl State {
     /// Places the runs whose tasks may start; the others are left out of the reply.
-    pub(super) fn start(&mut self, starts: Vec<Start>) -> Reply {
-        let accepted = starts.into_iter().filter_map(|start| self.start_one(start)).collect();
+    pub(super) fn place_runs(&mut self, starts: Vec<Start>) -> Reply {
+        let accepted = starts.into_iter().filter_map(|start| self.place_run(start)).collect();
         Reply::Started(accepted)
     }
 
-    fn start_one(&mut self, start: Start) -> Option<RunName> {
+    fn place_run(&mut self, start: Start) -> Option<RunName> {
         let name = start.run.task;
         let job = self.jobs.get_mut(&name.job).filter(|job| !job.phase.ended())?;
-        if !job.turn(name.time as usize, name.step as usize) {
+        if !job.is_step_ready(name.time as usize, name.step as usize) {
             return None;
         }
         let task = job.task_mut(name)?;
@@ -36,26 +36,31 @@
     }
 
     /// Takes in ends that were not settled before, and runs that never started.
-    pub(super) fn end(&mut self, worker: &str, ends: Vec<End>, unstarted: &[RunName]) -> Reply {
+    pub(super) fn apply_ends(
+        &mut self,
+        worker: &str,
+        ends: Vec<End>,
+        unstarted: &[RunName],
+    ) -> Reply {
         let mut touched = BTreeSet::new();
         for end in ends {
             if end.number <= self.last_committed_end(worker) {
                 continue;
             }
             self.committed.insert(worker.to_owned(), end.number);
-            self.take_away(worker, end.run);
-            self.end_one(end.run, end.how, end.save);
+            self.release_run(worker, end.run);
+            self.apply_end(end.run, end.how, end.checkpoint);
             touched.insert(end.run.task.job);
         }
         for run in unstarted {
-            self.take_away(worker, *run);
+            self.release_run(worker, *run);
             touched.insert(run.task.job);
         }
-        Reply::Ended(touched.into_iter().filter_map(|id| self.settle_job(id)).collect())
+        Reply::Ended(touched.into_iter().filter_map(|id| self.update_phase(id)).collect())
     }
 
     /// Takes a run from its worker; the task can be placed again.
-    fn take_away(&mut self, worker: &str, run: RunName) {
+    fn release_run(&mut self, worker: &str, run: RunName) {
         let Some(runs) = self.placed.get_mut(worker) else { return };
         if !runs.remove(&run) {
             return;
@@ -73,15 +78,15 @@
         }
     }
 
-    fn end_one(&mut self, run: RunName, how: How, save: String) {
+    fn apply_end(&mut self, run: RunName, how: How, checkpoint: String) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         job.begun = true;
-        let attempts = job.attempts;
+        let max_attempts = job.max_attempts;
         let Some(step) = job.step(run.task) else { return };
         let (lasting, gang) = (step.lasting, step.gang);
         let Some(task) = job.task_mut(run.task) else { return };
-        if !save.is_empty() {
-            task.save = save;
+        if !checkpoint.is_empty() {
+            task.checkpoint = checkpoint;
         }
         let newest = task.run == run.number;
         if how == How::Done && newest {
@@ -95,10 +100,10 @@
             held.is_culprit()
         });
         match how {
-            How::Done if !lasting => self.done(run.task, gang),
+            How::Done if !lasting => self.complete_task(run.task, gang),
             How::Failed => {
-                task.failed += u32::from(!lasting);
-                let used_up = !lasting && task.failed >= attempts;
+                task.failures += u32::from(!lasting);
+                let used_up = !lasting && task.failures >= max_attempts;
                 if (used_up || given_up) && !job.phase.ended() {
                     job.phase = Phase::Failed;
                 }
@@ -108,7 +113,7 @@
     }
 
     /// One end of a gang stands for all of it.
-    fn done(&mut self, name: TaskName, gang: bool) {
+    fn complete_task(&mut self, name: TaskName, gang: bool) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let mut newly = 0;
         let steps = job.times.get_mut(name.time as usize);
@@ -120,7 +125,7 @@
                 newly += 1;
             }
         }
-        job.open -= newly;
+        job.unfinished -= newly;
     }
 
     /// What is held against the task of a run with the loss of a life; none if the loss does not count, as the
@@ -138,7 +143,7 @@
     /// Counts the loss of a life against tasks whose runs were lost with it. A proposal that is applied
     /// twice counts once, as the runs have no place there any more. A task that takes down its workers would
     /// do so for ever: its job has failed, whatever attempts it has left.
-    pub(super) fn blame(&mut self, worker: &str, blame: &[Blame]) {
+    pub(super) fn record_losses(&mut self, worker: &str, blame: &[Blame]) {
         for blame in blame {
             let Some(held) = self.suspicion_with(worker, blame) else { continue };
             let Some(job) = self.jobs.get_mut(&blame.run.task.job) else { continue };
@@ -152,7 +157,7 @@
     }
 
     /// Clears the tasks of which these are the newest runs.
-    pub(super) fn clear(&mut self, runs: &[RunName]) -> Reply {
+    pub(super) fn clear_suspicions(&mut self, runs: &[RunName]) -> Reply {
         for run in runs {
             let job = self.jobs.get_mut(&run.task.job);
             let task = job.and_then(|job| job.task_mut(run.task));
@@ -164,27 +169,27 @@
     }
 
     /// Takes all runs from a life of a worker on which nothing runs any more.
-    pub(super) fn lose(
+    pub(super) fn lose_worker(
         &mut self,
         worker: &str,
-        saves: Vec<(RunName, String)>,
-        over: bool,
+        checkpoints: Vec<(RunName, String)>,
+        ended: bool,
     ) -> Reply {
-        for (run, save) in saves {
+        for (run, checkpoint) in checkpoints {
             let Some(job) = self.jobs.get_mut(&run.task.job) else { continue };
             job.begun = true;
             let task = job.task_mut(run.task).filter(|task| task.run == run.number);
-            if let Some(task) = task.filter(|_| !save.is_empty()) {
-                task.save = save;
+            if let Some(task) = task.filter(|_| !checkpoint.is_empty()) {
+                task.checkpoint = checkpoint;
             }
         }
         let runs: Vec<RunName> = self.placed(worker).collect();
         for run in &runs {
-            self.take_away(worker, *run);
+            self.release_run(worker, *run);
         }
-        if over {
+        if ended {
             self.committed.remove(worker);
         }
-        Reply::Ended(runs.iter().filter_map(|run| self.settle_job(run.task.job)).collect())
+        Reply::Ended(runs.iter().filter_map(|run| self.update_phase(run.task.job)).collect())
     }
 }
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -249,7 +249,7 @@
     bench.now = bench.now + 6_300;
     let outputs = bench.leader.tick(&bench.state, bench.now, bench.now, true);
     let loss = outputs.into_iter().find_map(|output| match output {
-        Output::Propose(change @ Change::WorkerLost { over: false, .. }) => Some(change),
+        Output::Propose(change @ Change::WorkerLost { ended: false, .. }) => Some(change),
         _ => None,
     });
     list_late(&mut bench, run);
--- a/crates/pond-job/tests/crashes.rs
+++ b/crates/pond-job/tests/crashes.rs
@@ -70,7 +70,7 @@
     pool.pass(5_000);
     let suspect = |id, index| {
         let job = pool.bench.state.job(id).expect("a job");
-        job.task(task(id, 0, index)).is_some_and(Task::suspect)
+        job.task(task(id, 0, index)).is_some_and(Task::is_suspect)
     };
     assert!(pool.crashes > 0 && suspect(2, 0));
     assert!(!suspect(1, 0) && !suspect(1, 1));
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -37,13 +37,13 @@
 }
 
 fn end(state: &mut State, worker: &str, number: u64, run: RunName, how: How) {
-    let ends = vec![End { number, run, how, save: String::new() }];
+    let ends = vec![End { number, run, how, checkpoint: String::new() }];
     state.apply(Change::Ended { worker: worker.to_owned(), ends, unstarted: vec![] });
 }
 
 fn lose(state: &mut State, worker: &str) {
     let worker = worker.to_owned();
-    state.apply(Change::WorkerLost { worker, saves: vec![], over: false, blame: vec![] });
+    state.apply(Change::WorkerLost { worker, checkpoints: vec![], ended: false, blame: vec![] });
 }
 
 fn phase(state: &State) -> Phase {
@@ -80,7 +80,7 @@
     start(&mut state, run(0, 0, 1), "a");
     end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
     end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
-    assert_eq!(state.job(1).unwrap().task(task(1, 0, 0)).unwrap().failed, 1);
+    assert_eq!(state.job(1).unwrap().task(task(1, 0, 0)).unwrap().failures, 1);
     assert_eq!(phase(&state), Phase::Running);
 }
 
@@ -272,7 +272,7 @@
     let mut state = state(vec![step(2, 100)]);
     start(&mut state, run(0, 0, 1), "a");
     start(&mut state, run(0, 1, 1), "a");
-    let end = End { number: 1, run: run(0, 0, 1), how: How::Failed, save: String::new() };
+    let end = End { number: 1, run: run(0, 0, 1), how: How::Failed, checkpoint: String::new() };
     let (ends, unstarted) = ([end], [run(0, 1, 1)]);
     let news = |state: &State| {
         let (ends, unstarted) = state.uncommitted("a", &ends, &unstarted);
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -29,16 +29,16 @@
         prefix: prefix.to_owned(),
         pool: "vms".to_owned(),
         priority,
-        attempts: 2,
+        max_attempts: 2,
         stretch_permille: 1500,
         target_ms: 250,
         timeout_ms: 3000,
         advice: None,
     };
-    let advice = Some(Advice { decide_ms: 50, each_ms: 10, valid_ms: 4_000 });
+    let advice = Some(Advice { decide_ms: 50, per_worker_ms: 10, valid_ms: 4_000 });
     let advised = Queue { advice, ..queue("advised", ADVISED, 0) };
     let queues = vec![queue("quick", PATH, 0), queue("batch", BATCH, 2), advised];
-    let pool = Pool { name: "vms".to_owned(), guards: true, spare: false };
+    let pool = Pool { name: "vms".to_owned(), admission_check: true, powered_off: false };
     Configuration { version, queues, pools: vec![pool], ..Configuration::default() }
 }
 
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -34,7 +34,7 @@
 fn loss_after(number: u32, verdict: Verdict, lived_ms: Span) -> Change {
     let blame = vec![Blame::new(run(number), verdict, lived_ms)];
     let worker = format!("life-{number}");
-    Change::WorkerLost { worker, saves: vec![], over: true, blame }
+    Change::WorkerLost { worker, checkpoints: vec![], ended: true, blame }
 }
 
 /// The task is started and its worker is lost, for each verdict.
@@ -95,7 +95,7 @@
             let blame = Blame::new(run(number), Verdict::Suspected, 0);
             let blame = vec![blame.with_probability(*probability)];
             let worker = format!("life-{number}");
-            state.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
+            state.apply(Change::WorkerLost { worker, checkpoints: vec![], ended: true, blame });
         }
         phase(&state)
     };
@@ -116,7 +116,7 @@
             let blame = Blame::new(run(number), Verdict::Suspected, 3_000);
             let blame = vec![blame.with_probability(probability)];
             let worker = format!("life-{number}");
-            state.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
+            state.apply(Change::WorkerLost { worker, checkpoints: vec![], ended: true, blame });
         }
         phase(&state)
     };
@@ -143,7 +143,7 @@
 }
 
 fn end(state: &mut State, number: u32, how: How) {
-    let end = End { number: 1, run: run(number), how, save: String::new() };
+    let end = End { number: 1, run: run(number), how, checkpoint: String::new() };
     let worker = format!("life-{number}");
     state.apply(Change::Ended { worker, ends: vec![end], unstarted: vec![] });
 }
@@ -201,13 +201,13 @@
     let former = (3u32, Some("a"), 1u32, false, "save");
     let bytes = rmp_serde::to_vec(&former).unwrap();
     let task: Task = rmp_serde::from_slice(&bytes).unwrap();
-    assert_eq!((task.run, task.failed, task.save.as_str()), (3, 1, "save"));
+    assert_eq!((task.run, task.failures, task.checkpoint.as_str()), (3, 1, "save"));
     assert_eq!(task.suspicion, None);
 
     let worker = "a".to_owned();
     let former = FormerChange::WorkerLost { worker: worker.clone(), saves: vec![], over: true };
     let bytes = rmp_serde::to_vec(&former).unwrap();
-    let lost = Change::WorkerLost { worker, saves: vec![], over: true, blame: vec![] };
+    let lost = Change::WorkerLost { worker, checkpoints: vec![], ended: true, blame: vec![] };
     assert_eq!(Change::decode(&bytes), Ok(lost));
 
     let agents = vec!["a".to_owned()];
@@ -355,7 +355,7 @@
     let verdicts = verdicts(&bench);
     assert!(!verdicts.is_empty() && verdicts.iter().all(|verdict| *verdict == Verdict::Beside));
     let job = bench.state.job(2).expect("a job");
-    assert!(!job.times[0][0].iter().any(Task::suspect));
+    assert!(!job.times[0][0].iter().any(Task::is_suspect));
 }
 
 /// The jobs of one task each that begin on a single worker within some seconds, where these were lost so often
@@ -369,7 +369,7 @@
             let (worker, agent) = (format!("former-{id}-{number}"), "agent".to_owned());
             bench.apply(Change::Start(vec![Start { run, worker: worker.clone(), agent }]));
             let blame = vec![Blame::new(run, *verdict, 0)];
-            bench.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
+            bench.apply(Change::WorkerLost { worker, checkpoints: vec![], ended: true, blame });
         }
     }
     bench.pass(2, &[]);
--- a/crates/pond-job/tests/world/mod.rs
+++ b/crates/pond-job/tests/world/mod.rs
@@ -340,7 +340,8 @@
                 }
                 Output::Advise(question) => {
                     let named = question.workers.len() as u64;
-                    let takes_ms = question.advice.decide_ms + question.advice.each_ms * named;
+                    let takes_ms =
+                        question.advice.decide_ms + question.advice.per_worker_ms * named;
                     self.questions.push((self.now + takes_ms, question));
                 }
                 Output::Decided(decision) => self.diary.push((self.now, decision)),
--- a/crates/pond-job/tests/world/watch.rs
+++ b/crates/pond-job/tests/world/watch.rs
@@ -175,7 +175,10 @@
         for (id, job) in self.state.active().filter(|(_, job)| !job.phase.ended()) {
             for (step_index, step) in job.spec.steps.iter().enumerate() {
                 let idle = !lasting_only && !busy.contains(&id);
-                if !(idle || step.lasting) || !job.turn(0, step_index) || !self.fits(id, step) {
+                if !(idle || step.lasting)
+                    || !job.is_step_ready(0, step_index)
+                    || !self.fits(id, step)
+                {
                     continue;
                 }
                 if self.hidden(id, job) {
@@ -204,11 +207,12 @@
         let startable = |step: usize| {
             let mut tasks = job.times[0][step].iter();
             match job.spec.steps[step].gang {
-                true => tasks.all(pond_job::Task::waits),
-                false => tasks.any(pond_job::Task::waits),
+                true => tasks.all(pond_job::Task::is_pending),
+                false => tasks.any(pond_job::Task::is_pending),
             }
         };
-        let waits = (0..job.spec.steps.len()).any(|step| job.turn(0, step) && startable(step));
+        let waits =
+            (0..job.spec.steps.len()).any(|step| job.is_step_ready(0, step) && startable(step));
         !waits
             && places.peek().is_some()
             && places.all(|(_, life)| down.iter().any(|name| life.starts_with(name)))
