--- a/crates/pond-job/src/lib.rs
+++ b/crates/pond-job/src/lib.rs
@@ -1,8 +1,7 @@
-//! Jobs of several steps: the replicated state and the decisions of the leader, as pure cores.
+//! Scheduling of multi-step jobs: the replicated state and the leader's decisions, both free of I/O.
 //!
-//! [`State`] applies [`Change`]s, the same on every replica. [`Leader`] exists only where a replica
-//! leads; it is given the state, the time and the reports of agents, and hands out changes to
-//! propose and orders to send.
+//! [`State`] applies [`Change`]s identically on every replica. A [`Leader`] exists only on the replica that leads.
+//! From the state, the time and the agents' reports it produces changes to propose and orders to send.
 
 mod change;
 mod configuration;
--- a/crates/pond-job/src/state/evacuation.rs
+++ b/crates/pond-job/src/state/evacuation.rs
@@ -1,7 +1,7 @@
-//! Data centres in which nothing is started, at the word of an operator.
+//! Evacuated data centres: an operator has ordered that nothing is started in them.
 //!
-//! Orders have no number of their own, so the log's order decides: the newest one that is in it is in force,
-//! and one that repeats what is in force changes nothing.
+//! Orders carry no number of their own, so the order of the log decides: the newest committed order is in force, and
+//! an order that repeats the current state has no effect.
 
 use pond_proto::Millis;
 
@@ -9,12 +9,12 @@
 use crate::change::Reply;
 
 impl State {
-    /// Whether nothing is started in a data centre.
+    /// Whether a data centre is evacuated, so that nothing is started in it.
     pub fn is_evacuated(&self, data_centre: &str) -> bool {
         self.evacuated.contains_key(data_centre)
     }
 
-    /// The data centres in which nothing is started, and since when, on the operators' clock.
+    /// Returns the evacuated data centres, each with the start of its evacuation on the operators' clock.
     pub fn evacuations(&self) -> impl Iterator<Item = (&str, Millis)> + '_ {
         self.evacuated.iter().map(|(data_centre, at)| (data_centre.as_str(), *at))
     }
--- a/crates/pond-job/src/suspicion.rs
+++ b/crates/pond-job/src/suspicion.rs
@@ -1,67 +1,68 @@
-//! What is remembered of the workers that were lost under a task, for as long as the task lives.
+//! Per-task record of the workers that were lost while running the task.
 //!
-//! A worker that crashes takes all its runs along and tells nothing, so whoever ran there may be the cause.
-//! A task is given up once its losses leave next to no other cause, and after five starts in which it never lived
-//! on, whatever is known of them; until then it is a suspect, which is started apart from other work. A run
-//! that lives on or is done clears its task.
+//! A worker that crashes takes all its runs with it and reports nothing, so any of its runs may be the cause. A
+//! task is given up once its losses leave almost no other cause, and in any case after five starts of which none
+//! survived. Until then it is a suspect, which is started in isolation from other work. A run that survives or
+//! completes clears its task.
 
 use pond_proto::Span;
 use pond_proto::job::RunName;
 use serde::{Deserialize, Serialize};
 
-/// A run with which its worker has lived on for this long did not take it down at its start, in
-/// milliseconds. The shorter it is, the fewer begin within it beside a culprit, and the sooner a suspect frees its
-/// worker.
+/// A run that its worker has survived for this long did not crash the worker at its start, in milliseconds. A
+/// shorter window means that fewer other runs start within it next to a culprit, and that a suspect frees its
+/// worker sooner.
 pub const STARTUP_WINDOW_MS: Span = 100;
 
-/// A loss says nothing about a run with which the worker has lived on for this long, in milliseconds. So
-/// tasks that take down their workers later than this are not bounded: each such loss comes at most
-/// every ten seconds.
+/// A loss does not count against a run that the worker had survived for this long, in milliseconds. Losses caused
+/// later than this are therefore not bounded, but a task causes at most one of them every ten seconds.
 pub const BLAME_WINDOW_MS: Span = 10_000;
 
-/// A suspect keeps a worker from other work for this long at most, in milliseconds. What takes its worker down
-/// later is found out all the same, but by more losses.
+/// Longest time for which a suspect keeps other work off its worker, in milliseconds. A culprit that crashes its
+/// worker later is still found, but after more losses.
 const MAX_ISOLATION_MS: Span = 2_500;
 
-/// So many losses at which nothing else can have been the cause, and a task is given up. A single one can
-/// be chance: whatever ends workers by itself may strike one while a suspect has just begun there.
+/// Number of conclusive losses after which a task is given up. One of them can be chance: a worker may go down for
+/// another reason just after a suspect has started on it.
 const CONCLUSIVE_LOSSES: u32 = 2;
 
-/// A task is given up for two proofs only with so many losses in all.
+/// Total number of losses below which conclusive losses alone do not give up a task.
 const MIN_LOSSES_IF_CONCLUSIVE: u32 = 3;
 
-/// A task is given up for no fewer losses, however likely it is.
+/// Total number of losses below which a task is not given up, however probable it is as their cause.
 const MIN_LOSSES: u32 = 2;
 
-/// A task is given up that takes down its workers this likely, from 0 to 1: a bystander that is given up, which costs
-/// its caller the whole job, is taken for as bad as fifty workers more that go down.
+/// Probability, from 0 to 1, that a task crashes its workers at which it is given up. Giving up an innocent task
+/// costs its caller the whole job and is weighted like the loss of fifty more workers.
 const GIVE_UP_PROBABILITY: f64 = 0.98;
 
-/// With so many losses a task is given up for one proof, or if it was likely the cause of most of them, unless their odds
-/// say otherwise; or if it had just begun at each: users bear five starts.
+/// Number of losses after which a task is given up if one of them was conclusive or if it was the likely cause of
+/// most of them, unless its probability speaks against it. Also the number of failed starts after which a task is
+/// given up in any case: users tolerate five starts.
 const MAX_LOSSES: u32 = 5;
 
-/// Where the losses tell how likely it takes down its workers, a task is given up by their number only if it is more
-/// likely than not, from 0 to 1.
+/// Where the probability that a task crashes its workers is known, from 0 to 1, the number of losses gives up the
+/// task only at or above this value.
 const EVEN_ODDS: f64 = 0.5;
 
-/// So many of these losses it must have caused as likely as anything else.
+/// Number of losses, out of [`MAX_LOSSES`], that the task must be as likely to have caused as anything else.
 const LIKELY_LOSSES: u32 = 3;
 
-/// A task that was beside so many losses is a suspect, though others had begun later each time.
+/// Number of losses after which a task that only ran on the lost workers becomes a suspect, even if other runs had
+/// started later each time.
 const COLOCATED_LOSSES: u32 = 2;
 
-/// Agents that are remembered of a task's losses, the newest.
+/// Number of agents that are remembered from the losses of a task; the newest are kept.
 const MAX_AGENTS: usize = 4;
 
 /// How a loss counts against a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It was there, but had worked for a while; others may be the cause.
+    /// The task was on the worker but had run for a while; other tasks may be the cause.
     Beside,
-    /// It may be the cause, as may others.
+    /// The task may be the cause, as may others.
     Suspected,
-    /// Nothing else can be the cause, unless the worker went down by itself.
+    /// Nothing else can be the cause, unless the worker went down on its own.
     Proven,
 }
 
@@ -70,35 +71,35 @@
 pub struct Blame {
     /// The run that was lost.
     pub run: RunName,
-    /// How it counts.
+    /// How the loss counts.
     pub verdict: Verdict,
-    /// For how long the worker was known to have lived on with the run, in milliseconds.
+    /// How long the worker is known to have survived the run, in milliseconds.
     #[serde(rename = "lived_ms")]
     pub survived_ms: Span,
-    /// How likely the task takes down its workers, with this loss, from 0 to 1; none if the loss tells nothing of
-    /// it. (Entries of earlier versions have none.)
+    /// Probability that the task crashes its workers, given this loss, from 0 to 1; `None` if the loss carries no
+    /// information about it. (Entries of earlier versions lack this field.)
     #[serde(default)]
     pub probability: Option<f64>,
 }
 
 impl Blame {
-    /// The loss of a run with which its worker had lived on for so long, in milliseconds.
+    /// The loss of a run that its worker is known to have survived for `survived_ms` milliseconds.
     pub fn new(run: RunName, verdict: Verdict, survived_ms: Span) -> Blame {
         Blame { run, verdict, survived_ms, probability: None }
     }
 
-    /// With this loss the task takes down its workers so likely, from 0 to 1.
+    /// Sets the probability that the task crashes its workers, given this loss, from 0 to 1.
     pub fn with_probability(mut self, probability: f64) -> Blame {
         self.probability = Some(probability);
         self
     }
 
-    /// Whether the run had just begun, or nothing is known of how long it had lived.
+    /// Whether the run had just begun, or it is unknown for how long it had run.
     pub fn just_begun(&self) -> bool {
         self.survived_ms < STARTUP_WINDOW_MS
     }
 
-    /// Whether operators should know of it: the run may have taken the worker down.
+    /// Whether the loss is reported to operators: the run may have taken the worker down.
     pub fn is_reportable(&self) -> bool {
         self.verdict != Verdict::Beside || self.just_begun()
     }
@@ -107,31 +108,32 @@
 /// The losses of a task since it was last cleared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// How many workers were lost under it.
+    /// Number of workers lost while they ran the task.
     pub losses: u32,
-    /// How many of them it may have caused, by how little it had lived.
+    /// Number of those losses that the task may have caused, judged by how short a time it had run.
     pub likely: u32,
-    /// At how many of them nothing else can have been the cause.
+    /// Number of those losses that nothing else can have caused.
     #[serde(rename = "proven")]
     pub conclusive: u32,
-    /// It may be the cause, and is started apart from other work.
+    /// Whether the task may be the cause and is started in isolation from other work.
     pub suspect: bool,
-    /// The longest that a worker was known to have lived on with it, in milliseconds.
+    /// Longest time that a worker is known to have survived the task, in milliseconds.
     #[serde(rename = "lived_ms")]
     pub survived_ms: Span,
-    /// The agents beside the workers that were lost, the newest last.
+    /// The agents of the lost workers, the newest last.
     pub agents: Vec<String>,
-    /// At how many of the losses it had just begun, or nothing is known of how long it had lived; and how many
-    /// runs failed after several losses. (Snapshots of earlier versions have none.)
+    /// Number of losses at which the task had just begun or had run for an unknown time, plus the number of runs
+    /// that failed after several losses. (Snapshots of earlier versions lack this field.)
     #[serde(default, rename = "begun")]
     pub failed_starts: u32,
-    /// How likely it takes down its workers, from 0 to 1; none before a loss told of it.
+    /// Probability that the task crashes its workers, from 0 to 1; `None` until a loss carries information about
+    /// it.
     #[serde(default)]
     pub probability: Option<f64>,
 }
 
 impl Suspicion {
-    /// One more worker is lost, beside that agent.
+    /// Counts the loss of the worker that belongs to `agent`.
     pub fn record_loss(&mut self, blame: &Blame, agent: &str) {
         self.losses += 1;
         self.likely += u32::from(blame.verdict != Verdict::Beside);
@@ -141,20 +143,21 @@
         self.suspect |= blame.verdict != Verdict::Beside || self.losses >= COLOCATED_LOSSES;
         self.survived_ms = self.survived_ms.max(blame.survived_ms);
         self.agents.push(agent.to_owned());
-        let more = self.agents.len().saturating_sub(MAX_AGENTS);
-        self.agents.drain(..more);
+        let excess = self.agents.len().saturating_sub(MAX_AGENTS);
+        self.agents.drain(..excess);
     }
 
-    /// A run of it ended as failed: one more start in which it did not live on, once users only bear so many.
+    /// Counts a failed run as a failed start if the task already has several losses: the number of starts that
+    /// users tolerate is limited.
     pub fn record_failure(&mut self) {
         self.failed_starts += u32::from(self.losses >= MIN_LOSSES_IF_CONCLUSIVE);
     }
 
     /// Whether the task is given up.
     ///
-    /// Verdicts say how likely it caused each loss, by what else went down and by what was told, and a history in
-    /// which nothing is told may go on for ever. That it never once lived on through so many starts needs no
-    /// verdict: this is what bounds its starts on any history.
+    /// Verdicts rate how likely the task caused each loss, based on what else went down and what was reported. If
+    /// nothing is reported, losses could go on indefinitely. The number of starts of which none survived needs no
+    /// verdict, so it bounds the starts of a task in every case.
     pub fn is_culprit(&self) -> bool {
         let conclusive =
             self.conclusive >= CONCLUSIVE_LOSSES && self.losses >= MIN_LOSSES_IF_CONCLUSIVE;
@@ -168,18 +171,18 @@
             || self.failed_starts >= MAX_LOSSES
     }
 
-    /// Whether it was the likely cause of several losses, or had just begun at several.
+    /// Whether the task was the likely cause of several losses, or had just begun at several.
     pub fn is_repeat_suspect(&self) -> bool {
         self.likely.max(self.failed_starts) > 1
     }
 
-    /// A run that has lived on for this long clears the task, in milliseconds.
+    /// Returns how long a worker must survive a run to clear the task, in milliseconds.
     pub fn clears_at_ms(&self) -> Span {
         (self.survived_ms * 2 + STARTUP_WINDOW_MS).min(BLAME_WINDOW_MS)
     }
 
-    /// Nothing else is started beside a run of it until the worker has lived on with the run for this long,
-    /// in milliseconds.
+    /// Returns how long a worker must survive a run of the task before other work is started on it, in
+    /// milliseconds.
     pub fn isolation_ms(&self) -> Span {
         self.clears_at_ms().min(MAX_ISOLATION_MS)
     }
