--- a/crates/pond-job/src/job.rs
+++ b/crates/pond-job/src/job.rs
@@ -94,7 +94,7 @@
     }
 
     /// The runs of the job with that id that have a place, each with its life of a worker.
-    pub fn places(&self, id: u64) -> impl Iterator<Item = (RunName, &str)> {
+    pub fn placements(&self, id: u64) -> impl Iterator<Item = (RunName, &str)> {
         let steps = self.times.iter().zip(0..).flat_map(|(steps, time)| {
             steps.iter().zip(0..).map(move |(tasks, step)| (time, step, tasks))
         });
@@ -131,7 +131,7 @@
 }
 
 /// The longest chain through steps that take these times, in milliseconds.
-pub fn longest_chain(steps: &[Step], takes_ms: impl Fn(usize, &Step) -> u64) -> u64 {
+pub fn critical_path_ms(steps: &[Step], takes_ms: impl Fn(usize, &Step) -> u64) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (i, step) in steps.iter().enumerate() {
         let before = step.after.iter().filter_map(|i| ends.get(*i as usize)).max();
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -10,7 +10,7 @@
 use super::duration::Durations;
 use super::harm::Harm;
 use super::image::Image;
-use crate::job::{Job, Task, longest_chain};
+use crate::job::{Job, Task, critical_path_ms};
 use crate::state::State;
 
 /// A job that ends later than this many times its span after it fell due is worth nothing any more.
@@ -137,7 +137,7 @@
     let takes_ms = |step: &Step| durations.expected_ms(&job.queue, step);
     let mut queues = state.configuration().into_iter().flat_map(|held| &held.queues);
     let queue = queues.find(|queue| queue.name == job.queue);
-    let chain_ms = longest_chain(&job.spec.steps, |_, step| takes_ms(step));
+    let chain_ms = critical_path_ms(&job.spec.steps, |_, step| takes_ms(step));
     let span = queue.map_or(job.target_at.since(job.submitted_at), |queue| {
         chain_ms.saturating_mul(queue.stretch_permille) / 1000 + queue.target_ms
     });
@@ -171,5 +171,5 @@
 fn left_ms(job: &Job, time: usize, takes_ms: impl Fn(&Step) -> u64) -> u64 {
     let Some(steps) = job.times.get(time) else { return 0 };
     let open = |i: usize| steps.get(i).is_some_and(|tasks| tasks.iter().any(|task| !task.done));
-    longest_chain(&job.spec.steps, |i, step| if open(i) { takes_ms(step) } else { 0 })
+    critical_path_ms(&job.spec.steps, |i, step| if open(i) { takes_ms(step) } else { 0 })
 }
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -12,7 +12,7 @@
 use crate::change::{Change, End, Reply};
 use crate::configuration::Configuration;
 use crate::estimates::Estimates;
-use crate::job::{Job, Task, longest_chain};
+use crate::job::{Job, Task, critical_path_ms};
 use crate::suspicion::Suspicion;
 
 /// Most tasks of one job; more are refused, so that one job cannot fill the memory: a task takes
@@ -133,7 +133,7 @@
     pub fn waiting_jobs(&self, queue: &str, begun: impl Fn(RunName, &str) -> bool) -> u64 {
         let waits = |(id, job): &(u64, &Job)| {
             let counts = job.queue == queue && !job.phase.ended() && job.spec.repeat.is_none();
-            counts && !job.begun && !job.places(*id).any(|(run, life)| begun(run, life))
+            counts && !job.begun && !job.placements(*id).any(|(run, worker)| begun(run, worker))
         };
         self.active().filter(waits).count() as u64
     }
@@ -195,7 +195,7 @@
         let new = |tasks: u32| vec![Task::default(); tasks as usize];
         let steps: Vec<Vec<Task>> = spec.steps.iter().map(|step| new(step.tasks)).collect();
         let open = times * steps.iter().map(Vec::len).sum::<usize>();
-        let chain = longest_chain(&spec.steps, |_, step| step.estimate_ms)
+        let chain = critical_path_ms(&spec.steps, |_, step| step.estimate_ms)
             .saturating_mul(queue.stretch_permille)
             / 1000;
         let span = chain.saturating_add(queue.target_ms);
--- a/crates/pond-job/tests/world/watch.rs
+++ b/crates/pond-job/tests/world/watch.rs
@@ -202,7 +202,7 @@
     fn hidden(&self, id: u64, job: &Job) -> bool {
         let down = self.machines.iter().filter(|machine| machine.worker.is_none());
         let down: Vec<String> = down.map(|machine| format!("{}-", machine.name)).collect();
-        let mut places = job.places(id).peekable();
+        let mut places = job.placements(id).peekable();
         // A gang begins whole, once all of its last run has ended.
         let startable = |step: usize| {
             let mut tasks = job.times[0][step].iter();
