--- a/crates/pond-job/src/change.rs
+++ b/crates/pond-job/src/change.rs
@@ -1,4 +1,4 @@
-//! What changes the replicated state, and what comes of it.
+//! Changes to the replicated state and their outcomes.
 
 use pond_proto::Millis;
 use pond_proto::job::{How, Phase, RunName, Spec};
@@ -6,12 +6,12 @@
 
 use crate::{Blame, Configuration, Estimates};
 
-/// An entry of the log.
+/// A change to the replicated state; each is an entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// A new configuration; without effect if its version is not above the one held.
+    /// Replaces the configuration; has no effect unless the version is higher than the current one.
     Configure(Configuration),
-    /// A job is handed in.
+    /// Submits a job.
     Submit {
         /// The host that the caller named.
         host: String,
@@ -19,12 +19,12 @@
         path: String,
         /// The job's id.
         id: u64,
-        /// What it consists of.
+        /// The job's specification.
         spec: Spec,
-        /// When the leader took it in, on its operators' clock.
+        /// When the leader received the job, on its operators' clock.
         at: Millis,
     },
-    /// A job is cancelled.
+    /// Cancels a job.
     Cancel {
         /// The host that the caller named.
         host: String,
@@ -33,96 +33,96 @@
         /// The job's id.
         id: u64,
     },
-    /// Runs are given to workers. Only runs that are accepted here may be ordered.
+    /// Places runs on workers. Only runs that the reply lists as accepted may be ordered.
     Start(Vec<Start>),
-    /// Runs have ended at a worker.
+    /// Records that runs have ended on a worker.
     Ended {
-        /// The life of the worker.
+        /// The worker incarnation.
         worker: String,
-        /// The ends, by their numbers.
+        /// The ends in ascending order of their numbers.
         ends: Vec<End>,
-        /// Runs that never started there.
+        /// Runs that never started on the worker.
         unstarted: Vec<RunName>,
     },
-    /// Nothing runs on a life of a worker any more: it is over, or its lease has run out.
+    /// Records that nothing runs on a worker incarnation any more: it has ended, or its lease has expired.
     WorkerLost {
-        /// The life of the worker.
+        /// The worker incarnation.
         worker: String,
-        /// What is known to have run there, with its newest known saves.
+        /// The runs that are known to have begun there, each with its newest known checkpoint.
         #[serde(rename = "saves")]
         checkpoints: Vec<(RunName, String)>,
-        /// Whether the worker will not come back under this name.
+        /// Whether the incarnation has ended, so that the worker will not return under this name.
         #[serde(rename = "over")]
         ended: bool,
-        /// How the loss counts against what ran there. (Entries of earlier versions have none.)
+        /// How the loss counts against the runs that were there. (Entries of earlier versions lack this field.)
         #[serde(default)]
         blame: Vec<Blame>,
     },
 
-    /// Jobs that ended long ago are dropped.
+    /// Removes jobs that ended long ago.
     Forget(Vec<u64>),
-    /// What the leader has learned of harm, for the next one.
+    /// Stores the leader's interference estimates for the next leader.
     Learned(Estimates),
-    /// Workers have lived on with these runs for long enough to clear their tasks.
+    /// Clears the tasks of these runs: their workers have survived them for long enough.
     Cleared(Vec<RunName>),
-    /// Nothing more is started in a data centre.
+    /// Evacuates a data centre: nothing more is started in it.
     Evacuate {
         /// The data centre.
         data_centre: String,
-        /// When the leader took the order in, on its operators' clock.
+        /// When the leader received the order, on its operators' clock.
         at: Millis,
     },
-    /// Work is started in an evacuated data centre again.
+    /// Ends the evacuation of a data centre.
     Readmit {
         /// The data centre.
         data_centre: String,
     },
 }
 
-/// A run for a worker.
+/// The placement of a run on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
     /// The run.
     pub run: RunName,
-    /// The life of the worker.
+    /// The worker incarnation.
     pub worker: String,
-    /// The agent beside it.
+    /// The agent of the worker.
     pub agent: String,
 }
 
 /// The end of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// Counts the ends of this life of the worker.
+    /// Sequence number among the ends of the worker incarnation.
     pub number: u64,
     /// The run.
     pub run: RunName,
-    /// How it ended.
+    /// How the run ended.
     pub how: How,
-    /// The newest save of its progress.
+    /// The newest checkpoint; empty if there is none.
     #[serde(rename = "save")]
     pub checkpoint: String,
 }
 
-/// What came of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It is in force; for a job also if it was there already.
+    /// The change is in force, or was already, as for a job that is submitted again.
     Accepted,
-    /// No queue is at that target.
+    /// No queue matches the host and path.
     NoQueue,
     /// There is no configuration yet.
     NotConfigured,
-    /// No such job exists.
+    /// There is no such job.
     NoJob,
     /// These runs were accepted.
     Started(Vec<RunName>),
-    /// The ends were taken in; these jobs ended with it.
+    /// The ends were applied; these jobs have ended.
     Ended(Vec<(u64, Phase)>),
 }
 
 impl Change {
-    /// Its kind in one word, for figures.
+    /// Returns the kind as a label for metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Change::Configure(_) => "configure",
@@ -139,8 +139,8 @@
         }
     }
 
-    /// The starts of this change that its reply tells to be in force; a job may have been cancelled
-    /// while they were on their way.
+    /// Returns the starts of this change that `reply` reports as accepted. Others may be refused because their job
+    /// was cancelled in the meantime.
     pub fn started(&self, reply: &Reply) -> Vec<&Start> {
         match (self, reply) {
             (Change::Start(starts), Reply::Started(runs)) => {
@@ -150,18 +150,18 @@
         }
     }
 
-    /// As bytes for the log.
+    /// Encodes the change for the log.
     ///
     /// # Errors
-    /// What the encoder says; it has no reason to fail on these types.
+    /// Returns the encoder's message; encoding these types is not expected to fail.
     pub fn encode(&self) -> Result<Vec<u8>, String> {
         rmp_serde::to_vec(self).map_err(|error| error.to_string())
     }
 
-    /// From the log's bytes.
+    /// Decodes a change from the log.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// Returns the decoder's message if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Change, String> {
         rmp_serde::from_slice(bytes).map_err(|error| error.to_string())
     }
--- a/crates/pond-job/src/configuration.rs
+++ b/crates/pond-job/src/configuration.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// One whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Only a higher version replaces it.
+    /// The version; a configuration is only replaced by one with a higher version.
     pub version: u64,
     /// The queues.
     pub queues: Vec<Queue>,
@@ -16,57 +16,57 @@
     pub pools: Vec<Pool>,
     /// Limits of entries.
     pub limits: Limits,
-    /// The operator's text that all of this was read from; given back as it came.
+    /// The operator's text that the configuration was parsed from; returned unchanged on request.
     pub source: String,
 }
 
-/// Jobs are handed in to a queue.
+/// A queue that jobs are submitted to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// The queue's name.
     pub name: String,
-    /// Callers name this host.
+    /// The host of callers' requests.
     pub host: String,
-    /// Callers' paths start with this.
+    /// Prefix of the path of callers' requests.
     pub prefix: String,
-    /// The pool that runs its tasks.
+    /// The pool that runs the queue's tasks.
     pub pool: String,
-    /// Zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u32,
-    /// A job has failed when one of its tasks has failed this often.
+    /// Number of failed runs of one task after which its job has failed.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// A job should be done within this many thousandths of its longest chain of tasks.
+    /// Target time of a job, in thousandths of its critical path.
     pub stretch_permille: u64,
-    /// Time that a job may take on top of that, in milliseconds.
+    /// Time added to the target time of each job, in milliseconds.
     pub target_ms: u64,
-    /// Longest time for a caller's request, in milliseconds.
+    /// Timeout of a caller's request, in milliseconds.
     pub timeout_ms: u64,
-    /// How the adviser decides which workers may run its jobs; none if all may.
+    /// How the adviser decides which workers may run the queue's jobs; `None` if all may.
     pub advice: Option<Advice>,
 }
 
-/// How an outside adviser decides which workers may run a step, in milliseconds.
+/// How long an external adviser takes to decide which workers may run a step, and for how long its answer holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// What a question takes.
+    /// Time per question, in milliseconds.
     pub decide_ms: u64,
-    /// What each worker named in it takes on top.
+    /// Additional time per worker named in the question, in milliseconds.
     #[serde(rename = "each_ms")]
     pub per_worker_ms: u64,
-    /// How long a ticket is good for.
+    /// How long a ticket is valid, in milliseconds.
     pub valid_ms: u64,
 }
 
 /// A group of VMs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name.
+    /// The pool's name.
     pub name: String,
-    /// Whether its workers refuse what does not fit. If not, only the scheduler protects them.
+    /// Whether the workers refuse runs that do not fit. If not, only the scheduler prevents overload.
     #[serde(rename = "guards")]
     pub admission_check: bool,
-    /// Whether its VMs are switched off.
+    /// Whether the pool's VMs are switched off.
     #[serde(rename = "spare")]
     pub powered_off: bool,
 }
@@ -74,34 +74,36 @@
 /// Limits of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(rename = "body_bytes")]
     pub max_body_bytes: usize,
-    /// Time for the head of a request, in milliseconds.
+    /// Timeout for the header of a request, in milliseconds.
     #[serde(rename = "head_ms")]
     pub header_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        // Used until the first configuration is there, and where it says nothing.
+        // Used until the first configuration arrives, and for limits that it leaves out.
         Limits { max_body_bytes: 256 << 10, header_timeout_ms: 3_000 }
     }
 }
 
-/// Why a configuration is refused.
+/// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Invalid {
-    /// A queue names a pool that is not there.
-    #[snafu(display("queue {queue}: there is no pool {pool}; add it or name another"))]
+    /// A queue refers to a pool that is not defined.
+    #[snafu(display(
+        "queue {queue}: pool {pool} is not defined; define it or choose another pool"
+    ))]
     UnknownPool {
         /// The queue.
         queue: String,
         /// The missing pool.
         pool: String,
     },
-    /// Two queues cannot be told apart.
-    #[snafu(display("queue {queue}: another queue has host {host} and prefix {prefix}"))]
+    /// Two queues have the same host and prefix.
+    #[snafu(display("queue {queue}: another queue already has host {host} and prefix {prefix}"))]
     DuplicateTarget {
         /// The queue.
         queue: String,
@@ -110,8 +112,8 @@
         /// The prefix of both.
         prefix: String,
     },
-    /// A request would have no time at all.
-    #[snafu(display("queue {queue}: the time limit is zero; give at least one millisecond"))]
+    /// The request timeout of a queue is zero.
+    #[snafu(display("queue {queue}: the time limit is zero; set timeout_ms to at least 1"))]
     ZeroTimeout {
         /// The queue.
         queue: String,
@@ -119,10 +121,10 @@
 }
 
 impl Configuration {
-    /// Checks what one queue or pool alone cannot tell.
+    /// Checks the references between queues and pools, and the timeouts.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), Invalid> {
         let pools: BTreeSet<&str> = self.pools.iter().map(|pool| pool.name.as_str()).collect();
         let mut targets = BTreeSet::new();
@@ -142,13 +144,13 @@
         Ok(())
     }
 
-    /// The queue for a request: the host's, with the longest prefix that starts the path.
+    /// Returns the queue for a request: of the queues with this host, the one with the longest matching prefix.
     pub fn queue_for(&self, host: &str, path: &str) -> Option<&Queue> {
-        let fits = |queue: &&Queue| queue.host == host && path.starts_with(&queue.prefix);
-        self.queues.iter().filter(fits).max_by_key(|queue| queue.prefix.len())
+        let matches = |queue: &&Queue| queue.host == host && path.starts_with(&queue.prefix);
+        self.queues.iter().filter(matches).max_by_key(|queue| queue.prefix.len())
     }
 
-    /// The queue of that name.
+    /// Returns the queue with a name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|queue| queue.name == name)
     }
--- a/crates/pond-job/src/job.rs
+++ b/crates/pond-job/src/job.rs
@@ -1,4 +1,4 @@
-//! An accepted job with its tasks.
+//! Accepted jobs and their tasks.
 
 use pond_proto::Millis;
 use pond_proto::job::{Phase, RunName, Spec, Step, TaskName};
@@ -10,35 +10,36 @@
 /// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// The queue that it was handed in to.
+    /// The queue that the job was submitted to.
     pub queue: String,
-    /// The pool that runs it.
+    /// The pool that runs the job.
     pub pool: String,
-    /// The priority of its queue when it was handed in; zero goes first.
+    /// Priority of the queue when the job was submitted; zero is the highest.
     pub priority: u32,
-    /// How often a task may fail.
+    /// Number of failed runs of one task after which the job has failed.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// How the adviser decides which workers may run it; none if all may.
+    /// How the adviser decides which workers may run the job; `None` if all may.
     pub advice: Option<Advice>,
-    /// What it consists of; empty once it has ended.
+    /// The specification; empty once the job has ended and nothing of it runs.
     pub spec: Spec,
-    /// When it was handed in, on the operators' clock of the leader of that time.
+    /// When the job was submitted, on the operators' clock of the leader that accepted it.
     #[serde(rename = "at")]
     pub submitted_at: Millis,
-    /// When it should be done, on the same clock.
+    /// When the job should be done, on the same clock.
     #[serde(rename = "aim")]
     pub target_at: Millis,
-    /// What is known of it.
+    /// The current phase.
     pub phase: Phase,
-    /// The tasks by time and step; empty once it has ended and nothing runs.
+    /// Tasks by occurrence of a repeated job and by step; empty once the job has ended and nothing of it runs.
     pub times: Vec<Vec<Vec<Task>>>,
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     #[serde(rename = "open")]
     pub unfinished: usize,
-    /// Tasks that are placed on a worker.
+    /// Number of runs that are placed on a worker.
     pub placed: usize,
-    /// A run of it is known to have begun that is over since. (Snapshots of earlier versions do not say.)
+    /// Whether a run of the job that is no longer placed is known to have begun. (Snapshots of earlier versions
+    /// lack this field.)
     #[serde(default)]
     pub begun: bool,
 }
@@ -48,41 +49,41 @@
 pub struct Task {
     /// Number of the newest run.
     pub run: u32,
-    /// The life of the worker that has the newest run, until its end is settled.
+    /// The worker incarnation that has the newest run, until the end of the run is committed.
     pub worker: Option<String>,
-    /// How many runs have failed.
+    /// Number of failed runs.
     #[serde(rename = "failed")]
     pub failures: u32,
-    /// Whether it is done.
+    /// Whether the task is done.
     pub done: bool,
-    /// The newest save of its progress.
+    /// The newest checkpoint; empty if there is none.
     #[serde(rename = "save")]
     pub checkpoint: String,
-    /// The workers that were lost under it; none if none were, or since it was cleared. (Snapshots of
-    /// earlier versions have none.)
+    /// The workers that were lost while running the task; `None` if there were none since it was last cleared.
+    /// (Snapshots of earlier versions lack this field.)
     #[serde(default)]
     pub suspicion: Option<Box<Suspicion>>,
 }
 
 impl Task {
-    /// Whether it still needs a worker.
+    /// Whether the task still needs a worker.
     pub fn is_pending(&self) -> bool {
         !self.done && self.worker.is_none()
     }
 
-    /// Whether it may have taken down workers.
+    /// Whether the task may have crashed workers.
     pub fn is_suspect(&self) -> bool {
         self.suspicion.as_ref().is_some_and(|suspicion| suspicion.suspect)
     }
 }
 
 impl Job {
-    /// The step of a task.
+    /// Returns the step of a task.
     pub fn step(&self, task: TaskName) -> Option<&Step> {
         self.spec.steps.get(task.step as usize)
     }
 
-    /// The task of that name.
+    /// Returns the task with a name.
     pub fn task(&self, name: TaskName) -> Option<&Task> {
         let steps = self.times.get(name.time as usize)?;
         steps.get(name.step as usize)?.get(name.index as usize)
@@ -93,7 +94,7 @@
         steps.get_mut(name.step as usize)?.get_mut(name.index as usize)
     }
 
-    /// The runs of the job with that id that have a place, each with its life of a worker.
+    /// Returns the placed runs, each with its worker incarnation; `id` is the id of this job.
     pub fn placements(&self, id: u64) -> impl Iterator<Item = (RunName, &str)> {
         let steps = self.times.iter().zip(0..).flat_map(|(steps, time)| {
             steps.iter().zip(0..).map(move |(tasks, step)| (time, step, tasks))
@@ -106,9 +107,10 @@
         })
     }
 
-    /// Whether a step's turn has come at a time of the job: all steps before it are done.
-    pub fn is_step_ready(&self, time: usize, step: usize) -> bool {
-        let (Some(steps), Some(spec)) = (self.times.get(time), self.spec.steps.get(step)) else {
+    /// Whether all steps before a step are done, in one occurrence of the job.
+    pub fn is_step_ready(&self, occurrence: usize, step: usize) -> bool {
+        let (Some(steps), Some(spec)) = (self.times.get(occurrence), self.spec.steps.get(step))
+        else {
             return false;
         };
         let done = |before: &u32| {
@@ -118,11 +120,11 @@
         spec.after.iter().all(done)
     }
 
-    /// When a time of the job falls due, on the operators' clock.
-    pub fn due(&self, time: usize) -> Millis {
+    /// Returns when an occurrence of the job is due, on the operators' clock.
+    pub fn due(&self, occurrence: usize) -> Millis {
         match &self.spec.repeat {
             Some(repeat) => {
-                let since_first = repeat.every_ms.saturating_mul(time as u64);
+                let since_first = repeat.every_ms.saturating_mul(occurrence as u64);
                 Millis(repeat.first_ms.saturating_add(since_first))
             }
             None => self.submitted_at,
@@ -130,13 +132,13 @@
     }
 }
 
-/// The longest chain through steps that take these times, in milliseconds.
+/// Returns the length of the critical path through the steps, in milliseconds, if each takes `takes_ms`.
 pub fn critical_path_ms(steps: &[Step], takes_ms: impl Fn(usize, &Step) -> u64) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (i, step) in steps.iter().enumerate() {
-        let before = step.after.iter().filter_map(|i| ends.get(*i as usize)).max();
-        let own = takes_ms(i, step);
-        ends.push(before.copied().unwrap_or(0).saturating_add(own));
+        let start = step.after.iter().filter_map(|i| ends.get(*i as usize)).max();
+        let duration = takes_ms(i, step);
+        ends.push(start.copied().unwrap_or(0).saturating_add(duration));
     }
     ends.into_iter().max().unwrap_or(0)
 }
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state: the same changes in the same order give the same state everywhere.
+//! The replicated state: the same changes in the same order give the same state on every replica.
 
 mod evacuation;
 mod runs;
@@ -15,121 +15,123 @@
 use crate::job::{Job, Task, critical_path_ms};
 use crate::suspicion::Suspicion;
 
-/// Most tasks of one job; more are refused, so that one job cannot fill the memory: a task takes
-/// some hundred bytes, so this many take a few megabytes.
+/// Maximum number of tasks of one job, so that no job can fill the memory: a task takes some hundred bytes, so this
+/// many take a few megabytes.
 const MAX_TASKS_PER_JOB: usize = 20_000;
 
-/// All that the control replicas agree on.
+/// The state that the control replicas agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     configuration: Option<Configuration>,
     jobs: BTreeMap<u64, Job>,
-    /// Jobs that have not ended, or of which something still runs.
+    /// Jobs that have not ended or still have placed runs.
     active: BTreeSet<u64>,
-    /// Runs by the life of the worker that has them.
+    /// Placed runs by worker incarnation.
     placed: BTreeMap<String, BTreeSet<RunName>>,
-    /// Ends of each life of a worker up to this number are settled.
+    /// Number of the last committed end of each worker incarnation.
     #[serde(rename = "settled")]
     committed: BTreeMap<String, u64>,
-    /// The agents beside lives of workers that have runs.
+    /// Agents of the worker incarnations that have runs.
     agents: BTreeMap<String, String>,
-    /// What former leaders learned of harm. (Snapshots of earlier versions have none.)
+    /// Interference estimates of earlier leaders. (Snapshots of earlier versions lack this field.)
     #[serde(default, rename = "lesson")]
     estimates: Estimates,
-    /// The data centres in which nothing is started, and since when. (Snapshots of earlier versions have none.)
+    /// Evacuated data centres, each with the start of its evacuation. (Snapshots of earlier versions lack this
+    /// field.)
     #[serde(default)]
     evacuated: BTreeMap<String, Millis>,
 }
 
 impl State {
-    /// Nothing yet.
+    /// Creates an empty state.
     pub fn new() -> State {
         State::default()
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// The job of that id.
+    /// Returns the job with an id.
     pub fn job(&self, id: u64) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// The step of a task.
+    /// Returns the step of a task.
     pub fn step(&self, task: TaskName) -> Option<&Step> {
         self.job(task.job)?.step(task)
     }
 
-    /// Jobs that have not ended, or of which something still runs.
+    /// Returns the jobs that have not ended or still have placed runs.
     pub fn active(&self) -> impl Iterator<Item = (u64, &Job)> + '_ {
         self.active.iter().filter_map(|id| Some((*id, self.jobs.get(id)?)))
     }
 
-    /// All jobs that have ended.
+    /// Returns the ids of all jobs that have ended.
     pub fn ended(&self) -> impl Iterator<Item = u64> + '_ {
         self.jobs.iter().filter(|(_, job)| job.phase.ended()).map(|(id, _)| *id)
     }
 
-    /// The runs that a life of a worker has.
+    /// Returns the runs placed on a worker incarnation.
     pub fn placed(&self, worker: &str) -> impl Iterator<Item = RunName> + '_ {
         self.placed.get(worker).into_iter().flatten().copied()
     }
 
-    /// The lives of workers that have runs.
+    /// Returns the worker incarnations that have runs.
     pub fn workers(&self) -> impl Iterator<Item = &str> + '_ {
         self.placed.keys().map(String::as_str)
     }
 
-    /// The lives of workers beside an agent that have runs.
+    /// Returns the worker incarnations of an agent that have runs.
     pub fn incarnations_at<'a>(&'a self, agent: &'a str) -> impl Iterator<Item = &'a str> + 'a {
-        let beside = move |(_, other): &(&String, &String)| other.as_str() == agent;
-        self.agents.iter().filter(beside).map(|(life, _)| life.as_str())
+        let has_agent = move |(_, other): &(&String, &String)| other.as_str() == agent;
+        self.agents.iter().filter(has_agent).map(|(worker, _)| worker.as_str())
     }
 
-    /// The agent beside a life of a worker that has runs.
-    pub fn agent_of(&self, life: &str) -> Option<&str> {
-        self.agents.get(life).map(String::as_str)
+    /// Returns the agent of a worker incarnation that has runs.
+    pub fn agent_of(&self, worker: &str) -> Option<&str> {
+        self.agents.get(worker).map(String::as_str)
     }
 
-    /// Ends of that life of a worker up to this number are settled.
+    /// Returns the number of the last committed end of a worker incarnation, zero if there is none.
     pub fn last_committed_end(&self, worker: &str) -> u64 {
         self.committed.get(worker).copied().unwrap_or(0)
     }
 
-    /// What is held against the task of a run, if the run is the task's newest and its job goes on.
+    /// Returns the suspicion against the task of a run, if the run is the task's newest and its job has not ended.
     pub fn suspicion(&self, run: RunName) -> Option<&Suspicion> {
         self.job(run.task.job).filter(|job| !job.phase.ended())?;
         self.recorded_suspicion(run)
     }
 
-    /// The same, whether its job goes on or has ended.
+    /// Returns the suspicion against the task of a run, if the run is the task's newest, even if its job has ended.
     pub fn recorded_suspicion(&self, run: RunName) -> Option<&Suspicion> {
         let task = self.job(run.task.job)?.task(run.task);
         task.filter(|task| task.run == run.number)?.suspicion.as_deref()
     }
 
-    /// What of the ends and unstarted runs of a worker is news here; the rest was applied before.
+    /// Returns those ends and unstarted runs of a worker incarnation that have not been applied yet.
     pub fn uncommitted<'a>(
         &self,
         worker: &str,
         ends: &'a [End],
         unstarted: &'a [RunName],
     ) -> (Vec<&'a End>, Vec<&'a RunName>) {
-        let settled = self.last_committed_end(worker);
-        let has = |run: &&RunName| self.placed.get(worker).is_some_and(|runs| runs.contains(run));
-        let ends = ends.iter().filter(|end| end.number > settled).collect();
-        (ends, unstarted.iter().filter(has).collect())
+        let committed = self.last_committed_end(worker);
+        let placed =
+            |run: &&RunName| self.placed.get(worker).is_some_and(|runs| runs.contains(run));
+        let ends = ends.iter().filter(|end| end.number > committed).collect();
+        (ends, unstarted.iter().filter(placed).collect())
     }
 
-    /// What former leaders learned of harm.
+    /// Returns the interference estimates of earlier leaders.
     pub fn estimates(&self) -> &Estimates {
         &self.estimates
     }
 
-    /// How many jobs of a queue wait with no task begun, where `begun` tells whether a run has on the life on
-    /// which it has its place. Repeated jobs do not count.
+    /// Counts the jobs of a queue of which no task has begun; `begun` returns whether a run has begun on the worker
+    /// incarnation that it is placed on. Repeated jobs do not count.
     pub fn waiting_jobs(&self, queue: &str, begun: impl Fn(RunName, &str) -> bool) -> u64 {
         let waits = |(id, job): &(u64, &Job)| {
             let counts = job.queue == queue && !job.phase.ended() && job.spec.repeat.is_none();
@@ -138,23 +140,23 @@
         self.active().filter(waits).count() as u64
     }
 
-    /// As bytes for a snapshot.
+    /// Encodes the state for a snapshot.
     ///
     /// # Errors
-    /// What the encoder says; it has no reason to fail on these types.
+    /// Returns the encoder's message; encoding these types is not expected to fail.
     pub fn encode(&self) -> Result<Vec<u8>, String> {
         rmp_serde::to_vec(self).map_err(|error| error.to_string())
     }
 
-    /// From a snapshot's bytes.
+    /// Decodes the state from a snapshot.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// Returns the decoder's message if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Result<State, String> {
         rmp_serde::from_slice(bytes).map_err(|error| error.to_string())
     }
 
-    /// Applies a change.
+    /// Applies a change and returns its outcome.
     pub fn apply(&mut self, change: Change) -> Reply {
         match change {
             Change::Configure(configuration) => self.configure(configuration),
@@ -178,8 +180,8 @@
     }
 
     fn configure(&mut self, configuration: Configuration) -> Reply {
-        let held = self.configuration.as_ref().map(|held| held.version);
-        if held.is_none_or(|held| configuration.version > held) {
+        let current = self.configuration.as_ref().map(|current| current.version);
+        if current.is_none_or(|current| configuration.version > current) {
             self.configuration = Some(configuration);
         }
         Reply::Accepted
@@ -192,13 +194,13 @@
         let Some(configuration) = &self.configuration else { return Reply::NotConfigured };
         let Some(queue) = configuration.queue_for(host, path) else { return Reply::NoQueue };
         let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
-        let new = |tasks: u32| vec![Task::default(); tasks as usize];
-        let steps: Vec<Vec<Task>> = spec.steps.iter().map(|step| new(step.tasks)).collect();
-        let open = times * steps.iter().map(Vec::len).sum::<usize>();
-        let chain = critical_path_ms(&spec.steps, |_, step| step.estimate_ms)
+        let new_tasks = |tasks: u32| vec![Task::default(); tasks as usize];
+        let steps: Vec<Vec<Task>> = spec.steps.iter().map(|step| new_tasks(step.tasks)).collect();
+        let unfinished = times * steps.iter().map(Vec::len).sum::<usize>();
+        let stretched_ms = critical_path_ms(&spec.steps, |_, step| step.estimate_ms)
             .saturating_mul(queue.stretch_permille)
             / 1000;
-        let span = chain.saturating_add(queue.target_ms);
+        let span_ms = stretched_ms.saturating_add(queue.target_ms);
         let job = Job {
             queue: queue.name.clone(),
             pool: queue.pool.clone(),
@@ -207,10 +209,10 @@
             advice: queue.advice,
             spec,
             submitted_at: at,
-            target_at: at + span,
+            target_at: at + span_ms,
             phase: Phase::Queued,
             times: vec![steps; times],
-            unfinished: open,
+            unfinished,
             placed: 0,
             begun: false,
         };
@@ -233,7 +235,7 @@
         Reply::Accepted
     }
 
-    /// Brings a job's phase up to date; the job and its phase if it has ended.
+    /// Updates a job's phase; returns the job and its phase if it has ended.
     fn update_phase(&mut self, id: u64) -> Option<(u64, Phase)> {
         let job = self.jobs.get_mut(&id)?;
         if job.unfinished == 0 && !job.phase.ended() {
@@ -243,7 +245,7 @@
             return None;
         }
         if job.placed == 0 && self.active.remove(&id) {
-            // Only its phase is asked for from now on.
+            // From now on only the phase is queried.
             job.times = Vec::new();
             job.spec = Spec::default();
         }
@@ -260,11 +262,12 @@
         Reply::Accepted
     }
 
-    /// Whether a job of that description can be kept.
+    /// Whether a job's specification is acceptable: steps depend only on earlier steps, and the number of tasks is
+    /// limited.
     pub fn within_limits(spec: &Spec) -> bool {
         let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
         let tasks: usize = spec.steps.iter().map(|step| step.tasks as usize).sum();
-        // Steps and times take memory even without tasks.
+        // Steps and occurrences take memory even without tasks.
         let tasks = tasks.max(spec.steps.len()).max(1);
         let refers_back =
             |(i, step): (usize, &Step)| step.after.iter().all(|before| (*before as usize) < i);
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -1,4 +1,4 @@
-//! What happens to runs in the replicated state: starts, ends and lost workers.
+//! Changes to runs in the replicated state: starts, ends and lost workers.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::suspicion::{Blame, Suspicion};
 
 impl State {
-    /// Places the runs whose tasks may start; the others are left out of the reply.
+    /// Places the runs whose tasks may start; the reply omits the others.
     pub(super) fn place_runs(&mut self, starts: Vec<Start>) -> Reply {
         let accepted = starts.into_iter().filter_map(|start| self.place_run(start)).collect();
         Reply::Started(accepted)
@@ -35,14 +35,14 @@
         Some(start.run)
     }
 
-    /// Takes in ends that were not settled before, and runs that never started.
+    /// Applies ends that were not committed before, and removes runs that never started.
     pub(super) fn apply_ends(
         &mut self,
         worker: &str,
         ends: Vec<End>,
         unstarted: &[RunName],
     ) -> Reply {
-        let mut touched = BTreeSet::new();
+        let mut changed = BTreeSet::new();
         for end in ends {
             if end.number <= self.last_committed_end(worker) {
                 continue;
@@ -50,16 +50,16 @@
             self.committed.insert(worker.to_owned(), end.number);
             self.release_run(worker, end.run);
             self.apply_end(end.run, end.how, end.checkpoint);
-            touched.insert(end.run.task.job);
+            changed.insert(end.run.task.job);
         }
         for run in unstarted {
             self.release_run(worker, *run);
-            touched.insert(run.task.job);
+            changed.insert(run.task.job);
         }
-        Reply::Ended(touched.into_iter().filter_map(|id| self.update_phase(id)).collect())
+        Reply::Ended(changed.into_iter().filter_map(|id| self.update_phase(id)).collect())
     }
 
-    /// Takes a run from its worker; the task can be placed again.
+    /// Removes a run from its worker; the task can then be placed again.
     fn release_run(&mut self, worker: &str, run: RunName) {
         let Some(runs) = self.placed.get_mut(worker) else { return };
         if !runs.remove(&run) {
@@ -92,19 +92,19 @@
         if how == How::Done && newest {
             task.suspicion = None;
         }
-        // A worker that fails whatever it starts tells nothing of what the task does to others, so a failure
-        // clears nothing.
-        let held = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
-        let given_up = held.is_some_and(|held| {
-            held.record_failure();
-            held.is_culprit()
+        // A failure does not clear the task: a worker on which every run fails shows nothing about the task's effect on
+        // others.
+        let suspicion = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
+        let given_up = suspicion.is_some_and(|suspicion| {
+            suspicion.record_failure();
+            suspicion.is_culprit()
         });
         match how {
             How::Done if !lasting => self.complete_task(run.task, gang),
             How::Failed => {
                 task.failures += u32::from(!lasting);
-                let used_up = !lasting && task.failures >= max_attempts;
-                if (used_up || given_up) && !job.phase.ended() {
+                let exhausted = !lasting && task.failures >= max_attempts;
+                if (exhausted || given_up) && !job.phase.ended() {
                     job.phase = Phase::Failed;
                 }
             }
@@ -112,51 +112,52 @@
         }
     }
 
-    /// One end of a gang stands for all of it.
+    /// Marks a task as done, or all tasks of its gang: the end of one member ends the gang.
     fn complete_task(&mut self, name: TaskName, gang: bool) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
-        let mut newly = 0;
+        let mut completed = 0;
         let steps = job.times.get_mut(name.time as usize);
         let Some(tasks) = steps.and_then(|steps| steps.get_mut(name.step as usize)) else { return };
         for (index, task) in tasks.iter_mut().enumerate() {
-            let stands = gang || index == name.index as usize;
-            if stands && !task.done {
+            let completes = gang || index == name.index as usize;
+            if completes && !task.done {
                 task.done = true;
-                newly += 1;
+                completed += 1;
             }
         }
-        job.unfinished -= newly;
+        job.unfinished -= completed;
     }
 
-    /// What is held against the task of a run with the loss of a life; none if the loss does not count, as the
-    /// run has no place there any more or nothing of its job goes on.
+    /// Returns the suspicion against a task once the loss of a worker incarnation is added; `None` if the loss does
+    /// not count because the run is no longer placed there, the task is done or its job has ended.
     pub fn suspicion_with(&self, worker: &str, blame: &Blame) -> Option<Suspicion> {
         let runs = self.placed.get(worker)?;
         let job = self.jobs.get(&blame.run.task.job).filter(|job| !job.phase.ended())?;
         let task = job.task(blame.run.task).filter(|task| !task.done)?;
-        let mut held = task.suspicion.as_deref().cloned().unwrap_or_default();
+        let mut suspicion = task.suspicion.as_deref().cloned().unwrap_or_default();
         let agent = self.agents.get(worker).map_or("", String::as_str);
-        held.record_loss(blame, agent);
-        Some(held).filter(|_| runs.contains(&blame.run))
+        suspicion.record_loss(blame, agent);
+        Some(suspicion).filter(|_| runs.contains(&blame.run))
     }
 
-    /// Counts the loss of a life against tasks whose runs were lost with it. A proposal that is applied
-    /// twice counts once, as the runs have no place there any more. A task that takes down its workers would
-    /// do so for ever: its job has failed, whatever attempts it has left.
+    /// Counts the loss of a worker incarnation against the tasks whose runs were lost with it.
+    ///
+    /// A proposal that is applied twice counts once, because the runs are no longer placed there the second time. A
+    /// culprit would keep crashing workers, so its job fails even if it has attempts left.
     pub(super) fn record_losses(&mut self, worker: &str, blame: &[Blame]) {
         for blame in blame {
-            let Some(held) = self.suspicion_with(worker, blame) else { continue };
+            let Some(suspicion) = self.suspicion_with(worker, blame) else { continue };
             let Some(job) = self.jobs.get_mut(&blame.run.task.job) else { continue };
-            if held.is_culprit() {
+            if suspicion.is_culprit() {
                 job.phase = Phase::Failed;
             }
             if let Some(task) = job.task_mut(blame.run.task) {
-                task.suspicion = Some(Box::new(held));
+                task.suspicion = Some(Box::new(suspicion));
             }
         }
     }
 
-    /// Clears the tasks of which these are the newest runs.
+    /// Clears the tasks whose newest run is among `runs`.
     pub(super) fn clear_suspicions(&mut self, runs: &[RunName]) -> Reply {
         for run in runs {
             let job = self.jobs.get_mut(&run.task.job);
@@ -168,7 +169,7 @@
         Reply::Accepted
     }
 
-    /// Takes all runs from a life of a worker on which nothing runs any more.
+    /// Removes all runs from a worker incarnation on which nothing runs any more.
     pub(super) fn lose_worker(
         &mut self,
         worker: &str,
