--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -264,7 +264,7 @@
 
     /// Whether a job's specification is acceptable: steps depend only on earlier steps, and the number of tasks is
     /// limited.
-    pub fn within_limits(spec: &Spec) -> bool {
+    pub fn is_acceptable(spec: &Spec) -> bool {
         let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
         let tasks: usize = spec.steps.iter().map(|step| step.tasks as usize).sum();
         // Steps and occurrences take memory even without tasks.
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -227,17 +227,17 @@
 #[test]
 fn job_that_refers_to_later_steps_is_not_bearable() {
     let first = Step { after: vec![1], ..step(1, 100) };
-    assert!(!State::within_limits(&spec(vec![first, step(1, 100)])));
-    assert!(!State::within_limits(&spec(vec![step(30_000, 100)])));
-    assert!(State::within_limits(&spec(vec![step(30, 100)])));
+    assert!(!State::is_acceptable(&spec(vec![first, step(1, 100)])));
+    assert!(!State::is_acceptable(&spec(vec![step(30_000, 100)])));
+    assert!(State::is_acceptable(&spec(vec![step(30, 100)])));
 }
 
 #[test]
 fn repeated_job_without_tasks_still_counts_its_times() {
     let repeat = pond_proto::job::Repeat { times: u32::MAX, first_ms: 0, every_ms: 1 };
     let endless = Spec { repeat: Some(repeat), ..spec(vec![]) };
-    assert!(!State::within_limits(&endless));
-    assert!(!State::within_limits(&Spec { repeat: Some(repeat), ..spec(vec![step(0, 1)]) }));
+    assert!(!State::is_acceptable(&endless));
+    assert!(!State::is_acceptable(&Spec { repeat: Some(repeat), ..spec(vec![step(0, 1)]) }));
 }
 
 #[test]
--- a/crates/pond-replica/src/asks.rs
+++ b/crates/pond-replica/src/asks.rs
@@ -67,7 +67,7 @@
             self.send_tell(link, tell(ticket, Outcome::Accepted));
             return;
         }
-        if !State::within_limits(&spec) {
+        if !State::is_acceptable(&spec) {
             event!(self.log, JOB_NOT_TAKEN, "job" => format!("{id:016x}"), "why" => "malformed");
             self.send_tell(link, tell(ticket, Outcome::Invalid));
             return;
