--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -1,6 +1,6 @@
-//! The cost of a leader's plan, report and look by the number of workers, tasks and groups that wait.
+//! Measures the cost of a leader's plans, reports and ticks by the number of workers, tasks and waiting groups.
 //!
-//! `cargo bench -p pond-job --bench plan` writes the tables of docs/CAPACITY.md.
+//! `cargo bench -p pond-job --bench plan` prints the tables of docs/CAPACITY.md.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -12,71 +12,72 @@
 use pond_proto::fleet::{Report, RunRow};
 use pond_proto::job::{RunName, Spec, Step, TaskName};
 
-/// Workers.
-const SIZES: [u32; 4] = [11, 76, 300, 1_200];
+/// Numbers of workers.
+const WORKER_COUNTS: [u32; 4] = [11, 76, 300, 1_200];
 
-/// Groups that wait.
-const GROUPS: [u64; 3] = [10, 50, 150];
+/// Numbers of waiting groups.
+const GROUP_COUNTS: [u64; 3] = [10, 50, 150];
 
-/// Processors of a worker, in thousandths.
-const ROOM: u32 = 32_000;
+/// CPU capacity of a worker, in thousandths of a processor.
+const WORKER_MILLI_CPU: u32 = 32_000;
 
-/// Serving and filling tasks that run on each worker.
-const SERVING: u32 = 5;
-const FILLING: u32 = 10;
+/// Numbers of serving and best-effort tasks that run on each worker.
+const SERVING_PER_WORKER: u32 = 5;
+const BEST_EFFORT_PER_WORKER: u32 = 10;
 
-/// Images of serving and of filling tasks.
+/// Numbers of images of serving and of best-effort tasks.
 const SERVING_IMAGES: u32 = 10;
-const FILLING_IMAGES: u32 = 30;
+const BEST_EFFORT_IMAGES: u32 = 30;
 
-/// The filling image that is known to disturb.
-const LOUD: &str = "loud";
+/// The best-effort image that interferes with serving tasks.
+const INTERFERING_IMAGE: &str = "interfering";
 
-/// Tasks of a group that waits.
-const TASKS: u32 = 2;
+/// Number of tasks in a waiting group.
+const GROUP_TASKS: u32 = 2;
 
-/// Tasks of a wide one.
-const WIDE: u32 = 24;
+/// Number of tasks in a wide waiting group.
+const WIDE_GROUP_TASKS: u32 = 24;
 
-/// What filling images add to the pressure on serving ones, over shares of processors.
-const STILL: f32 = 0.1;
-const DISTURBING: f32 = 5.0;
+/// Utilization that best-effort images add for serving ones, per share of the worker's processors.
+const LOW_INTERFERENCE: f32 = 0.1;
+const HIGH_INTERFERENCE: f32 = 5.0;
 
-/// The tail of a serving task on an idle worker, in milliseconds.
-const IDLE_MS: f32 = 4.5;
+/// Tail latency of a serving task on an idle worker, in milliseconds.
+const IDLE_TAIL_MS: f32 = 4.5;
 
-/// Times that each figure is taken; the median is told.
-const TIMES: usize = 9;
+/// Number of samples of each figure; the median is printed.
+const SAMPLES: usize = 9;
 
-/// The first look of the leader.
-const BEGIN: Millis = Millis(100_000);
+/// Time of the leader's first tick.
+const FIRST_TICK: Millis = Millis(100_000);
 
-/// From the first plan to the one that is measured, in milliseconds: beyond all patience with beliefs.
-const WAIT_MS: u64 = 2_600;
+/// Time from the first plan to the measured one, in milliseconds: longer than the scheduler's wait before it forces a
+/// placement.
+const OVERDUE_MS: u64 = 2_600;
 
-/// Time between looks, in milliseconds.
-const LOOK_MS: u64 = 100;
+/// Time between ticks, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 100;
 
 const HOST: &str = "jobs.example";
-const SERVE: &str = "/serve/";
-const FILL: &str = "/fill/";
+const SERVING_PREFIX: &str = "/serve/";
+const BEST_EFFORT_PREFIX: &str = "/best-effort/";
 
-/// Why groups wait.
+/// Kinds of waiting groups.
 #[derive(Clone, Copy)]
 enum Kind {
-    /// They have only just come.
+    /// Newly submitted groups that fit.
     Fits,
-    /// The same, and their tasks start together.
+    /// As `Fits`, but the tasks of a group start together.
     Gang,
-    /// The same, with as many tasks as one proposal of starts holds for ten groups.
+    /// As `Fits`, with so many tasks that one proposal of starts holds ten groups.
     Wide,
-    /// They are alike, and nothing has room for one of their tasks.
+    /// Identical groups whose tasks fit on no worker.
     Full,
-    /// They are taken to disturb wherever they go, or find the processors used, in turn.
+    /// Alternately groups that are expected to interfere on every worker, and groups that find the processors in use.
     Overdue,
 }
 
-struct World {
+struct Cluster {
     state: State,
     leader: Leader,
     now: Millis,
@@ -98,35 +99,38 @@
         advice: None,
     };
     let pool = Pool { name: "vms".to_owned(), admission_check: true, powered_off: false };
-    let queues = vec![queue("serve", SERVE, 0), queue("fill", FILL, 2)];
+    let queues =
+        vec![queue("serve", SERVING_PREFIX, 0), queue("best-effort", BEST_EFFORT_PREFIX, 2)];
     Configuration { version: 1, queues, pools: vec![pool], ..Configuration::default() }
 }
 
-/// What a former leader knew: one image disturbs, the others hardly do.
-fn lesson() -> Estimates {
-    let mut fillers: Vec<String> = (0..FILLING_IMAGES).map(filling_image).collect();
-    fillers.push(LOUD.to_owned());
-    let mean = |image: &String| if image == LOUD { DISTURBING } else { STILL };
-    let means: Vec<f32> = fillers.iter().map(mean).collect();
-    let row = |i| (0..fillers.len()).map(|j| if i == j { 0.01 } else { 0.0 }).collect();
-    let spread: Vec<Vec<f32>> = (0..fillers.len()).map(row).collect();
-    let image = (IDLE_MS, fillers, means, spread);
+/// The estimates of an earlier leader: one image interferes, the others hardly do.
+fn estimates() -> Estimates {
+    let mut best_effort: Vec<String> = (0..BEST_EFFORT_IMAGES).map(best_effort_image).collect();
+    best_effort.push(INTERFERING_IMAGE.to_owned());
+    let mean = |image: &String| {
+        if image == INTERFERING_IMAGE { HIGH_INTERFERENCE } else { LOW_INTERFERENCE }
+    };
+    let means: Vec<f32> = best_effort.iter().map(mean).collect();
+    let row = |i| (0..best_effort.len()).map(|j| if i == j { 0.01 } else { 0.0 }).collect();
+    let covariances: Vec<Vec<f32>> = (0..best_effort.len()).map(row).collect();
+    let image = (IDLE_TAIL_MS, best_effort, means, covariances);
     let images: BTreeMap<String, _> =
         (0..SERVING_IMAGES).map(|i| (serving_image(i), image.clone())).collect();
-    // As it stands in a snapshot.
-    let bytes = rmp_serde::to_vec(&(BEGIN, images)).expect("a lesson can be written");
-    rmp_serde::from_slice(&bytes).expect("a lesson can be read")
+    // Encoded as in a snapshot.
+    let bytes = rmp_serde::to_vec(&(FIRST_TICK, images)).expect("estimates can be encoded");
+    rmp_serde::from_slice(&bytes).expect("estimates can be decoded")
 }
 
 fn serving_image(i: u32) -> String {
-    format!("till-{}", i % SERVING_IMAGES)
+    format!("serving-{}", i % SERVING_IMAGES)
 }
 
-fn filling_image(i: u32) -> String {
-    format!("fill-{}", i % FILLING_IMAGES)
+fn best_effort_image(i: u32) -> String {
+    format!("best-effort-{}", i % BEST_EFFORT_IMAGES)
 }
 
-fn serving(i: u32) -> Step {
+fn serving_step(i: u32) -> Step {
     Step {
         tasks: 1,
         milli_cpu: 3_000,
@@ -139,19 +143,19 @@
     }
 }
 
-fn filling(i: u32, tasks: u32, milli_cpu: u32) -> Step {
+fn best_effort_step(i: u32, tasks: u32, milli_cpu: u32) -> Step {
     Step {
         tasks,
         milli_cpu,
         memory_mib: 500,
         estimate_ms: 10_000,
-        image: filling_image(i),
+        image: best_effort_image(i),
         fills: true,
         ..Step::default()
     }
 }
 
-fn life(worker: u32) -> String {
+fn incarnation(worker: u32) -> String {
     format!("worker-{worker:04}-1234567890")
 }
 
@@ -159,45 +163,50 @@
     format!("agent-{worker:04}")
 }
 
-impl World {
-    /// Workers that all run their tasks and have reported.
-    fn new(workers: u32) -> World {
+impl Cluster {
+    /// Creates workers that all run their tasks and have reported.
+    fn new(workers: u32) -> Cluster {
         let mut state = State::new();
         state.apply(Change::Configure(configuration()));
-        state.apply(Change::Learned(lesson()));
+        state.apply(Change::Learned(estimates()));
         let terms = Terms { hold_ms: 6_000, drift_permille: 20, slack_ms: 100, keep_ms: 60_000 };
-        let leader = Leader::new(7, terms, Millis(BEGIN.0 - 2_000)).with_lesson(&lesson(), BEGIN);
-        let mut world = World { state, leader, now: BEGIN, workers, reports: 0 };
+        let leader = Leader::new(7, terms, Millis(FIRST_TICK.0 - 2_000))
+            .with_lesson(&estimates(), FIRST_TICK);
+        let mut cluster = Cluster { state, leader, now: FIRST_TICK, workers, reports: 0 };
         for worker in 0..workers {
-            world.run_on(worker);
+            cluster.run_on(worker);
         }
-        world.report_all();
-        world.tick();
-        world
+        cluster.report_all();
+        cluster.tick();
+        cluster
     }
 
-    /// One serving job whose tasks all run on the worker, and one filling job whose tasks run on it and
-    /// on those after it.
+    /// Places a serving job whose tasks all run on the worker, and a best-effort job whose tasks run on this worker
+    /// and the following ones.
     fn run_on(&mut self, worker: u32) {
-        let steps = (0..SERVING).map(|step| serving(worker + step)).collect();
+        let steps = (0..SERVING_PER_WORKER).map(|step| serving_step(worker + step)).collect();
         let id = u64::from(worker) * 2 + 1;
-        self.submit(SERVE, id, steps);
-        let places =
-            (0..SERVING).map(|step| (TaskName { job: id, time: 0, step, index: 0 }, worker));
+        self.submit(SERVING_PREFIX, id, steps);
+        let places = (0..SERVING_PER_WORKER)
+            .map(|step| (TaskName { job: id, time: 0, step, index: 0 }, worker));
         let mut places: Vec<(TaskName, u32)> = places.collect();
         let id = id + 1;
-        self.submit(FILL, id, vec![filling(worker, FILLING, 1_000)]);
-        places.extend((0..FILLING).map(|index| {
+        self.submit(
+            BEST_EFFORT_PREFIX,
+            id,
+            vec![best_effort_step(worker, BEST_EFFORT_PER_WORKER, 1_000)],
+        );
+        places.extend((0..BEST_EFFORT_PER_WORKER).map(|index| {
             (TaskName { job: id, time: 0, step: 0, index }, (worker + index) % self.workers)
         }));
         let start = |(task, worker): (TaskName, u32)| Start {
             run: RunName { task, number: 1 },
-            worker: life(worker),
+            worker: incarnation(worker),
             agent: agent(worker),
         };
         let reply = self.state.apply(Change::Start(places.into_iter().map(start).collect()));
         assert!(
-            matches!(reply, Reply::Started(runs) if runs.len() == (SERVING + FILLING) as usize)
+            matches!(reply, Reply::Started(runs) if runs.len() == (SERVING_PER_WORKER + BEST_EFFORT_PER_WORKER) as usize)
         );
     }
 
@@ -208,40 +217,40 @@
         assert_eq!(reply, Reply::Accepted);
     }
 
-    /// The same world with groups that wait, when it is time to place them.
-    fn with_groups(workers: u32, groups: u64, kind: Kind) -> World {
-        let mut world = World::new(workers);
+    /// Creates the workers and waiting groups, at the time at which the groups are placed.
+    fn with_groups(workers: u32, groups: u64, kind: Kind) -> Cluster {
+        let mut cluster = Cluster::new(workers);
         for group in 0..groups {
-            world.submit(FILL, 1_000_000 + group, vec![waiting_step(group, kind)]);
+            cluster.submit(BEST_EFFORT_PREFIX, 1_000_000 + group, vec![waiting_step(group, kind)]);
         }
         if matches!(kind, Kind::Overdue) {
-            let starts = world.tick();
-            assert_eq!(starts, 0, "a group that should wait is placed");
-            world.now = world.now + WAIT_MS;
+            let starts = cluster.tick();
+            assert_eq!(starts, 0, "a group that should wait was placed");
+            cluster.now = cluster.now + OVERDUE_MS;
         } else {
-            world.now = world.now + LOOK_MS;
+            cluster.now = cluster.now + TICK_INTERVAL_MS;
         }
-        world.report_all();
-        world.tick();
-        world.leader.start_rejected();
-        world
+        cluster.report_all();
+        cluster.tick();
+        cluster.leader.start_rejected();
+        cluster
     }
 
     fn report_of(&self, worker: u32) -> Report {
-        // Workers report in turn; tails and used processors waver, so each report brings new figures.
-        let wavers = self.reports / self.workers % 2;
+        // Workers report in turn; tails and used processors alternate, so that each report brings new figures.
+        let variation = self.reports / self.workers % 2;
         let row = |run: RunName| {
             let serves = self.state.step(run.task).is_some_and(Step::serves);
-            let figure = if serves { 6 } else { 900 } + wavers;
+            let figure = if serves { 6 } else { 900 } + variation;
             let percent = if serves { 100 } else { 20 };
             RunRow { run, percent, figure, ..RunRow::default() }
         };
-        let life = life(worker);
+        let incarnation = incarnation(worker);
         Report {
-            runs: self.state.placed(&life).map(row).collect(),
-            worker: life,
+            runs: self.state.placed(&incarnation).map(row).collect(),
+            worker: incarnation,
             pool: "vms".to_owned(),
-            milli_cpu: ROOM,
+            milli_cpu: WORKER_MILLI_CPU,
             memory_mib: 128_000,
             clock_ms: self.now.0,
             answers: true,
@@ -249,15 +258,15 @@
         }
     }
 
-    /// One worker reports; how long that took to take in, in microseconds.
+    /// Reports for one worker; returns how long the leader took to process the report, in microseconds.
     fn report(&mut self, worker: u32) -> f64 {
         let report = self.report_of(worker);
         self.reports += 1;
         let link = 1_000 + u64::from(worker);
         let agent = agent(worker);
-        let begun = Instant::now();
+        let started = Instant::now();
         self.leader.report(&self.state, self.now, link, &agent, report);
-        begun.elapsed().as_secs_f64() * 1e6
+        started.elapsed().as_secs_f64() * 1e6
     }
 
     fn report_all(&mut self) {
@@ -266,43 +275,43 @@
         }
     }
 
-    /// The leader looks at what is due; the number of starts that it proposes.
+    /// Runs a tick of the leader; returns the number of starts that it proposes.
     fn tick(&mut self) -> usize {
         starts(&self.leader.tick(&self.state, self.now, self.now, true))
     }
 
-    /// The same; how long it took, in microseconds, and the number of starts.
+    /// Runs a tick of the leader; returns its duration in microseconds and the number of starts.
     fn timed_tick(&mut self) -> (f64, usize) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let outputs = self.leader.tick(&self.state, self.now, self.now, true);
-        (begun.elapsed().as_secs_f64() * 1e6, starts(&outputs))
+        (started.elapsed().as_secs_f64() * 1e6, starts(&outputs))
     }
 
-    /// Microseconds of a tick with a plan and nothing else, and the number of starts in it.
+    /// Returns the duration of a tick that only makes a plan, in microseconds, and the number of starts in the plan.
     fn plan(&mut self) -> (f64, usize) {
-        let mut found = 0;
-        let plans = (0..TIMES).map(|_| {
+        let mut last_starts = 0;
+        let plans = (0..SAMPLES).map(|_| {
             let (us, starts) = self.timed_tick();
             self.leader.start_rejected();
-            found = starts;
+            last_starts = starts;
             us
         });
-        (median(plans.collect()), found)
+        (median(plans.collect()), last_starts)
     }
 }
 
 fn waiting_step(group: u64, kind: Kind) -> Step {
     let i = group as u32;
     match kind {
-        Kind::Fits => filling(i, TASKS, 1_000),
-        Kind::Gang => Step { gang: true, ..filling(i, TASKS, 1_000) },
-        Kind::Wide => filling(i, WIDE, 1_000),
-        Kind::Full => filling(0, TASKS, ROOM),
+        Kind::Fits => best_effort_step(i, GROUP_TASKS, 1_000),
+        Kind::Gang => Step { gang: true, ..best_effort_step(i, GROUP_TASKS, 1_000) },
+        Kind::Wide => best_effort_step(i, WIDE_GROUP_TASKS, 1_000),
+        Kind::Full => best_effort_step(0, GROUP_TASKS, WORKER_MILLI_CPU),
         Kind::Overdue if group.is_multiple_of(2) => {
-            Step { image: LOUD.to_owned(), ..filling(i, TASKS, 8_000) }
+            Step { image: INTERFERING_IMAGE.to_owned(), ..best_effort_step(i, GROUP_TASKS, 8_000) }
         }
-        // More than serving and filling tasks leave unused, less than the worker has.
-        Kind::Overdue => filling(i, TASKS, ROOM - 8_000),
+        // More than serving and best-effort tasks leave unused, less than the worker has.
+        Kind::Overdue => best_effort_step(i, GROUP_TASKS, WORKER_MILLI_CPU - 8_000),
     }
 }
 
@@ -314,57 +323,57 @@
     outputs.iter().map(starts).sum()
 }
 
-fn median(mut figures: Vec<f64>) -> f64 {
-    figures.sort_by(f64::total_cmp);
-    figures[figures.len() / 2]
+fn median(mut samples: Vec<f64>) -> f64 {
+    samples.sort_by(f64::total_cmp);
+    samples[samples.len() / 2]
 }
 
-/// Microseconds of a look alone, of taking in a report and of the order that answers it. No plan comes
-/// in between, as a proposal of starts is on its way.
-fn steady(workers: u32) -> [f64; 3] {
-    let mut world = World::with_groups(workers, 1, Kind::Fits);
-    assert_eq!(world.tick(), TASKS as usize);
-    let mut looks = Vec::new();
-    for _ in 0..TIMES {
-        world.now = world.now + LOOK_MS;
-        looks.push(world.timed_tick().0);
+/// Returns the duration of a tick without a plan, of processing a report, and of the tick that answers the report
+/// with an order, in microseconds. No plan is made in between, because a proposal of starts is in flight.
+fn steady_state_us(workers: u32) -> [f64; 3] {
+    let mut cluster = Cluster::with_groups(workers, 1, Kind::Fits);
+    assert_eq!(cluster.tick(), GROUP_TASKS as usize);
+    let mut ticks = Vec::new();
+    for _ in 0..SAMPLES {
+        cluster.now = cluster.now + TICK_INTERVAL_MS;
+        ticks.push(cluster.timed_tick().0);
     }
     let (mut reports, mut orders) = (Vec::new(), Vec::new());
-    for i in 0..TIMES as u32 * 10 {
-        reports.push(world.report(i % workers));
-        orders.push(world.timed_tick().0);
+    for i in 0..SAMPLES as u32 * 10 {
+        reports.push(cluster.report(i % workers));
+        orders.push(cluster.timed_tick().0);
     }
-    [median(looks), median(reports), median(orders)]
+    [median(ticks), median(reports), median(orders)]
 }
 
 fn main() {
     let kinds: BTreeMap<&str, Kind> = BTreeMap::from([
         ("1. that fit", Kind::Fits),
         ("2. gangs that fit", Kind::Gang),
-        ("3. whose trials are due", Kind::Overdue),
+        ("3. due for forced placement", Kind::Overdue),
         ("4. of 24 tasks that fit", Kind::Wide),
-        ("5. alike without room", Kind::Full),
+        ("5. identical, without room", Kind::Full),
     ]);
     println!(
-        "| workers | tasks | us a plan, nothing waits | us a look | us a report | us its order |"
+        "| workers | tasks | us per plan, nothing waits | us per tick | us per report | us per order |"
     );
     println!("|---|---|---|---|---|---|");
-    for workers in SIZES {
-        let idle = World::new(workers).plan().0;
-        let [look, report, order] = steady(workers);
-        let tasks = workers * (SERVING + FILLING);
-        println!("| {workers} | {tasks} | {idle:.0} | {look:.0} | {report:.1} | {order:.1} |");
+    for workers in WORKER_COUNTS {
+        let idle = Cluster::new(workers).plan().0;
+        let [tick, report, order] = steady_state_us(workers);
+        let tasks = workers * (SERVING_PER_WORKER + BEST_EFFORT_PER_WORKER);
+        println!("| {workers} | {tasks} | {idle:.0} | {tick:.0} | {report:.1} | {order:.1} |");
     }
     println!();
     println!(
         "| groups | workers | us with {} (starts) | with {} | with {} |",
-        GROUPS[0], GROUPS[1], GROUPS[2]
+        GROUP_COUNTS[0], GROUP_COUNTS[1], GROUP_COUNTS[2]
     );
     println!("|---|---|---|---|---|");
     for (name, kind) in kinds {
-        for workers in SIZES {
-            let plan = |groups| World::with_groups(workers, groups, kind).plan();
-            let cells = GROUPS.map(plan).map(|(us, starts)| format!("{us:.0} ({starts})"));
+        for workers in WORKER_COUNTS {
+            let plan = |groups| Cluster::with_groups(workers, groups, kind).plan();
+            let cells = GROUP_COUNTS.map(plan).map(|(us, starts)| format!("{us:.0} ({starts})"));
             println!("| {name} | {workers} | {} |", cells.join(" | "));
         }
     }
