--- a/crates/pond-job/src/configuration.rs
+++ b/crates/pond-job/src/configuration.rs
@@ -93,9 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Invalid {
     /// A queue refers to a pool that is not defined.
-    #[snafu(display(
-        "queue {queue}: pool {pool} is not defined; define it or choose another pool"
-    ))]
+    #[snafu(display("queue {queue}: there is no pool {pool}; define it or choose another one"))]
     UnknownPool {
         /// The queue.
         queue: String,
