--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -55,7 +55,7 @@
             |(other, worker): &(&String, &Worker)| worker.agent == agent && other.as_str() != life;
         let known = self.workers.iter().filter(former).map(|(other, _)| other.as_str());
         // A leader that has just come to lead knows former lives only from the log.
-        let logged = state.lives_beside(agent).filter(|other| *other != life);
+        let logged = state.incarnations_at(agent).filter(|other| *other != life);
         let former: BTreeSet<String> = known.chain(logged).map(str::to_owned).collect();
         for other in former {
             self.over(state, now, &other, None);
@@ -87,7 +87,7 @@
         let end = end.or(told.as_ref());
         let left = end.is_some_and(|end| end.left)
             || self.workers.get(life).is_some_and(|worker| worker.draining);
-        let logged = state.placed(life).next().is_some() || state.settled(life) > 0;
+        let logged = state.placed(life).next().is_some() || state.last_committed_end(life) > 0;
         if logged {
             self.propose_last_ends(state, life, end);
             let why = if left { Lost::Left } else { Lost::Crashed };
@@ -140,7 +140,7 @@
         self.told.retain(|life, _| state.placed(life).next().is_some());
     }
 
-    /// Proposes that nothing of a life runs any more, with the newest known saves of what ran there.
+    /// Proposes that nothing of a life runs any more, with the newest known checkpoints of what ran there.
     fn propose_lost(
         &mut self,
         state: &State,
@@ -168,7 +168,7 @@
             .cloned()
             .collect();
         let began = runs.iter().filter(|last| last.began);
-        let saves = began.map(|last| (last.run, last.save.clone())).collect();
+        let checkpoints = began.map(|last| (last.run, last.save.clone())).collect();
         let agent = self.agent_of(state, life);
         let blame = match tried {
             Some(tried) if tried.why == why => tried.blame.clone(),
@@ -179,8 +179,13 @@
         let runs = runs.into_iter().map(|last| (last.run, last.lived_ms)).collect();
         let decision = Decision::WorkerLost { worker: worker.clone(), why, silent_ms, runs };
         self.outputs.push(Output::Decided(decision));
-        let over = why != Lost::Silent;
-        self.outputs.push(Output::Propose(Change::WorkerLost { worker, saves, over, blame }));
+        let ended = why != Lost::Silent;
+        self.outputs.push(Output::Propose(Change::WorkerLost {
+            worker,
+            checkpoints,
+            ended,
+            blame,
+        }));
     }
 
     /// A loss is in the log: the jobs of its runs have stood still since the worker was last known to live, unless
@@ -198,7 +203,7 @@
     /// The agent beside a life; empty if it is not known any more.
     fn agent_of(&self, state: &State, life: &str) -> String {
         let known = self.workers.get(life).map(|worker| worker.agent.as_str());
-        known.or(state.agent_beside(life)).unwrap_or_default().to_owned()
+        known.or(state.agent_of(life)).unwrap_or_default().to_owned()
     }
 
     /// What is known of the runs that have their place on a life. What its agent told once it was over
@@ -234,7 +239,7 @@
     /// no effect. Each proposal holds all that is not settled: were one lost and only what came
     /// since proposed, the ends in it would be taken for settled with the higher ones.
     pub(super) fn propose_ends(&mut self, state: &State, now: Millis, life: &str, report: &Report) {
-        let settled = state.settled(life);
+        let settled = state.last_committed_end(life);
         let placed: BTreeSet<RunName> = state.placed(life).collect();
         let Some(worker) = self.workers.get_mut(life) else { return };
         let open = report.ends.iter().filter(|end| end.number > settled);
@@ -300,7 +305,7 @@
 
 /// The ends of a life that is over, of runs that have their place there, in their order.
 fn last_ends(state: &State, report: &Report) -> Vec<End> {
-    let (life, settled) = (report.worker.as_str(), state.settled(&report.worker));
+    let (life, settled) = (report.worker.as_str(), state.last_committed_end(&report.worker));
     let placed: BTreeSet<RunName> = state.placed(life).collect();
     let open = |row: &&EndRow| row.number > settled && placed.contains(&row.run);
     let mut ends: Vec<End> = report.ends.iter().filter(open).map(end_from).collect();
@@ -309,5 +314,5 @@
 }
 
 fn end_from(row: &EndRow) -> End {
-    End { number: row.number, run: row.run, how: row.how(), save: row.save.clone() }
+    End { number: row.number, run: row.run, how: row.how(), checkpoint: row.save.clone() }
 }
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -1,4 +1,4 @@
-//! What happens to runs in the replicated state: starts, ends and lost workers.
+//! Changes to runs in the replicated state: starts, ends and lost workers.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +9,16 @@
 use crate::suspicion::{Blame, Suspicion};
 
 impl State {
-    /// Places the runs whose tasks may start; the others are left out of the reply.
-    pub(super) fn start(&mut self, starts: Vec<Start>) -> Reply {
-        let accepted = starts.into_iter().filter_map(|start| self.start_one(start)).collect();
+    /// Places the runs whose tasks may start; the reply omits the others.
+    pub(super) fn place_runs(&mut self, starts: Vec<Start>) -> Reply {
+        let accepted = starts.into_iter().filter_map(|start| self.place_run(start)).collect();
         Reply::Started(accepted)
     }
 
-    fn start_one(&mut self, start: Start) -> Option<RunName> {
+    fn place_run(&mut self, start: Start) -> Option<RunName> {
         let name = start.run.task;
         let job = self.jobs.get_mut(&name.job).filter(|job| !job.phase.ended())?;
-        if !job.turn(name.time as usize, name.step as usize) {
+        if !job.is_step_ready(name.time as usize, name.step as usize) {
             return None;
         }
         let task = job.task_mut(name)?;
@@ -35,27 +35,32 @@
         Some(start.run)
     }
 
-    /// Takes in ends that were not settled before, and runs that never started.
-    pub(super) fn end(&mut self, worker: &str, ends: Vec<End>, unstarted: &[RunName]) -> Reply {
-        let mut touched = BTreeSet::new();
+    /// Applies ends that were not committed before, and removes runs that never started.
+    pub(super) fn apply_ends(
+        &mut self,
+        worker: &str,
+        ends: Vec<End>,
+        unstarted: &[RunName],
+    ) -> Reply {
+        let mut changed = BTreeSet::new();
         for end in ends {
-            if end.number <= self.settled(worker) {
+            if end.number <= self.last_committed_end(worker) {
                 continue;
             }
-            self.settled.insert(worker.to_owned(), end.number);
-            self.take_away(worker, end.run);
-            self.end_one(end.run, end.how, end.save);
-            touched.insert(end.run.task.job);
+            self.committed.insert(worker.to_owned(), end.number);
+            self.release_run(worker, end.run);
+            self.apply_end(end.run, end.how, end.checkpoint);
+            changed.insert(end.run.task.job);
         }
         for run in unstarted {
-            self.take_away(worker, *run);
-            touched.insert(run.task.job);
+            self.release_run(worker, *run);
+            changed.insert(run.task.job);
         }
-        Reply::Ended(touched.into_iter().filter_map(|id| self.settle_job(id)).collect())
+        Reply::Ended(changed.into_iter().filter_map(|id| self.update_phase(id)).collect())
     }
 
-    /// Takes a run from its worker; the task can be placed again.
-    fn take_away(&mut self, worker: &str, run: RunName) {
+    /// Removes a run from its worker; the task can then be placed again.
+    fn release_run(&mut self, worker: &str, run: RunName) {
         let Some(runs) = self.placed.get_mut(worker) else { return };
         if !runs.remove(&run) {
             return;
@@ -73,33 +78,33 @@
         }
     }
 
-    fn end_one(&mut self, run: RunName, how: How, save: String) {
+    fn apply_end(&mut self, run: RunName, how: How, checkpoint: String) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         job.begun = true;
-        let attempts = job.attempts;
+        let max_attempts = job.max_attempts;
         let Some(step) = job.step(run.task) else { return };
         let (lasting, gang) = (step.lasting, step.gang);
         let Some(task) = job.task_mut(run.task) else { return };
-        if !save.is_empty() {
-            task.save = save;
+        if !checkpoint.is_empty() {
+            task.checkpoint = checkpoint;
         }
         let newest = task.run == run.number;
         if how == How::Done && newest {
             task.suspicion = None;
         }
-        // A worker that fails whatever it starts tells nothing of what the task does to others, so a failure
-        // clears nothing.
-        let held = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
-        let given_up = held.is_some_and(|held| {
-            held.add_failure();
-            held.convicts()
+        // A failure does not clear the task: a worker on which every run fails shows nothing about the task's effect on
+        // others.
+        let suspicion = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
+        let given_up = suspicion.is_some_and(|suspicion| {
+            suspicion.record_failure();
+            suspicion.is_culprit()
         });
         match how {
-            How::Done if !lasting => self.done(run.task, gang),
+            How::Done if !lasting => self.complete_task(run.task, gang),
             How::Failed => {
-                task.failed += u32::from(!lasting);
-                let used_up = !lasting && task.failed >= attempts;
-                if (used_up || given_up) && !job.phase.ended() {
+                task.failures += u32::from(!lasting);
+                let exhausted = !lasting && task.failures >= max_attempts;
+                if (exhausted || given_up) && !job.phase.ended() {
                     job.phase = Phase::Failed;
                 }
             }
@@ -107,52 +112,53 @@
         }
     }
 
-    /// One end of a gang stands for all of it.
-    fn done(&mut self, name: TaskName, gang: bool) {
+    /// Marks a task as done, or all tasks of its gang: the end of one member ends the gang.
+    fn complete_task(&mut self, name: TaskName, gang: bool) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
-        let mut newly = 0;
+        let mut completed = 0;
         let steps = job.times.get_mut(name.time as usize);
         let Some(tasks) = steps.and_then(|steps| steps.get_mut(name.step as usize)) else { return };
         for (index, task) in tasks.iter_mut().enumerate() {
-            let stands = gang || index == name.index as usize;
-            if stands && !task.done {
+            let completes = gang || index == name.index as usize;
+            if completes && !task.done {
                 task.done = true;
-                newly += 1;
+                completed += 1;
             }
         }
-        job.open -= newly;
+        job.unfinished -= completed;
     }
 
-    /// What is held against the task of a run with the loss of a life; none if the loss does not count, as the
-    /// run has no place there any more or nothing of its job goes on.
-    pub fn held_with(&self, worker: &str, blame: &Blame) -> Option<Suspicion> {
+    /// Returns the suspicion against a task once the loss of a worker incarnation is added; `None` if the loss does
+    /// not count because the run is no longer placed there, the task is done or its job has ended.
+    pub fn suspicion_with(&self, worker: &str, blame: &Blame) -> Option<Suspicion> {
         let runs = self.placed.get(worker)?;
         let job = self.jobs.get(&blame.run.task.job).filter(|job| !job.phase.ended())?;
         let task = job.task(blame.run.task).filter(|task| !task.done)?;
-        let mut held = task.suspicion.as_deref().cloned().unwrap_or_default();
+        let mut suspicion = task.suspicion.as_deref().cloned().unwrap_or_default();
         let agent = self.agents.get(worker).map_or("", String::as_str);
-        held.add(blame, agent);
-        Some(held).filter(|_| runs.contains(&blame.run))
+        suspicion.record_loss(blame, agent);
+        Some(suspicion).filter(|_| runs.contains(&blame.run))
     }
 
-    /// Counts the loss of a life against tasks whose runs were lost with it. A proposal that is applied
-    /// twice counts once, as the runs have no place there any more. A task that takes down its workers would
-    /// do so for ever: its job has failed, whatever attempts it has left.
-    pub(super) fn blame(&mut self, worker: &str, blame: &[Blame]) {
+    /// Counts the loss of a worker incarnation against the tasks whose runs were lost with it.
+    ///
+    /// A proposal that is applied twice counts once, because the runs are no longer placed there the second time. A
+    /// culprit would keep crashing workers, so its job fails even if it has attempts left.
+    pub(super) fn record_losses(&mut self, worker: &str, blame: &[Blame]) {
         for blame in blame {
-            let Some(held) = self.held_with(worker, blame) else { continue };
+            let Some(suspicion) = self.suspicion_with(worker, blame) else { continue };
             let Some(job) = self.jobs.get_mut(&blame.run.task.job) else { continue };
-            if held.convicts() {
+            if suspicion.is_culprit() {
                 job.phase = Phase::Failed;
             }
             if let Some(task) = job.task_mut(blame.run.task) {
-                task.suspicion = Some(Box::new(held));
+                task.suspicion = Some(Box::new(suspicion));
             }
         }
     }
 
-    /// Clears the tasks of which these are the newest runs.
-    pub(super) fn clear(&mut self, runs: &[RunName]) -> Reply {
+    /// Clears the tasks whose newest run is among `runs`.
+    pub(super) fn clear_suspicions(&mut self, runs: &[RunName]) -> Reply {
         for run in runs {
             let job = self.jobs.get_mut(&run.task.job);
             let task = job.and_then(|job| job.task_mut(run.task));
@@ -163,28 +169,28 @@
         Reply::Accepted
     }
 
-    /// Takes all runs from a life of a worker on which nothing runs any more.
-    pub(super) fn lose(
+    /// Removes all runs from a worker incarnation on which nothing runs any more.
+    pub(super) fn lose_worker(
         &mut self,
         worker: &str,
-        saves: Vec<(RunName, String)>,
-        over: bool,
+        checkpoints: Vec<(RunName, String)>,
+        ended: bool,
     ) -> Reply {
-        for (run, save) in saves {
+        for (run, checkpoint) in checkpoints {
             let Some(job) = self.jobs.get_mut(&run.task.job) else { continue };
             job.begun = true;
             let task = job.task_mut(run.task).filter(|task| task.run == run.number);
-            if let Some(task) = task.filter(|_| !save.is_empty()) {
-                task.save = save;
+            if let Some(task) = task.filter(|_| !checkpoint.is_empty()) {
+                task.checkpoint = checkpoint;
             }
         }
         let runs: Vec<RunName> = self.placed(worker).collect();
         for run in &runs {
-            self.take_away(worker, *run);
+            self.release_run(worker, *run);
         }
-        if over {
-            self.settled.remove(worker);
+        if ended {
+            self.committed.remove(worker);
         }
-        Reply::Ended(runs.iter().filter_map(|run| self.settle_job(run.task.job)).collect())
+        Reply::Ended(runs.iter().filter_map(|run| self.update_phase(run.task.job)).collect())
     }
 }
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -249,7 +249,7 @@
     bench.now = bench.now + 6_300;
     let outputs = bench.leader.tick(&bench.state, bench.now, bench.now, true);
     let loss = outputs.into_iter().find_map(|output| match output {
-        Output::Propose(change @ Change::WorkerLost { over: false, .. }) => Some(change),
+        Output::Propose(change @ Change::WorkerLost { ended: false, .. }) => Some(change),
         _ => None,
     });
     list_late(&mut bench, run);
@@ -387,7 +387,7 @@
     report_late(&mut bench, run);
     bench.end("a", run, How::Done);
     assert_eq!(bench.phase(1), Some(Phase::Cancelled));
-    assert_eq!(bench.state.settled("a"), 1);
+    assert_eq!(bench.state.last_committed_end("a"), 1);
     assert_eq!(bench.state.active().count(), 0);
 }
 
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -37,13 +37,13 @@
 }
 
 fn end(state: &mut State, worker: &str, number: u64, run: RunName, how: How) {
-    let ends = vec![End { number, run, how, save: String::new() }];
+    let ends = vec![End { number, run, how, checkpoint: String::new() }];
     state.apply(Change::Ended { worker: worker.to_owned(), ends, unstarted: vec![] });
 }
 
 fn lose(state: &mut State, worker: &str) {
     let worker = worker.to_owned();
-    state.apply(Change::WorkerLost { worker, saves: vec![], over: false, blame: vec![] });
+    state.apply(Change::WorkerLost { worker, checkpoints: vec![], ended: false, blame: vec![] });
 }
 
 fn phase(state: &State) -> Phase {
@@ -80,7 +80,7 @@
     start(&mut state, run(0, 0, 1), "a");
     end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
     end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
-    assert_eq!(state.job(1).unwrap().task(task(1, 0, 0)).unwrap().failed, 1);
+    assert_eq!(state.job(1).unwrap().task(task(1, 0, 0)).unwrap().failures, 1);
     assert_eq!(phase(&state), Phase::Running);
 }
 
@@ -203,7 +203,7 @@
 #[test]
 fn waiting_jobs_are_counted_until_their_first_start() {
     let mut state = state(vec![step(1, 100)]);
-    let waiting = |state: &State| state.waiting("quick", |_, _| true);
+    let waiting = |state: &State| state.waiting_jobs("quick", |_, _| true);
     assert_eq!(waiting(&state), 1);
     start(&mut state, run(0, 0, 1), "a");
     assert_eq!(waiting(&state), 0);
@@ -227,17 +227,17 @@
 #[test]
 fn job_that_refers_to_later_steps_is_not_bearable() {
     let first = Step { after: vec![1], ..step(1, 100) };
-    assert!(!State::bearable(&spec(vec![first, step(1, 100)])));
-    assert!(!State::bearable(&spec(vec![step(30_000, 100)])));
-    assert!(State::bearable(&spec(vec![step(30, 100)])));
+    assert!(!State::is_acceptable(&spec(vec![first, step(1, 100)])));
+    assert!(!State::is_acceptable(&spec(vec![step(30_000, 100)])));
+    assert!(State::is_acceptable(&spec(vec![step(30, 100)])));
 }
 
 #[test]
 fn repeated_job_without_tasks_still_counts_its_times() {
     let repeat = pond_proto::job::Repeat { times: u32::MAX, first_ms: 0, every_ms: 1 };
     let endless = Spec { repeat: Some(repeat), ..spec(vec![]) };
-    assert!(!State::bearable(&endless));
-    assert!(!State::bearable(&Spec { repeat: Some(repeat), ..spec(vec![step(0, 1)]) }));
+    assert!(!State::is_acceptable(&endless));
+    assert!(!State::is_acceptable(&Spec { repeat: Some(repeat), ..spec(vec![step(0, 1)]) }));
 }
 
 #[test]
@@ -272,10 +272,10 @@
     let mut state = state(vec![step(2, 100)]);
     start(&mut state, run(0, 0, 1), "a");
     start(&mut state, run(0, 1, 1), "a");
-    let end = End { number: 1, run: run(0, 0, 1), how: How::Failed, save: String::new() };
+    let end = End { number: 1, run: run(0, 0, 1), how: How::Failed, checkpoint: String::new() };
     let (ends, unstarted) = ([end], [run(0, 1, 1)]);
     let news = |state: &State| {
-        let (ends, unstarted) = state.unsettled("a", &ends, &unstarted);
+        let (ends, unstarted) = state.uncommitted("a", &ends, &unstarted);
         (ends.len(), unstarted.len())
     };
     let before = news(&state);
--- a/crates/pond-job/tests/world/mod.rs
+++ b/crates/pond-job/tests/world/mod.rs
@@ -261,7 +261,7 @@
         for task in blame.iter().map(|blame| blame.run.task) {
             let job = self.state.job(task.job).filter(|job| job.phase == Phase::Failed);
             let suspicion = job.and_then(|job| job.task(task)?.suspicion.as_ref());
-            if open.contains(&task.job) && suspicion.is_some_and(|lost| lost.convicts()) {
+            if open.contains(&task.job) && suspicion.is_some_and(|lost| lost.is_culprit()) {
                 self.watch.given_up.insert(task, self.now);
             }
         }
@@ -307,7 +307,7 @@
         }
         self.term += 1;
         let leader = Leader::new(self.term, terms(), self.now);
-        self.leader = Some(leader.with_lesson(self.state.lesson(), self.now));
+        self.leader = Some(leader.with_lesson(self.state.estimates(), self.now));
     }
 
     /// The link of a machine closes; its agent finds the leader again within some time.
@@ -340,7 +340,8 @@
                 }
                 Output::Advise(question) => {
                     let named = question.workers.len() as u64;
-                    let takes_ms = question.advice.decide_ms + question.advice.each_ms * named;
+                    let takes_ms =
+                        question.advice.decide_ms + question.advice.per_worker_ms * named;
                     self.questions.push((self.now + takes_ms, question));
                 }
                 Output::Decided(decision) => self.diary.push((self.now, decision)),
