--- a/crates/pond-agent/src/agent.rs
+++ b/crates/pond-agent/src/agent.rs
@@ -8,7 +8,7 @@
 use pond_log::{Logger, event};
 use pond_proto::Millis;
 use pond_proto::wire::Body;
-use pond_uplink::{Told, Uplink};
+use pond_uplink::{Notification, Uplink};
 use tokio::sync::mpsc;
 use tokio::time::{Instant as Timer, sleep_until};
 
@@ -24,9 +24,9 @@
 /// Something that happens to an agent.
 enum Input {
     Registered(Registration),
-    Leaves(String),
-    Answered { life: String, token: u64, look: u64, call: Call, answer: Answer },
-    Learn(Vec<String>),
+    Deregistered(String),
+    Answered { incarnation: String, token: u64, list_id: u64, call: Call, answer: Answer },
+    AddAddresses(Vec<String>),
 }
 
 /// Takes in what a worker says of itself.
@@ -42,13 +42,13 @@
     }
 
     /// The worker of that id says that it ends. False if the agent has stopped.
-    pub async fn leaves(&self, id: String) -> bool {
-        self.inputs.send(Input::Leaves(id)).await.is_ok()
+    pub async fn deregistered(&self, id: String) -> bool {
+        self.inputs.send(Input::Deregistered(id)).await.is_ok()
     }
 
     /// Further addresses of control replicas.
-    pub async fn learn(&self, addresses: Vec<String>) -> bool {
-        self.inputs.send(Input::Learn(addresses)).await.is_ok()
+    pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
+        self.inputs.send(Input::AddAddresses(addresses)).await.is_ok()
     }
 }
 
@@ -114,16 +114,16 @@
         }
     }
 
-    fn told(&mut self, now: Millis, told: Told) {
+    fn told(&mut self, now: Millis, told: Notification) {
         match told {
-            Told::Leader { term, new, .. } if new => self.core.leader_up(term),
-            Told::Frame(Body::Order(order)) => {
+            Notification::Leader { term, new, .. } if new => self.core.leader_up(term),
+            Notification::Frame(Body::Order(order)) => {
                 event!(self.log, ORDERED, "worker" => order.worker.clone(), "term" => order.term,
                     "starts" => order.starts.len(), "stops" => order.stops.len(),
                     "lease_end_ms" => order.lease_end_ms, "settled" => order.settled);
                 self.core.order(now, order);
             }
-            Told::Leader { .. } | Told::Lost | Told::Frame(_) => {}
+            Notification::Leader { .. } | Notification::Lost | Notification::Frame(_) => {}
         }
     }
 
@@ -131,47 +131,47 @@
         let now = self.now();
         match input {
             Input::Registered(registration) => self.registered(now, registration),
-            Input::Leaves(id) => {
+            Input::Deregistered(id) => {
                 event!(self.log, WORKER_LEAVES, "worker" => id.clone());
-                self.core.leaves(now, &id);
+                self.core.deregistered(now, &id);
             }
-            Input::Answered { life, token, look, call, answer } => {
-                self.log_answer(&life, &call, &answer);
-                self.core.answer(now, &life, token, look, &call, answer);
+            Input::Answered { incarnation, token, list_id, call, answer } => {
+                self.log_answer(&incarnation, &call, &answer);
+                self.core.answer(now, &incarnation, token, list_id, &call, answer);
             }
-            Input::Learn(addresses) => self.uplink.learn(&addresses),
+            Input::AddAddresses(addresses) => self.uplink.add_addresses(&addresses),
         }
     }
 
     fn registered(&mut self, now: Millis, registration: Registration) {
         if let Some(mismatch) = self.core.mismatch(now, &registration) {
-            event!(self.log, CALL_FAILED, "worker" => registration.life.clone(),
+            event!(self.log, CALL_FAILED, "worker" => registration.incarnation.clone(),
                 "why" => "a registration of this life that is not its own",
                 "mismatch" => format!("{mismatch:?}"), "sequence" => registration.sequence,
                 "clock_ms" => registration.clock_ms);
-        } else if self.core.news_in(&registration) {
-            event!(self.log, WORKER_REGISTERED, "worker" => registration.life.clone(),
+        } else if self.core.has_changes(&registration) {
+            event!(self.log, WORKER_REGISTERED, "worker" => registration.incarnation.clone(),
                 "draining" => registration.draining, "sequence" => registration.sequence);
         }
         self.core.registered(now, registration);
     }
 
-    fn log_answer(&self, life: &str, call: &Call, answer: &Answer) {
+    fn log_answer(&self, incarnation: &str, call: &Call, answer: &Answer) {
         let done = matches!(answer.reply, Reply::Done | Reply::Listed { .. });
         let (verb, run) = match call {
             Call::Start { run, .. } => ("start", run.to_string()),
             Call::Stop { run } => ("stop", run.to_string()),
             Call::Pace { run, percent } => ("pace", format!("{run} to {percent} %")),
-            Call::Look { .. } => ("look", String::new()),
+            Call::List { .. } => ("look", String::new()),
         };
         if !done {
-            event!(self.log, CALL_FAILED, "worker" => life.to_owned(), "call" => verb, "run" => run,
+            event!(self.log, CALL_FAILED, "worker" => incarnation.to_owned(), "call" => verb, "run" => run,
                 "reply" => format!("{:?}", answer.reply));
         } else if let Call::Pace { run, percent } = call {
-            event!(self.log, RUN_PACED, "worker" => life.to_owned(), "run" => run.to_string(),
+            event!(self.log, RUN_PACED, "worker" => incarnation.to_owned(), "run" => run.to_string(),
                 "percent" => *percent);
-        } else if !matches!(call, Call::Look { .. }) {
-            event!(self.log, WORKER_CALLED, "worker" => life.to_owned(), "call" => verb, "run" => run);
+        } else if !matches!(call, Call::List { .. }) {
+            event!(self.log, WORKER_CALLED, "worker" => incarnation.to_owned(), "call" => verb, "run" => run);
         }
     }
 
@@ -182,8 +182,8 @@
                 Output::Report(report) => {
                     self.uplink.send(Body::Report(report));
                 }
-                Output::Call { address, life, token, look, call } => {
-                    self.call(address, life, token, look, call);
+                Output::Call { address, incarnation, token, list_id, call } => {
+                    self.call(address, incarnation, token, list_id, call);
                 }
                 Output::Observed(observation) => self.log_observation(observation),
             }
@@ -192,23 +192,24 @@
 
     fn log_observation(&self, observation: Observation) {
         match observation {
-            Observation::EndRepeated { life, run, number, settled } => {
-                event!(self.log, END_REPEATED, "worker" => life, "run" => run.to_string(),
-                    "number" => number, "settled" => settled);
+            Observation::EndRepeated { incarnation, run, number, committed } => {
+                event!(self.log, END_REPEATED, "worker" => incarnation, "run" => run.to_string(),
+                    "number" => number, "settled" => committed);
             }
-            Observation::RunVanished { life, run, settled } => {
-                event!(self.log, RUN_VANISHED, "worker" => life, "run" => run.to_string(),
-                    "settled" => settled);
+            Observation::RunVanished { incarnation, run, committed } => {
+                event!(self.log, RUN_VANISHED, "worker" => incarnation, "run" => run.to_string(),
+                    "settled" => committed);
             }
         }
     }
 
-    fn call(&self, address: String, life: String, token: u64, look: u64, call: Call) {
+    fn call(&self, address: String, incarnation: String, token: u64, list_id: u64, call: Call) {
         let (worker, sender) = (self.worker.clone(), self.sender.clone());
         tokio::spawn(async move {
-            let answer = worker.call(&address, &life, token, call.clone()).await;
+            let answer = worker.call(&address, &incarnation, token, call.clone()).await;
             // The receiver is gone only when the agent has stopped.
-            let _ = sender.send(Input::Answered { life, token, look, call, answer }).await;
+            let _ =
+                sender.send(Input::Answered { incarnation, token, list_id, call, answer }).await;
         });
     }
 }
--- a/crates/pond-agent/src/core/answers.rs
+++ b/crates/pond-agent/src/core/answers.rs
@@ -44,9 +44,9 @@
     pub fn answer(
         &mut self,
         now: Millis,
-        life: &str,
+        incarnation: &str,
         token: u64,
-        look: u64,
+        list_id: u64,
         call: &Call,
         answer: Answer,
     ) {
@@ -54,8 +54,8 @@
             // Another has called with a higher one; calls with this one are refused for good.
             self.fenced = self.fenced.max(token);
         }
-        if self.life() != Some(life) {
-            return self.claim_answer(now, life, look, answer);
+        if self.incarnation() != Some(incarnation) {
+            return self.claim_answer(now, incarnation, list_id, answer);
         }
         match answer.reply {
             Reply::OtherLife => return self.other_worker(now),
@@ -73,7 +73,7 @@
         match call {
             Call::Start { run, .. } => self.start_answer(now, *run, &answer.reply),
             Call::Stop { run } => self.stop_answer(now, *run, &answer.reply),
-            Call::Look { .. } => self.look_answer(now, look, answer),
+            Call::List { .. } => self.look_answer(now, list_id, answer),
             Call::Pace { run, percent } => self.pace_answer(*run, *percent, &answer.reply),
         }
     }
@@ -102,8 +102,8 @@
     fn doubt(&mut self, call: &Call) {
         self.doubted = Some(self.looks);
         // A list that failed is asked for again in any case, less and less often.
-        if !matches!(call, Call::Look { .. }) && self.checking.is_none() {
-            self.checking = Some(self.look(0));
+        if !matches!(call, Call::List { .. }) && self.checking.is_none() {
+            self.checking = Some(self.request_list(0));
         }
     }
 
@@ -140,8 +140,8 @@
             return;
         }
         if *reply == Reply::Done {
-            run.phase = Phase::Stopped { look: looks };
-            self.look(0);
+            run.phase = Phase::Stopped { list_id: looks };
+            self.request_list(0);
         } else {
             run.due = now + wait_again_ms(&mut run.fails);
         }
@@ -170,19 +170,19 @@
         }
     }
 
-    pub(super) fn look_answer(&mut self, now: Millis, look: u64, answer: Answer) {
-        if self.looking == Some(look) {
+    pub(super) fn look_answer(&mut self, now: Millis, list_id: u64, answer: Answer) {
+        if self.looking == Some(list_id) {
             self.looking = None;
         }
-        if self.checking == Some(look) {
+        if self.checking == Some(list_id) {
             self.checking = None;
         }
-        let acknowledged = self.acknowledging.filter(|(carrier, _)| *carrier == look);
+        let acknowledged = self.acknowledging.filter(|(carrier, _)| *carrier == list_id);
         if acknowledged.is_some() {
             self.acknowledging = None;
         }
         let lives = !matches!(answer.reply, Reply::Unknown | Reply::NotSent);
-        for run in self.runs.values_mut().filter(|run| lives && run.awaits == Some(look)) {
+        for run in self.runs.values_mut().filter(|run| lives && run.awaits == Some(list_id)) {
             run.awaits = None;
             run.due = now;
         }
@@ -194,10 +194,10 @@
         self.look_fails = 0;
         self.listed = now;
         self.answered = true;
-        self.doubted = self.doubted.filter(|doubted| look <= *doubted);
-        self.acknowledged = acknowledged.map_or(self.acknowledged, |(_, settled)| settled);
+        self.doubted = self.doubted.filter(|doubted| list_id <= *doubted);
+        self.acknowledged = acknowledged.map_or(self.acknowledged, |(_, committed)| committed);
         for end in ends {
-            if end.number <= self.settled {
+            if end.number <= self.committed {
                 self.note_repeated(&end);
             } else if !self.ends.contains_key(&end.number) {
                 self.runs.remove(&end.run);
@@ -206,29 +206,32 @@
             }
         }
         let listed: BTreeSet<RunName> = runs.iter().map(|row| row.run).collect();
-        self.take_rows(now, look, runs);
-        self.find_unstarted(look, &listed);
-        self.drop_vanished(look);
+        self.take_rows(now, list_id, runs);
+        self.find_unstarted(list_id, &listed);
+        self.drop_vanished(list_id);
         self.settle_doubts();
         self.pace(now);
-        let quiet = self.ends.is_empty() && self.settled == self.acknowledged;
+        let quiet = self.ends.is_empty() && self.committed == self.acknowledged;
         let wait = if quiet { 0 } else { UNSETTLED_WAIT_MS };
         self.look_due = now + wait;
     }
 
     /// Lists overlap, so settled ends come again; the run of such an end is known no more.
     fn note_repeated(&mut self, end: &EndRow) {
-        let Some(life) = self.life().filter(|_| self.runs.contains_key(&end.run)) else { return };
-        let (life, run, number) = (life.to_owned(), end.run, end.number);
-        let settled = self.settled;
-        let observation = Observation::EndRepeated { life, run, number, settled };
+        let Some(incarnation) = self.incarnation().filter(|_| self.runs.contains_key(&end.run))
+        else {
+            return;
+        };
+        let (incarnation, run, number) = (incarnation.to_owned(), end.run, end.number);
+        let committed = self.committed;
+        let observation = Observation::EndRepeated { incarnation, run, number, committed };
         self.outputs.push(Output::Observed(observation));
     }
 
     /// A list may be older than an answer to a start, so it only adds. A run that is not known is
     /// told at once: nobody may want it any more, and only control can tell. (The next report would
     /// come up to 0.9 s later.)
-    fn take_rows(&mut self, now: Millis, look: u64, rows: Vec<RunRow>) {
+    fn take_rows(&mut self, now: Millis, list_id: u64, rows: Vec<RunRow>) {
         for row in rows {
             let name = row.run;
             if self.ends.values().any(|end| end.run == name) {
@@ -246,7 +249,7 @@
             match run.phase {
                 Phase::Starting { .. } => run.phase = Phase::Running,
                 // It still stops, or it was started after its stop: the stop is called again.
-                Phase::Stopped { look: before } if before < look => {
+                Phase::Stopped { list_id: before } if before < list_id => {
                     run.phase = Phase::Stopping;
                     run.due = now + GOES_ON_MS;
                 }
@@ -261,26 +264,27 @@
     /// A run that was listed once, and that a list asked for since lacks, has ended; its end is settled
     /// if none is left to settle. A late list brings such a run back, and it would be reported for
     /// ever.
-    fn drop_vanished(&mut self, look: u64) {
+    fn drop_vanished(&mut self, list_id: u64) {
         if !self.ends.is_empty() {
             return;
         }
-        let vanished = |_: &RunName, run: &mut Run| run.seen.is_some_and(|before| before < look);
+        let vanished = |_: &RunName, run: &mut Run| run.seen.is_some_and(|before| before < list_id);
         let vanished: Vec<RunName> =
             self.runs.extract_if(.., vanished).map(|(run, _)| run).collect();
-        let settled = self.settled;
+        let committed = self.committed;
         for run in vanished {
-            let life = self.life().unwrap_or_default().to_owned();
-            let observation = Observation::RunVanished { life, run, settled };
+            let incarnation = self.incarnation().unwrap_or_default().to_owned();
+            let observation = Observation::RunVanished { incarnation, run, committed };
             self.outputs.push(Output::Observed(observation));
         }
     }
 
     /// Runs whose stop was confirmed before this list was asked for, and that neither run nor have
     /// ended, never started.
-    fn find_unstarted(&mut self, look: u64, listed: &BTreeSet<RunName>) {
+    fn find_unstarted(&mut self, list_id: u64, listed: &BTreeSet<RunName>) {
         let never = |(name, run): &(&RunName, &Run)| {
-            let stopped = matches!(run.phase, Phase::Stopped { look: before } if before < look);
+            let stopped =
+                matches!(run.phase, Phase::Stopped { list_id: before } if before < list_id);
             stopped && run.seen.is_none() && !listed.contains(name)
         };
         let found: Vec<RunName> = self.runs.iter().filter(never).map(|(name, _)| *name).collect();
--- a/crates/pond-agent/src/core/claim.rs
+++ b/crates/pond-agent/src/core/claim.rs
@@ -24,16 +24,16 @@
 
 impl Claim {
     /// Whether it is that life's.
-    pub fn is_of(&self, life: &str) -> bool {
-        self.registration.life == life
+    pub fn is_of(&self, incarnation: &str) -> bool {
+        self.registration.incarnation == incarnation
     }
 }
 
 impl Core {
     /// A life registers that is not the known one. It is asked whether it is there.
     pub(super) fn claim(&mut self, now: Millis, registration: Registration) {
-        let life = registration.life.clone();
-        match self.claims.iter_mut().find(|claim| claim.is_of(&life)) {
+        let incarnation = registration.incarnation.clone();
+        match self.claims.iter_mut().find(|claim| claim.is_of(&incarnation)) {
             Some(claim) if registration.sequence <= claim.registration.sequence => return,
             Some(claim) => claim.registration = registration,
             None => {
@@ -43,7 +43,7 @@
             }
         }
         self.ask_claims();
-        self.adopt_unanswered(now, &life);
+        self.adopt_unanswered(now, &incarnation);
     }
 
     /// Asks all lives that claim to be there and have no call on its way.
@@ -56,24 +56,30 @@
             self.looks += 1;
             self.outputs.push(Output::Call {
                 address: claim.registration.address.clone(),
-                life: claim.registration.life.clone(),
+                incarnation: claim.registration.incarnation.clone(),
                 token: self.term,
-                look: self.looks,
-                call: Call::Look { lease_end_ms: 0, settled: 0, wait_ms: 0 },
+                list_id: self.looks,
+                call: Call::List { lease_end_ms: 0, committed: 0, wait_ms: 0 },
             });
         }
     }
 
     /// A life that claims to be there answered, or did not.
-    pub(super) fn claim_answer(&mut self, now: Millis, life: &str, look: u64, answer: Answer) {
-        let found = self.claims.iter().position(|claim| claim.is_of(life));
+    pub(super) fn claim_answer(
+        &mut self,
+        now: Millis,
+        incarnation: &str,
+        list_id: u64,
+        answer: Answer,
+    ) {
+        let found = self.claims.iter().position(|claim| claim.is_of(incarnation));
         let Some(found) = found else { return };
         match answer.reply {
             // Its next registration asks again.
             Reply::Unknown | Reply::NotSent => self.claims[found].asked = false,
             Reply::OtherLife | Reply::Restarted => {
                 self.claims.remove(found);
-                self.remember_over(life.to_owned());
+                self.remember_over(incarnation.to_owned());
             }
             // No other answer tells which life of a worker it is from.
             reply if !matches!(reply, Reply::Listed { .. }) => self.claims[found].asked = false,
@@ -81,16 +87,17 @@
                 self.adopt(now, found);
                 // What it answers goes before what a registration said.
                 self.clock_ms = answer.clock_ms.unwrap_or(self.clock_ms);
-                self.look_answer(now, look, answer);
+                self.look_answer(now, list_id, answer);
             }
         }
     }
 
     /// A life that registers again and again but answers nothing is believed once no other answers
     /// either, so that control learns that the former one is over.
-    fn adopt_unanswered(&mut self, now: Millis, life: &str) {
+    fn adopt_unanswered(&mut self, now: Millis, incarnation: &str) {
         let silent = self.worker.is_none() || now.since(self.listed) >= SILENT_MS;
-        let waited = |claim: &Claim| claim.is_of(life) && now.since(claim.since) >= SILENT_MS;
+        let waited =
+            |claim: &Claim| claim.is_of(incarnation) && now.since(claim.since) >= SILENT_MS;
         if let Some(found) = self.claims.iter().position(waited).filter(|_| silent) {
             self.adopt(now, found);
         }
@@ -99,7 +106,7 @@
     /// A life is the worker from now on.
     fn adopt(&mut self, now: Millis, found: usize) {
         let registration = self.claims.remove(found).registration;
-        self.new_life(now, &registration.life);
+        self.new_life(now, &registration.incarnation);
         self.clock_ms = registration.clock_ms;
         self.worker = Some(registration);
         self.stop_doubtful(now);
--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -52,7 +52,7 @@
     fn look_if_due(&mut self, now: Millis) {
         if self.looking.is_none() && now >= self.look_due {
             let wait = if self.doubted.is_some() { 0 } else { self.wait_ms() };
-            self.looking = Some(self.look(wait));
+            self.looking = Some(self.request_list(wait));
         }
     }
 
@@ -66,7 +66,7 @@
             return;
         }
         found.into_iter().for_each(|run| run.asked = true);
-        self.look(0);
+        self.request_list(0);
     }
 
     /// When something is due without any further input.
@@ -116,7 +116,7 @@
                     Call::Start {
                         run: *name,
                         text: order.text.clone(),
-                        save: order.save.clone(),
+                        checkpoint: order.save.clone(),
                         ticket: order.ticket.clone(),
                         lease_end_ms,
                     }
@@ -162,10 +162,10 @@
     }
 
     /// Asks for a list that acknowledges nothing; its number.
-    pub(super) fn look(&mut self, wait_ms: Span) -> u64 {
+    pub(super) fn request_list(&mut self, wait_ms: Span) -> u64 {
         self.looks += 1;
         let lease_end_ms = self.lease_end_ms;
-        self.call(self.looks, Call::Look { lease_end_ms, settled: 0, wait_ms });
+        self.call(self.looks, Call::List { lease_end_ms, committed: 0, wait_ms });
         self.looks
     }
 
@@ -173,30 +173,30 @@
     /// under its id between two lists and count its ends anew. If it could have been told to start something before
     /// it gets the acknowledgement, it would forget ends that nobody has read, and their tasks would run again.
     fn acknowledge(&mut self) {
-        let due = self.settled > self.acknowledged && self.acknowledging.is_none();
+        let due = self.committed > self.acknowledged && self.acknowledging.is_none();
         let starts = || self.runs.values().any(Run::in_flight);
         if !due || self.doubted.is_some() || starts() {
             return;
         }
         self.looks += 1;
-        let (lease_end_ms, settled) = (self.lease_end_ms, self.settled);
-        self.acknowledging = Some((self.looks, settled));
-        self.call(self.looks, Call::Look { lease_end_ms, settled, wait_ms: 0 });
+        let (lease_end_ms, committed) = (self.lease_end_ms, self.committed);
+        self.acknowledging = Some((self.looks, committed));
+        self.call(self.looks, Call::List { lease_end_ms, committed, wait_ms: 0 });
     }
 
     /// Whether nothing may be started now: the worker may have started again, or an acknowledgement is on its way or has
     /// waited for too long.
     fn holds_starts(&self, now: Millis) -> bool {
-        let waits = self.settled > self.acknowledged;
+        let waits = self.committed > self.acknowledged;
         let waited_ms = now.since(self.unacknowledged);
         let overdue = waits && waited_ms % (ACKNOWLEDGE_MS + YIELD_MS) >= ACKNOWLEDGE_MS;
         self.doubted.is_some() || self.acknowledging.is_some() || overdue
     }
 
-    fn call(&mut self, look: u64, call: Call) {
+    fn call(&mut self, list_id: u64, call: Call) {
         let Some(worker) = &self.worker else { return };
-        let (address, life) = (worker.address.clone(), worker.life.clone());
-        self.outputs.push(Output::Call { address, life, token: self.term, look, call });
+        let (address, incarnation) = (worker.address.clone(), worker.incarnation.clone());
+        self.outputs.push(Output::Call { address, incarnation, token: self.term, list_id, call });
     }
 
     fn report(&mut self, now: Millis) {
@@ -204,7 +204,7 @@
         self.reported = now;
         self.news = false;
         let report = Report {
-            worker: worker.life.clone(),
+            worker: worker.incarnation.clone(),
             pool: worker.pool.clone(),
             milli_cpu: worker.room.milli_cpu,
             memory_mib: worker.room.memory_mib,
--- a/crates/pond-agent/src/core/former.rs
+++ b/crates/pond-agent/src/core/former.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Former {
     id: String,
-    life: String,
+    incarnation: String,
     /// It had said that it would leave.
     left: bool,
     /// The runs that it had at last.
@@ -36,7 +36,7 @@
 impl Former {
     fn report(&self) -> Output {
         Output::Report(Report {
-            worker: self.life.clone(),
+            worker: self.incarnation.clone(),
             gone: true,
             left: self.left,
             runs: self.rows.clone(),
@@ -51,10 +51,10 @@
     pub(super) fn keep_former(&mut self, worker: Registration) {
         let doubtful = self.runs.iter().filter(|(_, run)| run.in_doubt()).map(|(name, _)| *name);
         let doubtful = doubtful.collect();
-        let Registration { id, life, draining: left, .. } = worker;
-        self.remember_over(life.clone());
+        let Registration { id, incarnation, draining: left, .. } = worker;
+        self.remember_over(incarnation.clone());
         let (rows, ends) = (self.rows(), self.ends.values().cloned().collect());
-        self.formers.push_back(Former { id, life, left, rows, ends, doubtful });
+        self.formers.push_back(Former { id, incarnation, left, rows, ends, doubtful });
         let more = self.formers.len().saturating_sub(FORMER_KEPT);
         self.formers.drain(..more);
     }
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -48,7 +48,7 @@
     /// The worker. A later life of it may have the same id, and calls name the id alone.
     pub id: String,
     /// This life of it.
-    pub life: String,
+    pub incarnation: String,
     /// Where it takes calls.
     pub address: String,
     /// The pool that it belongs to.
@@ -90,11 +90,11 @@
         /// Where it takes calls.
         address: String,
         /// The life that is meant.
-        life: String,
+        incarnation: String,
         /// The fencing token.
         token: u64,
         /// Number of the list, if it is one.
-        look: u64,
+        list_id: u64,
         /// The call.
         call: Call,
     },
@@ -110,22 +110,22 @@
     /// An end was dropped, as its number counts as settled, though its run was there.
     EndRepeated {
         /// The life.
-        life: String,
+        incarnation: String,
         /// The run.
         run: RunName,
         /// The number of the end.
         number: u64,
         /// Ends up to this number are settled.
-        settled: u64,
+        committed: u64,
     },
     /// A run that was listed is on no list any more, and no end of it is left to settle.
     RunVanished {
         /// The life.
-        life: String,
+        incarnation: String,
         /// The run.
         run: RunName,
         /// Ends up to this number are settled.
-        settled: u64,
+        committed: u64,
     },
 }
 
@@ -151,7 +151,7 @@
     /// The lease that was granted, on the worker's clock in milliseconds.
     lease_end_ms: u64,
     /// Ends up to this number are in the log.
-    settled: u64,
+    committed: u64,
     /// Ends up to this number were acknowledged to the worker, which may forget them.
     acknowledged: u64,
     /// Number of the list that carries an acknowledgement, and the number of the end up to which it goes.
@@ -194,15 +194,15 @@
     }
 
     /// The life of the worker, if it is known.
-    pub fn life(&self) -> Option<&str> {
-        self.worker.as_ref().map(|worker| worker.life.as_str())
+    pub fn incarnation(&self) -> Option<&str> {
+        self.worker.as_ref().map(|worker| worker.incarnation.as_str())
     }
 
     /// Whether a registration says something that was not known, besides the time.
-    pub fn news_in(&self, registration: &Registration) -> bool {
+    pub fn has_changes(&self, registration: &Registration) -> bool {
         let known = self.worker.as_ref();
         known.is_none_or(|known| {
-            known.life != registration.life
+            known.incarnation != registration.incarnation
                 || known.draining != registration.draining
                 || known.room != registration.room
         })
@@ -211,7 +211,8 @@
     /// Why a registration that names the known life cannot be its own: a life has one pool and one address, its
     /// clock goes about as fast as the agent's, and it counts its registrations.
     pub fn mismatch(&self, now: Millis, registration: &Registration) -> Option<Mismatch> {
-        let known = self.worker.as_ref().filter(|known| known.life == registration.life)?;
+        let known =
+            self.worker.as_ref().filter(|known| known.incarnation == registration.incarnation)?;
         let ahead_ms = registration.clock_ms.saturating_sub(self.clock_ms);
         if known.pool != registration.pool {
             Some(Mismatch::Pool)
@@ -228,10 +229,13 @@
 
     /// The worker says something of itself. From a draining worker's on, nothing is started.
     pub fn registered(&mut self, now: Millis, registration: Registration) {
-        if self.over.contains(&registration.life) || self.mismatch(now, &registration).is_some() {
+        if self.over.contains(&registration.incarnation)
+            || self.mismatch(now, &registration).is_some()
+        {
             return;
         }
-        let known = self.worker.as_ref().filter(|worker| worker.life == registration.life);
+        let known =
+            self.worker.as_ref().filter(|worker| worker.incarnation == registration.incarnation);
         match known {
             None => return self.claim(now, registration),
             Some(known) if registration.sequence <= known.sequence => return,
@@ -258,8 +262,9 @@
     }
 
     /// Forgets all of the former life; none is known if `life` is empty.
-    fn new_life(&mut self, now: Millis, life: &str) {
-        if let Some(before) = self.worker.take().filter(|before| before.life != life) {
+    fn new_life(&mut self, now: Millis, incarnation: &str) {
+        if let Some(before) = self.worker.take().filter(|before| before.incarnation != incarnation)
+        {
             self.keep_former(before);
         }
         *self = Core {
@@ -279,8 +284,8 @@
         self.report_formers();
     }
 
-    fn remember_over(&mut self, life: String) {
-        self.over.push_back(life);
+    fn remember_over(&mut self, incarnation: String) {
+        self.over.push_back(incarnation);
         let more = self.over.len().saturating_sub(OVER_KEPT);
         self.over.drain(..more);
     }
@@ -292,10 +297,10 @@
 
     /// The worker of that id says that it ends. The word may come late, when the worker has started again under its id, so
     /// it is believed once nobody takes calls any more.
-    pub fn leaves(&mut self, now: Millis, id: &str) {
+    pub fn deregistered(&mut self, now: Millis, id: &str) {
         if self.worker.as_ref().is_some_and(|worker| worker.id == id) {
             self.farewell = Some(now);
-            self.look(0);
+            self.request_list(0);
         }
     }
 
@@ -323,7 +328,7 @@
 
     /// Control orders something.
     pub fn order(&mut self, now: Millis, order: Order) {
-        if order.term < self.term || self.life() != Some(order.worker.as_str()) {
+        if order.term < self.term || self.incarnation() != Some(order.worker.as_str()) {
             return;
         }
         self.term = order.term;
@@ -346,15 +351,15 @@
     }
 
     /// Ends up to this number are in the log; once none is left the worker is asked again.
-    fn settle(&mut self, now: Millis, settled: u64) {
-        if settled <= self.settled {
+    fn settle(&mut self, now: Millis, committed: u64) {
+        if committed <= self.committed {
             return;
         }
-        if self.settled == self.acknowledged {
+        if self.committed == self.acknowledged {
             self.unacknowledged = now;
         }
-        self.settled = settled;
-        self.ends.retain(|number, _| *number > settled);
+        self.committed = committed;
+        self.ends.retain(|number, _| *number > committed);
         self.settle_doubts();
         if self.ends.is_empty() {
             self.look_due = self.look_due.min(now);
@@ -375,7 +380,7 @@
         let phase = if draining { Phase::Stopping } else { Phase::Starting { order, tries: 0 } };
         let mut run = Run::new(name, phase, watch, now);
         if careful {
-            run.awaits = Some(self.look(0));
+            run.awaits = Some(self.request_list(0));
             run.due = now + MEET_MS;
         }
         self.runs.insert(name, run);
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -25,7 +25,7 @@
     /// was anything to stop.
     Stopped {
         /// Number of the last list that was asked for before.
-        look: u64,
+        list_id: u64,
     },
 }
 
--- a/crates/pond-agent/src/worker.rs
+++ b/crates/pond-agent/src/worker.rs
@@ -17,7 +17,7 @@
         /// The job's text.
         text: String,
         /// The save to go on from; empty for none.
-        save: String,
+        checkpoint: String,
         /// The adviser's ticket; empty for none.
         ticket: String,
         /// Everything at the worker may run until then, on its clock in milliseconds.
@@ -29,11 +29,11 @@
         run: RunName,
     },
     /// List runs and ends, and extend the lease.
-    Look {
+    List {
         /// Everything at the worker may run until then; zero to leave it as it is.
         lease_end_ms: u64,
         /// Ends up to this number may be forgotten.
-        settled: u64,
+        committed: u64,
         /// Time to wait for an end, in milliseconds.
         wait_ms: Span,
     },
@@ -48,14 +48,14 @@
 
 /// How long an answer may take beyond what the worker was asked to wait, in milliseconds. Agent and
 /// worker stand on one machine; a worker answers within a few milliseconds unless it is unwell.
-const PATIENCE_MS: Span = 800;
+const ANSWER_TIMEOUT_MS: Span = 800;
 
 impl Call {
     /// After this time without an answer there will be none, in milliseconds.
-    pub fn patience_ms(&self) -> Span {
+    pub fn timeout_ms(&self) -> Span {
         match self {
-            Call::Look { wait_ms, .. } => wait_ms + PATIENCE_MS,
-            _ => PATIENCE_MS,
+            Call::List { wait_ms, .. } => wait_ms + ANSWER_TIMEOUT_MS,
+            _ => ANSWER_TIMEOUT_MS,
         }
     }
 }
@@ -119,7 +119,7 @@
     fn call(
         &self,
         address: &str,
-        life: &str,
+        incarnation: &str,
         token: u64,
         call: Call,
     ) -> Pin<Box<dyn Future<Output = Answer> + Send + '_>>;
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -9,7 +9,7 @@
 use pond_proto::Size;
 use pond_proto::fleet::{Order, StartOrder, Watch};
 use pond_proto::job::How;
-use support::{Bench, LIFE, filling, is_look, is_pace, is_start, is_stop, run, serving};
+use support::{Bench, INCARNATION, filling, is_list, is_pace, is_start, is_stop, run, serving};
 
 #[test]
 fn order_is_carried_out_once() {
@@ -24,7 +24,8 @@
     let mut bench = Bench::new();
     bench.order(Order { term: 9, ..Order::default() });
     let start = StartOrder { run: run(0), ..StartOrder::default() };
-    let old = Order { worker: LIFE.to_owned(), term: 8, starts: vec![start], ..Order::default() };
+    let old =
+        Order { worker: INCARNATION.to_owned(), term: 8, starts: vec![start], ..Order::default() };
     bench.core.order(bench.now, old);
     bench.tick();
     assert_eq!(bench.count(is_start), 0);
@@ -57,7 +58,7 @@
     bench.list(&[], &[]);
     assert!(bench.last().unstarted.is_empty());
     bench.answer(is_stop, Reply::Done);
-    while bench.last().unstarted.is_empty() && bench.count(is_look) > 0 {
+    while bench.last().unstarted.is_empty() && bench.count(is_list) > 0 {
         bench.list(&[], &[]);
         bench.pass(1_000);
     }
@@ -119,14 +120,14 @@
     bench.order(Order { lease_end_ms: 55_000, ..Order::default() });
     bench.list(&[], &[]);
     bench.pass(60_000);
-    let look = bench.calls.iter().rev().find(|(_, call)| is_look(call));
-    assert!(matches!(look, Some((_, Call::Look { lease_end_ms: 56_000, .. }))));
+    let list_id = bench.calls.iter().rev().find(|(_, call)| is_list(call));
+    assert!(matches!(list_id, Some((_, Call::List { lease_end_ms: 56_000, .. }))));
 }
 
 #[test]
 fn draining_worker_starts_nothing_more() {
     let mut bench = Bench::new();
-    bench.register(LIFE, true, 2);
+    bench.register(INCARNATION, true, 2);
     bench.start(0);
     assert_eq!(bench.count(is_start), 0);
     assert_eq!(bench.count(is_stop), 1);
@@ -135,8 +136,8 @@
 #[test]
 fn late_registration_does_not_undo_draining() {
     let mut bench = Bench::new();
-    bench.register(LIFE, true, 5);
-    bench.register(LIFE, false, 4);
+    bench.register(INCARNATION, true, 5);
+    bench.register(INCARNATION, false, 4);
     bench.pass(1_000);
     assert!(bench.last().draining);
 }
@@ -146,7 +147,7 @@
     let mut bench = Bench::new();
     bench.start(0);
     bench.register("life-2", false, 1);
-    assert!(bench.reports.iter().any(|report| report.gone && report.worker == LIFE));
+    assert!(bench.reports.iter().any(|report| report.gone && report.worker == INCARNATION));
     assert!(bench.last().runs.is_empty());
 }
 
@@ -157,7 +158,7 @@
     bench.reports.clear();
     bench.core.leader_up(4);
     bench.tick();
-    assert!(bench.reports.iter().any(|report| report.gone && report.worker == LIFE));
+    assert!(bench.reports.iter().any(|report| report.gone && report.worker == INCARNATION));
 }
 
 #[test]
@@ -165,7 +166,7 @@
     let mut bench = Bench::new();
     bench.start(0);
     bench.answer(is_start, Reply::OtherLife);
-    assert!(bench.reports.iter().any(|report| report.gone && report.worker == LIFE));
+    assert!(bench.reports.iter().any(|report| report.gone && report.worker == INCARNATION));
 }
 
 #[test]
@@ -216,12 +217,12 @@
 #[test]
 fn life_that_is_over_does_not_come_back_with_a_late_registration() {
     let mut bench = Bench::new();
-    bench.core.leaves(bench.now, LIFE);
-    bench.answer(is_look, Reply::NotSent);
-    bench.register(LIFE, false, 9);
-    assert_eq!(bench.core.life(), None);
+    bench.core.deregistered(bench.now, INCARNATION);
+    bench.answer(is_list, Reply::NotSent);
+    bench.register(INCARNATION, false, 9);
+    assert_eq!(bench.core.incarnation(), None);
     bench.register("life-2", false, 1);
-    assert_eq!(bench.core.life(), Some("life-2"));
+    assert_eq!(bench.core.incarnation(), Some("life-2"));
 }
 
 #[test]
@@ -238,7 +239,7 @@
     bench.start(0);
     bench.claim("life-0", false, 7);
     bench.answer_claim("life-0", Reply::OtherLife);
-    assert_eq!(bench.core.life(), Some(LIFE));
+    assert_eq!(bench.core.incarnation(), Some(INCARNATION));
     assert!(!bench.reports.iter().any(|report| report.gone));
     bench.claim("life-0", false, 8);
     assert!(bench.claims.is_empty());
@@ -253,11 +254,14 @@
         for place in order {
             bench.claim(lives[place], false, 1);
         }
-        for life in lives {
+        for incarnation in lives {
             let there = Reply::Listed { runs: vec![], ends: vec![] };
-            bench.answer_claim(life, if life == "life-2" { there } else { Reply::OtherLife });
+            bench.answer_claim(
+                incarnation,
+                if incarnation == "life-2" { there } else { Reply::OtherLife },
+            );
         }
-        assert_eq!(bench.core.life(), Some("life-2"), "{order:?}");
+        assert_eq!(bench.core.incarnation(), Some("life-2"), "{order:?}");
         assert!(!bench.reports.iter().any(|report| report.gone && report.worker == "life-2"));
     }
 }
@@ -272,16 +276,16 @@
         bench.claim("life-2", false, sequence);
         bench.answer_claim("life-2", Reply::Unknown);
     }
-    assert_eq!(bench.core.life(), Some("life-2"));
-    assert!(bench.reports.iter().any(|report| report.gone && report.worker == LIFE));
+    assert_eq!(bench.core.incarnation(), Some("life-2"));
+    assert!(bench.reports.iter().any(|report| report.gone && report.worker == INCARNATION));
 }
 
 #[test]
 fn agent_without_a_leader_calls_nobody() {
     let mut bench = Bench::without_leader();
-    bench.claim(LIFE, false, 1);
+    bench.claim(INCARNATION, false, 1);
     bench.pass(5_000);
-    bench.claim(LIFE, false, 2);
+    bench.claim(INCARNATION, false, 2);
     bench.pass(5_000);
     assert!(bench.calls.is_empty() && bench.claims.is_empty());
     bench.core.leader_up(3);
@@ -292,7 +296,7 @@
 #[test]
 fn agent_whose_token_was_refused_calls_again_only_with_a_higher_one() {
     let mut bench = Bench::new();
-    bench.answer(is_look, Reply::Refused(Refusal::Fenced));
+    bench.answer(is_list, Reply::Refused(Refusal::Fenced));
     bench.calls.clear();
     for _ in 0..20 {
         bench.pass(1_000);
@@ -300,16 +304,16 @@
     assert!(bench.calls.is_empty());
     bench.core.leader_up(4);
     bench.pass(1);
-    assert_eq!(bench.count(is_look), 1);
+    assert_eq!(bench.count(is_list), 1);
 }
 
 #[test]
 fn refusal_of_an_older_token_does_not_stop_calls_with_a_newer_one() {
     let mut bench = Bench::new();
     bench.core.leader_up(4);
-    bench.answer(is_look, Reply::Refused(Refusal::Fenced));
+    bench.answer(is_list, Reply::Refused(Refusal::Fenced));
     bench.pass(1_000);
-    assert!(bench.count(is_look) > 0);
+    assert!(bench.count(is_list) > 0);
 }
 
 #[test]
@@ -341,7 +345,7 @@
     bench.answer(is_start, Reply::Unknown);
     bench.list_all(&[0], &[]);
     bench.start(3);
-    bench.answer(is_look, Reply::OtherLife);
+    bench.answer(is_list, Reply::OtherLife);
     bench.pass(1);
     let last = bench.gone();
     assert!(!last.left);
@@ -356,8 +360,8 @@
     bench.start(0);
     bench.answer(is_start, Reply::Done);
     bench.list(&[0], &[]);
-    bench.core.leaves(bench.now, LIFE);
-    bench.answer(is_look, Reply::NotSent);
+    bench.core.deregistered(bench.now, INCARNATION);
+    bench.answer(is_list, Reply::NotSent);
     assert!(bench.gone().left);
 }
 
@@ -366,8 +370,8 @@
 fn registration_that_names_another_pool_or_address_changes_nothing_of_a_life() {
     let strange = |change: fn(&mut Registration)| {
         let mut registration = Registration {
-            id: LIFE.to_owned(),
-            life: LIFE.to_owned(),
+            id: INCARNATION.to_owned(),
+            incarnation: INCARNATION.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             clock_ms: 52_000,
@@ -392,8 +396,8 @@
     let mut bench = Bench::new();
     bench.pass(900);
     let registration = Registration {
-        id: LIFE.to_owned(),
-        life: LIFE.to_owned(),
+        id: INCARNATION.to_owned(),
+        incarnation: INCARNATION.to_owned(),
         address: "127.0.0.1:1".to_owned(),
         room: Size::new(1_000, 1_000, 0),
         clock_ms: 51_000,
@@ -411,8 +415,8 @@
     for (clock_ms, sequence) in [(u64::MAX, 2), (50_000 + 3_600_000, 2), (51_000, u64::MAX)] {
         let mut bench = Bench::new();
         let far = Registration {
-            id: LIFE.to_owned(),
-            life: LIFE.to_owned(),
+            id: INCARNATION.to_owned(),
+            incarnation: INCARNATION.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             draining: true,
@@ -424,7 +428,7 @@
         bench.pass(900);
         let last = bench.last();
         assert_eq!((last.clock_ms, last.draining), (50_000, false), "{clock_ms} {sequence}");
-        bench.register(LIFE, true, 3);
+        bench.register(INCARNATION, true, 3);
         bench.pass(1);
         assert!(bench.last().draining);
     }
@@ -485,9 +489,9 @@
     let mut bench = Bench::new();
     bench.start(0);
     let found = bench.calls.iter().position(|(_, call)| is_start(call)).expect("a start");
-    let (look, call) = bench.calls.remove(found);
+    let (list_id, call) = bench.calls.remove(found);
     let answer = Answer { clock_ms: Some(1_000), reply: Reply::Done };
-    bench.core.answer(bench.now, LIFE, bench.token, look, &call, answer);
+    bench.core.answer(bench.now, INCARNATION, bench.token, list_id, &call, answer);
     bench.tick();
     bench.start(1);
     assert_eq!(bench.count(is_start), 0);
@@ -500,27 +504,27 @@
 fn start_that_may_reach_the_next_life_of_the_worker_is_stopped_there_first() {
     let mut bench = Bench::new();
     bench.start(0);
-    bench.answer(is_look, Reply::Restarted);
+    bench.answer(is_list, Reply::Restarted);
     assert!(!bench.reports.iter().any(|report| report.gone));
-    bench.claim_as(LIFE, "life-2", 1);
+    bench.claim_as(INCARNATION, "life-2", 1);
     bench.answer_claim("life-2", Reply::Listed { runs: vec![], ends: vec![] });
     let told: Vec<_> = bench.last().runs.iter().map(|row| row.run).collect();
     assert_eq!((bench.count(is_stop), told), (1, vec![run(0)]));
     assert!(!bench.reports.iter().any(|report| report.gone));
     bench.answer_as("life-2", is_stop, Reply::Done);
-    while bench.count(is_look) > 0 && !bench.reports.iter().any(|report| report.gone) {
-        bench.answer_as("life-2", is_look, Reply::Listed { runs: vec![], ends: vec![] });
+    while bench.count(is_list) > 0 && !bench.reports.iter().any(|report| report.gone) {
+        bench.answer_as("life-2", is_list, Reply::Listed { runs: vec![], ends: vec![] });
     }
-    assert_eq!(bench.gone().worker, LIFE);
+    assert_eq!(bench.gone().worker, INCARNATION);
 }
 
 /// Only a list tells which of the lives with one id it is from.
 #[test]
 fn life_that_registers_and_refuses_to_list_is_not_taken_for_the_worker() {
     let mut bench = Bench::new();
-    bench.claim_as(LIFE, "life-0", 1);
+    bench.claim_as(INCARNATION, "life-0", 1);
     bench.answer_claim("life-0", Reply::Refused(Refusal::Unwell));
-    assert_eq!(bench.core.life(), Some(LIFE));
+    assert_eq!(bench.core.incarnation(), Some(INCARNATION));
 }
 
 /// Found by reading: a farewell that comes late, of a start of the worker that is over, ended the next one, which has the
@@ -534,11 +538,11 @@
     bench.start(0);
     bench.answer(is_start, Reply::Done);
     bench.list(&[0], &[]);
-    bench.core.leaves(bench.now, LIFE);
+    bench.core.deregistered(bench.now, INCARNATION);
     bench.tick();
     bench.list_all(&[0], &[]);
     bench.pass(1_000);
-    assert_eq!(bench.core.life(), Some(LIFE));
+    assert_eq!(bench.core.incarnation(), Some(INCARNATION));
     assert!(!bench.reports.iter().any(|report| report.gone));
     assert!(!bench.last().draining);
 }
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -8,7 +8,7 @@
 use pond_proto::job::{How, RunName, TaskName};
 use pond_proto::{Millis, Size, Span};
 
-const LIFE: &str = "life-1";
+const INCARNATION: &str = "life-1";
 const TERM: u64 = 3;
 
 /// Step of the injected clock, in milliseconds; the bounds below are met to within one.
@@ -42,7 +42,7 @@
 /// A call on its way, and when it is answered at the latest.
 struct Flight {
     token: u64,
-    look: u64,
+    list_id: u64,
     call: Call,
     due: Millis,
     unanswered: bool,
@@ -87,8 +87,8 @@
         }
     }
 
-    fn has_news(&self, settled: u64) -> bool {
-        self.ends.iter().any(|end| end.number > settled)
+    fn has_news(&self, committed: u64) -> bool {
+        self.ends.iter().any(|end| end.number > committed)
     }
 
     fn carry_out(&mut self, token: u64, call: &Call) -> Reply {
@@ -109,10 +109,10 @@
                 self.stop(*run);
                 Reply::Done
             }
-            Call::Look { lease_end_ms, settled, .. } => {
+            Call::List { lease_end_ms, committed, .. } => {
                 self.lease_end_ms = self.lease_end_ms.max(*lease_end_ms);
                 let row = |run: &RunName| RunRow { run: *run, percent: 5, ..RunRow::default() };
-                let ends = self.ends.iter().filter(|end| end.number > *settled).cloned();
+                let ends = self.ends.iter().filter(|end| end.number > *committed).cloned();
                 Reply::Listed { runs: self.running.iter().map(row).collect(), ends: ends.collect() }
             }
             Call::Pace { .. } => Reply::Done,
@@ -157,8 +157,8 @@
 
     fn register(&mut self, sequence: u64) {
         let registration = Registration {
-            id: LIFE.to_owned(),
-            life: LIFE.to_owned(),
+            id: INCARNATION.to_owned(),
+            incarnation: INCARNATION.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             clock_ms: self.clock_ms(),
@@ -182,34 +182,34 @@
     fn tick(&mut self) {
         for output in self.core.tick(self.now) {
             match output {
-                Output::Call { token, look, call, .. } => self.call(token, look, call),
+                Output::Call { token, list_id, call, .. } => self.call(token, list_id, call),
                 Output::Report(report) => self.reports.push((self.now, report)),
                 Output::Observed(_) => {}
             }
         }
     }
 
-    fn call(&mut self, token: u64, look: u64, call: Call) {
+    fn call(&mut self, token: u64, list_id: u64, call: Call) {
         match &call {
             Call::Stop { run } => self.stops.push((self.now, *run)),
             Call::Start { .. } => self.starts.push(self.now),
-            Call::Look { .. } => self.looks += 1,
+            Call::List { .. } => self.looks += 1,
             Call::Pace { .. } => {}
         }
         let unanswered = self.worker.is_mute(&call);
         let wait = match &call {
-            _ if unanswered => call.patience_ms(),
-            Call::Look { wait_ms, .. } => *wait_ms,
+            _ if unanswered => call.timeout_ms(),
+            Call::List { wait_ms, .. } => *wait_ms,
             _ => 0,
         };
-        self.flights.push(Flight { token, look, call, due: self.now + wait, unanswered });
+        self.flights.push(Flight { token, list_id, call, due: self.now + wait, unanswered });
     }
 
     /// Hands over the answers that are due; a list comes early if there is an end to tell.
     fn deliver(&mut self) {
         let due = |flight: &Flight, worker: &Worker| {
             let early = match &flight.call {
-                Call::Look { settled, .. } => worker.has_news(*settled),
+                Call::List { committed, .. } => worker.has_news(*committed),
                 _ => false,
             };
             early || flight.due <= self.now
@@ -222,7 +222,14 @@
                 let reply = self.worker.carry_out(flight.token, &flight.call);
                 Answer { clock_ms: Some(self.clock_ms()), reply }
             };
-            self.core.answer(self.now, LIFE, flight.token, flight.look, &flight.call, answer);
+            self.core.answer(
+                self.now,
+                INCARNATION,
+                flight.token,
+                flight.list_id,
+                &flight.call,
+                answer,
+            );
         }
     }
 
@@ -248,7 +255,7 @@
     }
 
     fn order(&mut self, order: Order) {
-        let order = Order { worker: LIFE.to_owned(), term: order.term.max(TERM), ..order };
+        let order = Order { worker: INCARNATION.to_owned(), term: order.term.max(TERM), ..order };
         self.core.order(self.now, order);
         self.tick();
     }
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use pond_proto::job::{How, RunName, TaskName};
 use pond_proto::{Millis, Size};
 
-pub const LIFE: &str = "life-1";
+pub const INCARNATION: &str = "life-1";
 
 pub fn run(index: u32) -> RunName {
     RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
@@ -45,30 +45,30 @@
     pub fn new() -> Bench {
         let mut bench = Bench::without_leader();
         bench.core.leader_up(3);
-        bench.register(LIFE, false, 1);
+        bench.register(INCARNATION, false, 1);
         bench
     }
 
     /// A life registers and answers the call that asks whether it is there, if there is one.
-    pub fn register(&mut self, life: &str, draining: bool, sequence: u64) {
-        self.claim(life, draining, sequence);
-        self.answer_claim(life, Reply::Listed { runs: vec![], ends: vec![] });
+    pub fn register(&mut self, incarnation: &str, draining: bool, sequence: u64) {
+        self.claim(incarnation, draining, sequence);
+        self.answer_claim(incarnation, Reply::Listed { runs: vec![], ends: vec![] });
     }
 
     /// A registration comes of a worker whose id is the name of its life.
-    pub fn claim(&mut self, life: &str, draining: bool, sequence: u64) {
-        self.registration(life, life, draining, sequence);
+    pub fn claim(&mut self, incarnation: &str, draining: bool, sequence: u64) {
+        self.registration(incarnation, incarnation, draining, sequence);
     }
 
     /// The same of the worker of that id.
-    pub fn claim_as(&mut self, id: &str, life: &str, sequence: u64) {
-        self.registration(id, life, false, sequence);
+    pub fn claim_as(&mut self, id: &str, incarnation: &str, sequence: u64) {
+        self.registration(id, incarnation, false, sequence);
     }
 
-    fn registration(&mut self, id: &str, life: &str, draining: bool, sequence: u64) {
+    fn registration(&mut self, id: &str, incarnation: &str, draining: bool, sequence: u64) {
         let registration = Registration {
             id: id.to_owned(),
-            life: life.to_owned(),
+            incarnation: incarnation.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             draining,
@@ -83,15 +83,17 @@
     pub fn tick(&mut self) {
         for output in self.core.tick(self.now) {
             match output {
-                Output::Call { life, look, call, .. } if self.core.life() != Some(&life) => {
-                    self.claims.push((life, look, call));
+                Output::Call { incarnation, list_id, call, .. }
+                    if self.core.incarnation() != Some(&incarnation) =>
+                {
+                    self.claims.push((incarnation, list_id, call));
                 }
-                Output::Call { token, look, call, .. } => {
-                    if let Call::Look { settled, .. } = call {
-                        self.acknowledged.extend((settled > 0).then_some(settled));
+                Output::Call { token, list_id, call, .. } => {
+                    if let Call::List { committed, .. } = call {
+                        self.acknowledged.extend((committed > 0).then_some(committed));
                     }
                     self.token = token;
-                    self.calls.push((look, call));
+                    self.calls.push((list_id, call));
                 }
                 Output::Report(report) => self.reports.push(report),
                 Output::Observed(observation) => self.observed.push(observation),
@@ -100,7 +102,7 @@
     }
 
     pub fn order(&mut self, order: Order) {
-        let order = Order { worker: LIFE.to_owned(), term: order.term.max(3), ..order };
+        let order = Order { worker: INCARNATION.to_owned(), term: order.term.max(3), ..order };
         self.core.order(self.now, order);
         self.tick();
     }
@@ -132,7 +134,7 @@
         };
         let fill = (1..=fillers).map(|index| row(index, 10, 900));
         let runs = std::iter::once(row(0, 100, tail_ms)).chain(fill).collect();
-        self.answer(is_look, Reply::Listed { runs, ends: vec![] });
+        self.answer(is_list, Reply::Listed { runs, ends: vec![] });
     }
 
     /// The worker does as told about paces; the paces by the index of the run.
@@ -150,24 +152,26 @@
 
     /// Answers the oldest call of that kind that was not answered yet.
     pub fn answer(&mut self, wanted: fn(&Call) -> bool, reply: Reply) {
-        self.answer_as(LIFE, wanted, reply);
+        self.answer_as(INCARNATION, wanted, reply);
     }
 
     /// The same with a call to that life.
-    pub fn answer_as(&mut self, life: &str, wanted: fn(&Call) -> bool, reply: Reply) {
+    pub fn answer_as(&mut self, incarnation: &str, wanted: fn(&Call) -> bool, reply: Reply) {
         let found = self.calls.iter().position(|(_, call)| wanted(call)).expect("no such call");
-        let (look, call) = self.calls.remove(found);
+        let (list_id, call) = self.calls.remove(found);
         let answer = Answer { clock_ms: Some(51_000), reply };
-        self.core.answer(self.now, life, self.token, look, &call, answer);
+        self.core.answer(self.now, incarnation, self.token, list_id, &call, answer);
         self.tick();
     }
 
     /// Answers the call that asks a life whether it is there.
-    pub fn answer_claim(&mut self, life: &str, reply: Reply) {
-        let Some(found) = self.claims.iter().position(|(claim, ..)| claim == life) else { return };
-        let (life, look, call) = self.claims.remove(found);
+    pub fn answer_claim(&mut self, incarnation: &str, reply: Reply) {
+        let Some(found) = self.claims.iter().position(|(claim, ..)| claim == incarnation) else {
+            return;
+        };
+        let (incarnation, list_id, call) = self.claims.remove(found);
         let answer = Answer { clock_ms: Some(50_000), reply };
-        self.core.answer(self.now, &life, self.token, look, &call, answer);
+        self.core.answer(self.now, &incarnation, self.token, list_id, &call, answer);
         self.tick();
     }
 
@@ -181,14 +185,14 @@
         };
         let runs = running.iter().map(row).collect();
         let ends = ended.iter().map(end).collect();
-        self.answer(is_look, Reply::Listed { runs, ends });
+        self.answer(is_list, Reply::Listed { runs, ends });
     }
 
     /// Answers all lists that were asked for, and those that this brings about.
     pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
-        while self.count(is_look) > 0 {
+        while self.count(is_list) > 0 {
             self.list(running, ended);
-            if self.count(is_look) == 1 && self.core_waits() {
+            if self.count(is_list) == 1 && self.core_waits() {
                 return;
             }
         }
@@ -198,7 +202,7 @@
     fn core_waits(&self) -> bool {
         self.calls
             .iter()
-            .any(|(_, call)| matches!(call, Call::Look { wait_ms, .. } if *wait_ms > 0))
+            .any(|(_, call)| matches!(call, Call::List { wait_ms, .. } if *wait_ms > 0))
     }
 
     pub fn pass(&mut self, ms: u64) {
@@ -228,8 +232,8 @@
     matches!(call, Call::Stop { .. })
 }
 
-pub fn is_look(call: &Call) -> bool {
-    matches!(call, Call::Look { .. })
+pub fn is_list(call: &Call) -> bool {
+    matches!(call, Call::List { .. })
 }
 
 pub fn is_pace(call: &Call) -> bool {
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -9,7 +9,7 @@
 use pond_proto::fleet::{EndRow, Order, RunRow};
 use pond_proto::job::How;
 use pond_proto::{Millis, Size, Span};
-use support::{Bench, LIFE, is_look, is_stop, run};
+use support::{Bench, INCARNATION, is_list, is_stop, run};
 
 /// Step of the injected clock, in milliseconds.
 const STEP_MS: Span = 10;
@@ -21,7 +21,7 @@
 /// A call that the worker has not answered yet: when and how it will.
 struct Pending {
     at: Millis,
-    look: u64,
+    list_id: u64,
     call: Call,
     answer: Answer,
 }
@@ -77,13 +77,13 @@
     }
 
     fn take_calls(&mut self, worker: &impl Fn(Span, &Call) -> Option<Reply>) {
-        for (look, call) in std::mem::take(&mut self.bench.calls) {
+        for (list_id, call) in std::mem::take(&mut self.bench.calls) {
             let reply = worker(self.since_order(), &call);
             self.stops.extend(is_stop(&call).then_some(self.bench.now));
             let clock_ms = reply.is_some().then(|| 50_000 + self.since_order());
             let wait = match (&reply, &call) {
-                (None, call) => call.patience_ms(),
-                (Some(Reply::Listed { ends, .. }), Call::Look { wait_ms, .. })
+                (None, call) => call.timeout_ms(),
+                (Some(Reply::Listed { ends, .. }), Call::List { wait_ms, .. })
                     if ends.is_empty() =>
                 {
                     *wait_ms
@@ -91,7 +91,7 @@
                 _ => 0,
             };
             let answer = Answer { clock_ms, reply: reply.unwrap_or(Reply::Unknown) };
-            self.pending.push(Pending { at: self.bench.now + wait, look, call, answer });
+            self.pending.push(Pending { at: self.bench.now + wait, list_id, call, answer });
         }
     }
 
@@ -100,8 +100,8 @@
         let (due, later) = std::mem::take(&mut self.pending).into_iter().partition(|p| p.at <= now);
         self.pending = later;
         let due: Vec<Pending> = due;
-        for Pending { look, call, answer, .. } in due {
-            self.bench.core.answer(now, LIFE, self.bench.token, look, &call, answer);
+        for Pending { list_id, call, answer, .. } in due {
+            self.bench.core.answer(now, INCARNATION, self.bench.token, list_id, &call, answer);
             self.bench.tick();
         }
     }
@@ -109,8 +109,8 @@
     /// The worker registers again, with a clock that goes on.
     fn register_again(&mut self) {
         let registration = Registration {
-            id: LIFE.to_owned(),
-            life: LIFE.to_owned(),
+            id: INCARNATION.to_owned(),
+            incarnation: INCARNATION.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             clock_ms: 50_000 + self.since_order(),
@@ -234,7 +234,7 @@
     // the newest clock whatever brought it.
     let mut play = Play::new();
     let well = |_: Span, call: &Call| match call {
-        Call::Look { .. } => says(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
+        Call::List { .. } => says(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
         _ => says(Reply::Done),
     };
     play.until(2_000, well, |_| false);
@@ -251,7 +251,7 @@
 fn lease_does_not_go_on_with_answers_that_hold_no_lists() {
     let mut play = Play::new();
     let well = |_: Span, call: &Call| match call {
-        Call::Look { .. } => says(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
+        Call::List { .. } => says(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
         _ => says(Reply::Done),
     };
     play.until(2_000, well, |_| false);
@@ -293,16 +293,16 @@
     bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Refused(Refusal::NoRoom));
     bench.pass(1);
     bench.answer(is_stop, Reply::Done);
-    assert_eq!(bench.count(is_look), 2);
-    let late = bench.calls.remove(bench.calls.iter().position(|(_, call)| is_look(call)).unwrap());
+    assert_eq!(bench.count(is_list), 2);
+    let late = bench.calls.remove(bench.calls.iter().position(|(_, call)| is_list(call)).unwrap());
     bench.list(&[], &[(1, 0, How::Done)]);
     bench.order(Order { settled: 1, ..Order::default() });
     let reply = Reply::Listed { runs: vec![row(90)], ends: vec![] };
     let answer = Answer { clock_ms: Some(51_000), reply };
-    bench.core.answer(bench.now, LIFE, bench.token, late.0, &late.1, answer);
+    bench.core.answer(bench.now, INCARNATION, bench.token, late.0, &late.1, answer);
     for _ in 0..3 {
         bench.pass(1_000);
-        if bench.count(is_look) > 0 {
+        if bench.count(is_list) > 0 {
             bench.list(&[], &[]);
         }
     }
@@ -319,11 +319,11 @@
     bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Refused(Refusal::NoRoom));
     bench.pass(1);
     bench.answer(is_stop, Reply::Done);
-    let late = bench.calls.remove(bench.calls.iter().position(|(_, call)| is_look(call)).unwrap());
+    let late = bench.calls.remove(bench.calls.iter().position(|(_, call)| is_list(call)).unwrap());
     bench.list(&[0], &[]);
     let answer =
         Answer { clock_ms: Some(51_000), reply: Reply::Listed { runs: vec![], ends: vec![] } };
-    bench.core.answer(bench.now, LIFE, bench.token, late.0, &late.1, answer);
+    bench.core.answer(bench.now, INCARNATION, bench.token, late.0, &late.1, answer);
     bench.pass(1_000);
     assert!(bench.last().runs.iter().any(|row| row.run == run(0)));
 }
@@ -341,7 +341,7 @@
     assert!(bench.last().runs.iter().any(|row| row.run == run(0)));
     let end = EndRow { number: 2, run: run(0), how: How::Done as i32, save: String::new() };
     bench.order(Order { settled: 1, ..Order::default() });
-    bench.answer(is_look, Reply::Listed { runs: vec![], ends: vec![end] });
+    bench.answer(is_list, Reply::Listed { runs: vec![], ends: vec![end] });
     bench.pass(1_000);
     assert_eq!(bench.last().ends.len(), 1);
 }
--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -11,7 +11,7 @@
 use pond_proto::fleet::{Target, Verb};
 use pond_proto::wire::Body;
 use pond_proto::{Millis, Span};
-use pond_uplink::{Told, Uplink};
+use pond_uplink::{Notification, Uplink};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
@@ -140,20 +140,20 @@
         }
     }
 
-    fn told(&mut self, now: Millis, told: Told) {
+    fn told(&mut self, now: Millis, told: Notification) {
         match told {
-            Told::Leader { configured, new, .. } => {
+            Notification::Leader { configured, new, .. } => {
                 self.configured |= configured;
                 if new {
                     self.desk.leader_up();
                 }
             }
-            Told::Lost => {
+            Notification::Lost => {
                 self.led = now;
                 self.desk.leader_lost(now);
             }
-            Told::Frame(Body::Tell(tell)) => self.desk.tell(tell),
-            Told::Frame(_) => {}
+            Notification::Frame(Body::Tell(tell)) => self.desk.tell(tell),
+            Notification::Frame(_) => {}
         }
     }
 
@@ -163,7 +163,7 @@
                 let ticket = self.desk.ask(self.now(), target, verb, patience_ms);
                 self.replies.insert(ticket, reply);
             }
-            Input::Learn(addresses) => self.uplink.learn(&addresses),
+            Input::Learn(addresses) => self.uplink.add_addresses(&addresses),
         }
     }
 
@@ -194,13 +194,13 @@
     }
 
     fn judge_ready(&mut self, now: Millis) {
-        if self.uplink.leads() {
+        if self.uplink.has_leader() {
             self.led = now;
         }
-        let recent = self.uplink.leads() || now.since(self.led) < READY_WITHOUT_MS;
+        let recent = self.uplink.has_leader() || now.since(self.led) < READY_WITHOUT_MS;
         let ready = self.configured && recent;
         if self.ready.swap(ready, Ordering::Relaxed) != ready {
-            event!(self.log, READY, "ready" => ready, "leader" => self.uplink.leads(),
+            event!(self.log, READY, "ready" => ready, "leader" => self.uplink.has_leader(),
                 "configured" => self.configured);
         }
     }
--- a/crates/pond-job/tests/world/machine.rs
+++ b/crates/pond-job/tests/world/machine.rs
@@ -151,8 +151,8 @@
             match output {
                 Output::Report(report) => reports.push(report),
                 Output::Observed(_) => {}
-                Output::Call { life, token, look, call, .. } => {
-                    self.call(now, book, life, token, look, call);
+                Output::Call { incarnation, token, list_id, call, .. } => {
+                    self.call(now, book, incarnation, token, list_id, call);
                 }
             }
         }
@@ -168,7 +168,7 @@
         self.sequence += 1;
         let registration = Registration {
             id: id_of(&worker.life).to_owned(),
-            life: worker.life.clone(),
+            incarnation: worker.life.clone(),
             address: self.name.clone(),
             pool: "vms".to_owned(),
             data_centre: self.data_centre.to_owned(),
@@ -184,7 +184,7 @@
     /// The agent calls its worker. A call to a dead worker, or one whose answer is lost, is given up
     /// in the end.
     fn call(&mut self, now: Millis, book: &Book, life: String, token: u64, look: u64, call: Call) {
-        let patience = now + call.patience_ms();
+        let patience = now + call.timeout_ms();
         let worker = self.worker.as_mut();
         let (reply, due) = match worker {
             None if self.refuses => (Some(Reply::NotSent), now),
@@ -192,7 +192,7 @@
             Some(worker) if id_of(&worker.life) != id_of(&life) => (Some(Reply::OtherLife), now),
             Some(worker) => match (worker.call(now, book, token, &call), &call) {
                 (Some(reply), _) => (Some(reply), now),
-                (None, Call::Look { wait_ms, .. }) => (None, now + *wait_ms),
+                (None, Call::List { wait_ms, .. }) => (None, now + *wait_ms),
                 (None, _) => (Some(Reply::Unknown), patience),
             },
         };
--- a/crates/pond-job/tests/world/worker.rs
+++ b/crates/pond-job/tests/world/worker.rs
@@ -118,9 +118,9 @@
                 *over = run.number.max(*over);
                 Some(Reply::Done)
             }
-            Call::Look { lease_end_ms, settled, .. } => {
+            Call::List { lease_end_ms, committed, .. } => {
                 self.lease_end_ms = self.lease_end_ms.max(*lease_end_ms);
-                self.ends.retain(|end| end.number > *settled);
+                self.ends.retain(|end| end.number > *committed);
                 None
             }
             Call::Pace { run, percent } => {
@@ -133,7 +133,7 @@
     }
 
     fn start(&mut self, now: Millis, book: &Book, call: &Call) -> Reply {
-        let Call::Start { run, save, lease_end_ms, ticket, .. } = call else {
+        let Call::Start { run, checkpoint, lease_end_ms, ticket, .. } = call else {
             return Reply::Unknown;
         };
         self.lease_end_ms = self.lease_end_ms.max(*lease_end_ms);
@@ -157,7 +157,7 @@
         }
         let work_ms = book.work_ms(*run, &step);
         // A save tells the thousandths of the work.
-        let saved = save.parse::<f64>().map_or(0.0, |part| work_ms * part / 1_000.0);
+        let saved = checkpoint.parse::<f64>().map_or(0.0, |part| work_ms * part / 1_000.0);
         let new = Run {
             step,
             began: now,
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -13,7 +13,7 @@
 use pond_proto::wire::{Body, Role as WireRole};
 use pond_proto::{Life, Millis};
 use pond_quorum::Input;
-use pond_uplink::{BEAT, SILENCE};
+use pond_uplink::{HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
@@ -56,7 +56,7 @@
         let terms = Terms::new(WireRole::Control, &own, &settings.data_centre, Life::random())
             .with_limits(FRAME_BYTES, LINK_QUEUE)
             .with_address(&own)
-            .with_times(BEAT, SILENCE);
+            .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let terms = Arc::new(terms);
         tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
         let (dialled, addresses) = (BTreeMap::new(), BTreeMap::new());
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -13,7 +13,7 @@
 use pond_replica::Handle;
 use pond_store::Memory;
 use pond_test::{SwallowProxy, Swallowed};
-use pond_uplink::{BEAT, SILENCE};
+use pond_uplink::{HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
@@ -22,7 +22,7 @@
 
 /// Time in which both ends of a link notice that one of them is not heard: the other end is silent
 /// itself from then on.
-const NOTICED: Duration = SILENCE.saturating_mul(3);
+const NOTICED: Duration = SILENCE_TIMEOUT.saturating_mul(3);
 
 /// The identity of a replica that comes later.
 const NEWCOMER: u64 = 4;
@@ -67,7 +67,11 @@
 impl Newcomer {
     fn terms(address: SocketAddr) -> Arc<pond_link::Terms> {
         let terms = pond_link::Terms::new(Role::Control, "newcomer", "here", Life(NEWCOMER));
-        Arc::new(terms.with_address(&address.to_string()).with_times(BEAT, SILENCE))
+        Arc::new(
+            terms
+                .with_address(&address.to_string())
+                .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
+        )
     }
 
     fn start(address: SocketAddr, proxies: &[SwallowProxy]) -> Newcomer {
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -20,14 +20,14 @@
 pub use search::{Output, Search};
 
 /// Time between heartbeats on a link to control, so that silence is noticed within a second.
-pub const BEAT: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Silence after which a link to control is lost: three heartbeats.
-pub const SILENCE: Duration = Duration::from_millis(800);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What the owner of the link is told.
 #[derive(Debug)]
-pub enum Told {
+pub enum Notification {
     /// The link leads to the leader now, or the leader says something new about itself.
     Leader {
         /// Its term.
@@ -68,7 +68,7 @@
         log: Logger,
         now: Millis,
     ) -> Uplink {
-        let terms = Arc::new(terms.with_times(BEAT, SILENCE));
+        let terms = Arc::new(terms.with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
         let search = Search::new(addresses, terms.hello.life, now);
         let mut uplink = Uplink { search, links: BTreeMap::new(), terms, events, log };
         uplink.carry_out();
@@ -76,13 +76,13 @@
     }
 
     /// Whether there is a link to a leader.
-    pub fn leads(&self) -> bool {
+    pub fn has_leader(&self) -> bool {
         self.search.leader().is_some()
     }
 
     /// Further addresses of replicas, as from changed settings.
-    pub fn learn(&mut self, addresses: &[String]) {
-        self.search.learn(addresses);
+    pub fn add_addresses(&mut self, addresses: &[String]) {
+        self.search.add_addresses(addresses);
     }
 
     /// Sends to the leader; false if there is none or its link is full.
@@ -92,7 +92,7 @@
     }
 
     /// Takes in an event of a link.
-    pub fn event(&mut self, now: Millis, event: Event) -> Option<Told> {
+    pub fn event(&mut self, now: Millis, event: Event) -> Option<Notification> {
         let led = self.search.leader();
         let link = event.link;
         if !self.links.contains_key(&link) {
@@ -108,7 +108,7 @@
             }
             EventKind::Down(error) => self.down(now, link, &error),
             EventKind::Frame(Body::Lead(lead)) => self.lead(now, link, &lead),
-            EventKind::Frame(body) => (led == Some(link)).then_some(Told::Frame(body)),
+            EventKind::Frame(body) => (led == Some(link)).then_some(Notification::Frame(body)),
         };
         self.carry_out();
         told
@@ -125,7 +125,12 @@
         self.search.due()
     }
 
-    fn down(&mut self, now: Millis, link: LinkKey, error: &pond_link::Error) -> Option<Told> {
+    fn down(
+        &mut self,
+        now: Millis,
+        link: LinkKey,
+        error: &pond_link::Error,
+    ) -> Option<Notification> {
         let led = self.search.leader() == Some(link);
         let address = self.search.address(link).to_owned();
         let opened = self.links.get(&link).is_some_and(|link| link.sender.is_some());
@@ -136,7 +141,7 @@
         led.then(|| self.lost(&address))
     }
 
-    fn lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Told> {
+    fn lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Notification> {
         let before = self.search.leader();
         self.search.told(now, link, lead);
         let after = self.search.leader();
@@ -146,14 +151,18 @@
                 event!(self.log, LEADER_FOUND, "leader" => self.search.address(link),
                     "term" => lead.term);
             }
-            return Some(Told::Leader { term: lead.term, configured: lead.configured, new });
+            return Some(Notification::Leader {
+                term: lead.term,
+                configured: lead.configured,
+                new,
+            });
         }
         (before == Some(link)).then(|| self.lost(self.search.address(link)))
     }
 
-    fn lost(&self, address: &str) -> Told {
+    fn lost(&self, address: &str) -> Notification {
         event!(self.log, LEADER_LOST, "leader" => address.to_owned());
-        Told::Lost
+        Notification::Lost
     }
 
     fn carry_out(&mut self) {
--- a/crates/pond-uplink/src/search.rs
+++ b/crates/pond-uplink/src/search.rs
@@ -132,7 +132,7 @@
             rng: SmallRng::seed_from_u64(seed),
             outputs: Vec::new(),
         };
-        search.learn(&addresses);
+        search.add_addresses(&addresses);
         search.ask_some(now, AT_ONCE);
         search
     }
@@ -148,7 +148,7 @@
     }
 
     /// Further addresses of replicas.
-    pub fn learn(&mut self, addresses: &[String]) {
+    pub fn add_addresses(&mut self, addresses: &[String]) {
         for address in addresses {
             if !self.replicas.iter().any(|known| known.address == *address) {
                 let address = address.clone();
@@ -160,7 +160,7 @@
 
     /// Another replica says which ones there are.
     fn list(&mut self, addresses: &[String]) {
-        self.learn(addresses);
+        self.add_addresses(addresses);
         for replica in &mut self.replicas {
             replica.listed = addresses.contains(&replica.address);
         }
@@ -213,7 +213,7 @@
         if lead.term < self.term || lead.leader.is_empty() {
             return;
         }
-        self.learn(std::slice::from_ref(&lead.leader));
+        self.add_addresses(std::slice::from_ref(&lead.leader));
         let found = self.replicas.iter().position(|known| known.address == lead.leader);
         let Some(replica) = found else { return };
         if self.named.is_none_or(|named| named.replica != replica) {
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -10,7 +10,7 @@
 use pond_proto::wire::{Body, Role};
 use pond_proto::{Life, Millis};
 use pond_test::{SwallowProxy, Swallowed};
-use pond_uplink::{BEAT, SILENCE, Told, Uplink};
+use pond_uplink::{HEARTBEAT_INTERVAL, Notification, SILENCE_TIMEOUT, Uplink};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
@@ -40,7 +40,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
         let address = listener.local_addr().expect("an address");
         let (events, happened) = mpsc::channel(QUEUE);
-        let terms = Terms::new(Role::Control, "control", "here", Life(1)).with_times(BEAT, SILENCE);
+        let terms = Terms::new(Role::Control, "control", "here", Life(1))
+            .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         tokio::spawn(accept(listener, Arc::new(terms), events));
         Replica { address, happened, lead, guests: Vec::new() }
     }
@@ -88,7 +89,7 @@
         Millis(self.start.elapsed().as_millis() as u64)
     }
 
-    async fn told(&mut self) -> Told {
+    async fn told(&mut self) -> Notification {
         loop {
             self.uplink.tick(self.now());
             let event = tokio::select! {
@@ -105,9 +106,9 @@
     async fn find_leader(&mut self) {
         loop {
             match self.told().await {
-                Told::Leader { new: true, .. } => return,
-                Told::Leader { .. } | Told::Lost => {}
-                Told::Frame(frame) => panic!("too early: {frame:?}"),
+                Notification::Leader { new: true, .. } => return,
+                Notification::Leader { .. } | Notification::Lost => {}
+                Notification::Frame(frame) => panic!("too early: {frame:?}"),
             }
         }
     }
@@ -119,7 +120,7 @@
     /// Waits for the answer to an ask.
     async fn hear(&mut self, ticket: u64) {
         match self.told().await {
-            Told::Frame(Body::Tell(tell)) => assert_eq!(tell.ticket, ticket),
+            Notification::Frame(Body::Tell(tell)) => assert_eq!(tell.ticket, ticket),
             other => panic!("no answer: {other:?}"),
         }
     }
