--- a/crates/pond-agent/src/agent.rs
+++ b/crates/pond-agent/src/agent.rs
@@ -16,10 +16,10 @@
 use crate::worker::{Answer, Call, Reply, Worker};
 
 /// Inputs that may wait for the core: one worker gives a few a second, and one for each call.
-const QUEUE: usize = 1024;
+const QUEUE_LEN: usize = 1024;
 
 /// Longest time between looks at what is due, in milliseconds.
-const TICK_MS: u64 = 250;
+const MAX_TICK_MS: u64 = 250;
 
 /// Something that happens to an agent.
 enum Input {
@@ -73,7 +73,7 @@
         clock: Clock,
         log: Logger,
     ) -> (Agent, Registrar) {
-        let (sender, inputs) = mpsc::channel(QUEUE);
+        let (sender, inputs) = mpsc::channel(QUEUE_LEN);
         let registrar = Registrar { inputs: sender.clone() };
         let core = Core::new();
         (Agent { core, uplink, links, worker, sender, inputs, clock, log }, registrar)
@@ -88,34 +88,34 @@
         loop {
             let now = self.now();
             self.uplink.tick(now);
-            self.carry_out(now);
+            self.execute(now);
             let due =
                 self.uplink.due().map_or(self.core.due(now), |due| due.min(self.core.due(now)));
-            let wait = due.since(now).clamp(1, TICK_MS);
+            let wait = due.since(now).clamp(1, MAX_TICK_MS);
             let timer = sleep_until(Timer::now() + Duration::from_millis(wait));
             tokio::select! {
-                Some(event) = self.links.recv() => self.link(event),
-                Some(input) = self.inputs.recv() => self.input(input),
+                Some(event) = self.links.recv() => self.handle_event(event),
+                Some(input) = self.inputs.recv() => self.handle_input(input),
                 () = timer => {}
             }
             while let Ok(event) = self.links.try_recv() {
-                self.link(event);
+                self.handle_event(event);
             }
             while let Ok(input) = self.inputs.try_recv() {
-                self.input(input);
+                self.handle_input(input);
             }
         }
     }
 
-    fn link(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
-        if let Some(told) = self.uplink.event(now, event) {
-            self.told(now, told);
+        if let Some(notification) = self.uplink.event(now, event) {
+            self.handle_notification(now, notification);
         }
     }
 
-    fn told(&mut self, now: Millis, told: Notification) {
-        match told {
+    fn handle_notification(&mut self, now: Millis, notification: Notification) {
+        match notification {
             Notification::Leader { term, new, .. } if new => self.core.leader_up(term),
             Notification::Frame(Body::Order(order)) => {
                 event!(self.log, ORDERED, "worker" => order.worker.clone(), "term" => order.term,
@@ -127,7 +127,7 @@
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.now();
         match input {
             Input::Registered(registration) => self.registered(now, registration),
@@ -175,7 +175,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Millis) {
+    fn execute(&mut self, now: Millis) {
         for output in self.core.tick(now) {
             match output {
                 // A report that is not sent is made again, as news or within a second.
--- a/crates/pond-agent/src/core/claim.rs
+++ b/crates/pond-agent/src/core/claim.rs
@@ -6,12 +6,12 @@
 
 use pond_proto::Millis;
 
-use super::due::SILENT_MS;
+use super::due::UNRESPONSIVE_MS;
 use super::{Core, Output, Registration};
 use crate::worker::{Answer, Call, Reply};
 
 /// Claims that are kept, the newest: a cut holds back the registrations of a few lives at most.
-const MOST_CLAIMS: usize = 4;
+const MAX_CLAIMS: usize = 4;
 
 /// A life that has registered and not answered yet.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     registration: Registration,
     since: Millis,
     /// A call to it is on its way.
-    asked: bool,
+    calling: bool,
 }
 
 impl Claim {
@@ -37,28 +37,28 @@
             Some(claim) if registration.sequence <= claim.registration.sequence => return,
             Some(claim) => claim.registration = registration,
             None => {
-                self.claims.push(Claim { registration, since: now, asked: false });
-                let more = self.claims.len().saturating_sub(MOST_CLAIMS);
-                self.claims.drain(..more);
+                self.claims.push(Claim { registration, since: now, calling: false });
+                let excess = self.claims.len().saturating_sub(MAX_CLAIMS);
+                self.claims.drain(..excess);
             }
         }
-        self.ask_claims();
+        self.query_claims();
         self.adopt_unanswered(now, &incarnation);
     }
 
     /// Asks all lives that claim to be there and have no call on its way.
-    pub(super) fn ask_claims(&mut self) {
+    pub(super) fn query_claims(&mut self) {
         if !self.may_call() {
             return;
         }
-        for claim in self.claims.iter_mut().filter(|claim| !claim.asked) {
-            claim.asked = true;
-            self.looks += 1;
+        for claim in self.claims.iter_mut().filter(|claim| !claim.calling) {
+            claim.calling = true;
+            self.last_list_id += 1;
             self.outputs.push(Output::Call {
                 address: claim.registration.address.clone(),
                 incarnation: claim.registration.incarnation.clone(),
                 token: self.term,
-                list_id: self.looks,
+                list_id: self.last_list_id,
                 call: Call::List { lease_end_ms: 0, committed: 0, wait_ms: 0 },
             });
         }
@@ -76,18 +76,18 @@
         let Some(found) = found else { return };
         match answer.reply {
             // Its next registration asks again.
-            Reply::Unknown | Reply::NotSent => self.claims[found].asked = false,
+            Reply::Unknown | Reply::NotSent => self.claims[found].calling = false,
             Reply::OtherLife | Reply::Restarted => {
                 self.claims.remove(found);
-                self.remember_over(incarnation.to_owned());
+                self.remember_ended(incarnation.to_owned());
             }
             // No other answer tells which life of a worker it is from.
-            reply if !matches!(reply, Reply::Listed { .. }) => self.claims[found].asked = false,
+            reply if !matches!(reply, Reply::Listed { .. }) => self.claims[found].calling = false,
             _ => {
                 self.adopt(now, found);
                 // What it answers goes before what a registration said.
                 self.clock_ms = answer.clock_ms.unwrap_or(self.clock_ms);
-                self.look_answer(now, list_id, answer);
+                self.list_answer(now, list_id, answer);
             }
         }
     }
@@ -95,9 +95,9 @@
     /// A life that registers again and again but answers nothing is believed once no other answers
     /// either, so that control learns that the former one is over.
     fn adopt_unanswered(&mut self, now: Millis, incarnation: &str) {
-        let silent = self.worker.is_none() || now.since(self.listed) >= SILENT_MS;
+        let silent = self.worker.is_none() || now.since(self.listed_at) >= UNRESPONSIVE_MS;
         let waited =
-            |claim: &Claim| claim.is_of(incarnation) && now.since(claim.since) >= SILENT_MS;
+            |claim: &Claim| claim.is_of(incarnation) && now.since(claim.since) >= UNRESPONSIVE_MS;
         if let Some(found) = self.claims.iter().position(waited).filter(|_| silent) {
             self.adopt(now, found);
         }
@@ -106,9 +106,9 @@
     /// A life is the worker from now on.
     fn adopt(&mut self, now: Millis, found: usize) {
         let registration = self.claims.remove(found).registration;
-        self.new_life(now, &registration.incarnation);
+        self.reset(now, &registration.incarnation);
         self.clock_ms = registration.clock_ms;
         self.worker = Some(registration);
-        self.stop_doubtful(now);
+        self.stop_unresolved(now);
     }
 }
--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -12,25 +12,25 @@
 
 /// How long a list waits for an end, in milliseconds: each list extends the lease, which is some
 /// seconds long.
-const WAIT_MS: Span = 1_000;
+const LIST_WAIT_MS: Span = 1_000;
 
 /// The same while filling runs stand beside serving ones: their figures are of half a second.
-const SHORT_WAIT_MS: Span = 450;
+const SHORT_LIST_WAIT_MS: Span = 450;
 
 /// Time between reports while nothing changes, in milliseconds: the leader counts on one a second.
-const REPORT_MS: Span = 900;
+const REPORT_INTERVAL_MS: Span = 900;
 
 /// An acknowledgement waits this long for a moment in which no start is on its way, in milliseconds; then starts wait for
 /// it. A worker lists five hundred ends at once, so it can wait for some hundred of them.
-const ACKNOWLEDGE_MS: Span = 1_000;
+const ACKNOWLEDGE_WAIT_MS: Span = 1_000;
 
 /// Starts wait for an acknowledgement for so long at a time, in milliseconds: a worker that answers has listed all that
 /// it was told to start by then. One that does not must not hold up everything else.
-const YIELD_MS: Span = 200;
+const START_HOLD_MS: Span = 200;
 
 /// A worker that has not listed for this long does not answer, in milliseconds: about two lists,
 /// each with its wait of a second and the time for an answer.
-pub(super) const SILENT_MS: Span = 3_500;
+pub(super) const UNRESPONSIVE_MS: Span = 3_500;
 
 impl Core {
     /// Does what is due and hands out what the shell must do.
@@ -39,44 +39,46 @@
             if self.may_call() {
                 self.acknowledge();
                 self.call_due(now);
-                self.look_if_due(now);
-                self.look_for_survivors(now);
+                self.list_if_due(now);
+                self.check_survival(now);
             }
-            if self.news || now.since(self.reported) >= REPORT_MS {
+            if self.report_now || now.since(self.reported_at) >= REPORT_INTERVAL_MS {
                 self.report(now);
             }
         }
         std::mem::take(&mut self.outputs)
     }
 
-    fn look_if_due(&mut self, now: Millis) {
-        if self.looking.is_none() && now >= self.look_due {
-            let wait = if self.doubted.is_some() { 0 } else { self.wait_ms() };
-            self.looking = Some(self.request_list(wait));
+    fn list_if_due(&mut self, now: Millis) {
+        if self.pending_list.is_none() && now >= self.list_due {
+            let wait = if self.distrusted_list.is_some() { 0 } else { self.wait_ms() };
+            self.pending_list = Some(self.request_list(wait));
         }
     }
 
     /// Asks for a list at once when the leader wants to know that the worker has lived on with a run.
-    fn look_for_survivors(&mut self, now: Millis) {
-        let alive = self.alive;
-        let due =
-            |run: &&mut Run| !run.asked && run.tell_at().is_some_and(|at| at <= now && alive < at);
+    fn check_survival(&mut self, now: Millis) {
+        let answered_at = self.answered_at;
+        let due = |run: &&mut Run| {
+            !run.list_requested
+                && run.survival_due().is_some_and(|at| at <= now && answered_at < at)
+        };
         let found: Vec<&mut Run> = self.runs.values_mut().filter(due).collect();
         if found.is_empty() {
             return;
         }
-        found.into_iter().for_each(|run| run.asked = true);
+        found.into_iter().for_each(|run| run.list_requested = true);
         self.request_list(0);
     }
 
     /// When something is due without any further input.
     pub fn due(&self, now: Millis) -> Millis {
-        let mut due = self.reported + REPORT_MS;
+        let mut due = self.reported_at + REPORT_INTERVAL_MS;
         if !self.may_call() {
             return due.max(now);
         }
-        if self.looking.is_none() {
-            due = due.min(self.look_due);
+        if self.pending_list.is_none() {
+            due = due.min(self.list_due);
         }
         let holds = self.holds_starts(now);
         for run in self.runs.values().filter(|run| !run.calling) {
@@ -85,9 +87,9 @@
                 due = due.min(run.due);
             }
         }
-        let told = |at: &Millis| *at > self.alive;
-        for run in self.runs.values().filter(|run| !run.asked) {
-            due = run.tell_at().filter(told).map_or(due, |at| due.min(at));
+        let unanswered = |at: &Millis| *at > self.answered_at;
+        for run in self.runs.values().filter(|run| !run.list_requested) {
+            due = run.survival_due().filter(unanswered).map_or(due, |at| due.min(at));
         }
         due.max(now)
     }
@@ -96,7 +98,7 @@
     fn wait_ms(&self) -> Span {
         let watches = || self.runs.values().filter_map(|run| run.watch.as_ref());
         let serves = watches().any(|watch| watch.tail_target_ms > 0);
-        if serves && watches().any(|watch| watch.fills) { SHORT_WAIT_MS } else { WAIT_MS }
+        if serves && watches().any(|watch| watch.fills) { SHORT_LIST_WAIT_MS } else { LIST_WAIT_MS }
     }
 
     /// Calls the worker about each run that is due and has no call on its way.
@@ -111,8 +113,8 @@
             let call = match &run.phase {
                 Phase::Starting { .. } if holds => continue,
                 Phase::Starting { order, .. } => {
-                    run.sent += 1;
-                    run.sent_at = now;
+                    run.start_calls += 1;
+                    run.last_start_at = now;
                     Call::Start {
                         run: *name,
                         text: order.text.clone(),
@@ -133,7 +135,7 @@
     }
 
     /// Judges the newest figures and tells the worker each pace that has changed.
-    pub(super) fn pace(&mut self, now: Millis) {
+    pub(super) fn update_paces(&mut self, now: Millis) {
         let serving = self.runs.values().filter_map(|run| {
             let target = run.watch.as_ref()?.tail_target_ms;
             (target > 0 && run.row.percent == 100).then_some((run.row.figure, target))
@@ -146,7 +148,7 @@
                 group.blame_permille += u64::from(watch.blame_permille);
             }
         }
-        self.pacing.judge(now, serving, &groups);
+        self.pacing.update(now, serving, &groups);
         let mut calls = Vec::new();
         for (name, run) in &mut self.runs {
             let Some(watch) = run.watch.as_ref().filter(|watch| watch.fills) else { continue };
@@ -163,10 +165,10 @@
 
     /// Asks for a list that acknowledges nothing; its number.
     pub(super) fn request_list(&mut self, wait_ms: Span) -> u64 {
-        self.looks += 1;
+        self.last_list_id += 1;
         let lease_end_ms = self.lease_end_ms;
-        self.call(self.looks, Call::List { lease_end_ms, committed: 0, wait_ms });
-        self.looks
+        self.call(self.last_list_id, Call::List { lease_end_ms, committed: 0, wait_ms });
+        self.last_list_id
     }
 
     /// Tells the worker which ends it may forget: once, and only while no start is on its way. A worker may start again
@@ -175,22 +177,23 @@
     fn acknowledge(&mut self) {
         let due = self.committed > self.acknowledged && self.acknowledging.is_none();
         let starts = || self.runs.values().any(Run::in_flight);
-        if !due || self.doubted.is_some() || starts() {
+        if !due || self.distrusted_list.is_some() || starts() {
             return;
         }
-        self.looks += 1;
+        self.last_list_id += 1;
         let (lease_end_ms, committed) = (self.lease_end_ms, self.committed);
-        self.acknowledging = Some((self.looks, committed));
-        self.call(self.looks, Call::List { lease_end_ms, committed, wait_ms: 0 });
+        self.acknowledging = Some((self.last_list_id, committed));
+        self.call(self.last_list_id, Call::List { lease_end_ms, committed, wait_ms: 0 });
     }
 
     /// Whether nothing may be started now: the worker may have started again, or an acknowledgement is on its way or has
     /// waited for too long.
     fn holds_starts(&self, now: Millis) -> bool {
         let waits = self.committed > self.acknowledged;
-        let waited_ms = now.since(self.unacknowledged);
-        let overdue = waits && waited_ms % (ACKNOWLEDGE_MS + YIELD_MS) >= ACKNOWLEDGE_MS;
-        self.doubted.is_some() || self.acknowledging.is_some() || overdue
+        let waited_ms = now.since(self.acknowledge_since);
+        let overdue =
+            waits && waited_ms % (ACKNOWLEDGE_WAIT_MS + START_HOLD_MS) >= ACKNOWLEDGE_WAIT_MS;
+        self.distrusted_list.is_some() || self.acknowledging.is_some() || overdue
     }
 
     fn call(&mut self, list_id: u64, call: Call) {
@@ -201,8 +204,8 @@
 
     fn report(&mut self, now: Millis) {
         let Some(worker) = &self.worker else { return };
-        self.reported = now;
-        self.news = false;
+        self.reported_at = now;
+        self.report_now = false;
         let report = Report {
             worker: worker.incarnation.clone(),
             pool: worker.pool.clone(),
@@ -212,7 +215,9 @@
             labels: worker.labels.clone(),
             draining: worker.draining,
             clock_ms: self.clock_ms,
-            answers: self.answered && !self.refused && now.since(self.listed) < SILENT_MS,
+            answers: self.has_listed
+                && !self.unreachable
+                && now.since(self.listed_at) < UNRESPONSIVE_MS,
             gone: false,
             runs: self.rows(),
             ends: self.ends.values().cloned().collect(),
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -9,7 +9,7 @@
 mod answers;
 mod claim;
 mod due;
-mod former;
+mod previous;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,25 +22,25 @@
 use crate::worker::Call;
 
 use claim::Claim;
-use former::Former;
+use previous::PreviousIncarnation;
 
 /// Lives that are over and remembered as such, the newest: their registrations may still come late.
-const OVER_KEPT: usize = 16;
+const MAX_ENDED: usize = 16;
 
 /// A worker's clock may have gone on by this much more than the agent's since it was last read, in
 /// milliseconds: a worker may be late to read it, or its clock fast by a hundredth over a minute or two.
 const CLOCK_SLACK_MS: Span = 5_000;
 
 /// Registrations that an agent may miss between two, as during a cut of a day with one a second.
-const MOST_MISSED: u64 = 100_000;
+const MAX_MISSED: u64 = 100_000;
 
 /// A worker that has said that it ends takes no calls after this time, in milliseconds; one that still does has started
 /// again.
-const FAREWELL_MS: Span = 3_000;
+const DEREGISTRATION_MS: Span = 3_000;
 
 /// A suspect is started without an answer of its worker after this time, in milliseconds: the worker may be
 /// well and its answers lost.
-const MEET_MS: Span = 300;
+const START_WAIT_MS: Span = 300;
 
 /// What a worker says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -135,19 +135,19 @@
     /// The life of the worker that has answered a call.
     worker: Option<Registration>,
     /// Lives before this one, the newest last.
-    formers: VecDeque<Former>,
+    previous: VecDeque<PreviousIncarnation>,
     /// Lives that are over.
-    over: VecDeque<String>,
+    ended: VecDeque<String>,
     /// Lives that have registered and not answered yet.
     claims: Vec<Claim>,
     /// The worker's clock, in milliseconds.
     clock_ms: u64,
     /// When it was last read.
-    clocked: Millis,
+    clock_read_at: Millis,
     /// The highest term of a leader.
     term: u64,
     /// The highest fencing token that a worker refused as too low; zero for none.
-    fenced: u64,
+    refused_token: u64,
     /// The lease that was granted, on the worker's clock in milliseconds.
     lease_end_ms: u64,
     /// Ends up to this number are in the log.
@@ -157,32 +157,32 @@
     /// Number of the list that carries an acknowledgement, and the number of the end up to which it goes.
     acknowledging: Option<(u64, u64)>,
     /// Since when an acknowledgement is due.
-    unacknowledged: Millis,
+    acknowledge_since: Millis,
     /// Lists up to this number prove nothing, as a call after them failed: the worker may have started again.
-    doubted: Option<u64>,
+    distrusted_list: Option<u64>,
     /// Number of the list that was asked for because of that.
-    checking: Option<u64>,
+    check_list: Option<u64>,
     /// When the worker last said that it ends.
-    farewell: Option<Millis>,
+    deregistered_at: Option<Millis>,
     runs: BTreeMap<RunName, Run>,
     ends: BTreeMap<u64, EndRow>,
     unstarted: BTreeSet<RunName>,
-    looks: u64,
+    last_list_id: u64,
     /// Number of the list that is waited for.
-    looking: Option<u64>,
-    look_due: Millis,
-    look_fails: u32,
+    pending_list: Option<u64>,
+    list_due: Millis,
+    list_failures: u32,
     /// When this life last listed, or was believed without a list.
-    listed: Millis,
+    listed_at: Millis,
     /// This life has listed.
-    answered: bool,
+    has_listed: bool,
     /// When this life last answered a call.
-    alive: Millis,
+    answered_at: Millis,
     /// Nobody took the last call at its address.
-    refused: bool,
-    reported: Millis,
+    unreachable: bool,
+    reported_at: Millis,
     /// There is something to report at once.
-    news: bool,
+    report_now: bool,
     pacing: Pacing,
     outputs: Vec<Output>,
 }
@@ -218,9 +218,9 @@
             Some(Mismatch::Pool)
         } else if known.address != registration.address {
             Some(Mismatch::Address)
-        } else if ahead_ms > now.since(self.clocked) + CLOCK_SLACK_MS {
+        } else if ahead_ms > now.since(self.clock_read_at) + CLOCK_SLACK_MS {
             Some(Mismatch::Clock)
-        } else if registration.sequence.saturating_sub(known.sequence) > MOST_MISSED {
+        } else if registration.sequence.saturating_sub(known.sequence) > MAX_MISSED {
             Some(Mismatch::Sequence)
         } else {
             None
@@ -229,7 +229,7 @@
 
     /// The worker says something of itself. From a draining worker's on, nothing is started.
     pub fn registered(&mut self, now: Millis, registration: Registration) {
-        if self.over.contains(&registration.incarnation)
+        if self.ended.contains(&registration.incarnation)
             || self.mismatch(now, &registration).is_some()
         {
             return;
@@ -241,19 +241,19 @@
             Some(known) if registration.sequence <= known.sequence => return,
             // Room that has shrunk is told before the leader counts on it again.
             Some(known) => {
-                self.news |= known.draining != registration.draining;
-                self.news |= known.room != registration.room;
+                self.report_now |= known.draining != registration.draining;
+                self.report_now |= known.room != registration.room;
             }
         }
         if registration.draining {
-            self.start_nothing_more(now);
+            self.cancel_starts(now);
         }
-        self.note_clock(now, registration.clock_ms);
+        self.update_clock(now, registration.clock_ms);
         self.worker = Some(registration);
     }
 
     /// Runs whose start has not been confirmed are given up.
-    fn start_nothing_more(&mut self, now: Millis) {
+    fn cancel_starts(&mut self, now: Millis) {
         for run in self.runs.values_mut() {
             if matches!(run.phase, Phase::Starting { .. }) {
                 run.stop(now);
@@ -262,51 +262,51 @@
     }
 
     /// Forgets all of the former life; none is known if `life` is empty.
-    fn new_life(&mut self, now: Millis, incarnation: &str) {
+    fn reset(&mut self, now: Millis, incarnation: &str) {
         if let Some(before) = self.worker.take().filter(|before| before.incarnation != incarnation)
         {
-            self.keep_former(before);
+            self.keep_previous(before);
         }
         *self = Core {
-            formers: std::mem::take(&mut self.formers),
-            over: std::mem::take(&mut self.over),
+            previous: std::mem::take(&mut self.previous),
+            ended: std::mem::take(&mut self.ended),
             claims: std::mem::take(&mut self.claims),
             term: self.term,
-            fenced: self.fenced,
-            listed: now,
-            alive: now,
-            clocked: now,
-            looks: self.looks,
+            refused_token: self.refused_token,
+            listed_at: now,
+            answered_at: now,
+            clock_read_at: now,
+            last_list_id: self.last_list_id,
             outputs: std::mem::take(&mut self.outputs),
             ..Core::default()
         };
-        self.news = true;
-        self.report_formers();
+        self.report_now = true;
+        self.report_previous();
     }
 
-    fn remember_over(&mut self, incarnation: String) {
-        self.over.push_back(incarnation);
-        let more = self.over.len().saturating_sub(OVER_KEPT);
-        self.over.drain(..more);
+    fn remember_ended(&mut self, incarnation: String) {
+        self.ended.push_back(incarnation);
+        let excess = self.ended.len().saturating_sub(MAX_ENDED);
+        self.ended.drain(..excess);
     }
 
     /// Whether calls are of use: a leader is known, and no worker has refused its term as too low.
     fn may_call(&self) -> bool {
-        self.term > self.fenced
+        self.term > self.refused_token
     }
 
     /// The worker of that id says that it ends. The word may come late, when the worker has started again under its id, so
     /// it is believed once nobody takes calls any more.
     pub fn deregistered(&mut self, now: Millis, id: &str) {
         if self.worker.as_ref().is_some_and(|worker| worker.id == id) {
-            self.farewell = Some(now);
+            self.deregistered_at = Some(now);
             self.request_list(0);
         }
     }
 
     /// Nobody takes calls at the worker's address: whether it has left, as it had said.
     fn has_left(&mut self, now: Millis) -> bool {
-        let left = self.farewell.is_some_and(|at| now.since(at) < FAREWELL_MS);
+        let left = self.deregistered_at.is_some_and(|at| now.since(at) < DEREGISTRATION_MS);
         if left && let Some(worker) = &mut self.worker {
             worker.draining = true;
         }
@@ -315,15 +315,15 @@
 
     /// What to report of the runs.
     fn rows(&self) -> Vec<RunRow> {
-        self.runs.values().map(|run| run.row(self.alive)).collect()
+        self.runs.values().map(|run| run.row(self.answered_at)).collect()
     }
 
     /// There is a link to a leader that may know nothing of this agent.
     pub fn leader_up(&mut self, term: u64) {
         self.term = self.term.max(term);
-        self.news = true;
-        self.report_formers();
-        self.ask_claims();
+        self.report_now = true;
+        self.report_previous();
+        self.query_claims();
     }
 
     /// Control orders something.
@@ -333,7 +333,7 @@
         }
         self.term = order.term;
         self.lease_end_ms = self.lease_end_ms.max(order.lease_end_ms);
-        self.settle(now, order.settled);
+        self.commit_ends(now, order.settled);
         for run in &order.forget {
             self.unstarted.remove(run);
         }
@@ -351,18 +351,18 @@
     }
 
     /// Ends up to this number are in the log; once none is left the worker is asked again.
-    fn settle(&mut self, now: Millis, committed: u64) {
+    fn commit_ends(&mut self, now: Millis, committed: u64) {
         if committed <= self.committed {
             return;
         }
         if self.committed == self.acknowledged {
-            self.unacknowledged = now;
+            self.acknowledge_since = now;
         }
         self.committed = committed;
         self.ends.retain(|number, _| *number > committed);
-        self.settle_doubts();
+        self.report_resolved();
         if self.ends.is_empty() {
-            self.look_due = self.look_due.min(now);
+            self.list_due = self.list_due.min(now);
         }
     }
 
@@ -376,12 +376,12 @@
         let watch = Some(order.watch.clone());
         // Whether a suspect took the worker down can be told only if the worker is known to live when the
         // suspect starts, and for how long all else has lived there.
-        let careful = order.watch.tell_ms > 0 && !draining;
-        let phase = if draining { Phase::Stopping } else { Phase::Starting { order, tries: 0 } };
+        let await_answer = order.watch.tell_ms > 0 && !draining;
+        let phase = if draining { Phase::Stopping } else { Phase::Starting { order, attempts: 0 } };
         let mut run = Run::new(name, phase, watch, now);
-        if careful {
-            run.awaits = Some(self.request_list(0));
-            run.due = now + MEET_MS;
+        if await_answer {
+            run.awaited_list = Some(self.request_list(0));
+            run.due = now + START_WAIT_MS;
         }
         self.runs.insert(name, run);
     }
@@ -392,7 +392,7 @@
         }
         let run =
             self.runs.entry(name).or_insert_with(|| Run::new(name, Phase::Stopping, None, now));
-        if !run.stops() {
+        if !run.is_stopping() {
             run.stop(now);
         }
     }
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -5,7 +5,7 @@
 use pond_proto::{Millis, Span};
 
 /// A worker that answered no longer ago than this was there when a start was called, in milliseconds.
-const MET_MS: Span = 200;
+const RECENT_ANSWER_MS: Span = 200;
 
 /// How far a run is.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,7 +15,7 @@
         /// The order.
         order: StartOrder,
         /// Calls without an answer so far.
-        tries: u32,
+        attempts: u32,
     },
     /// The worker has it.
     Running,
@@ -39,22 +39,22 @@
     /// When to call again.
     pub due: Millis,
     /// Calls in a row that were not done.
-    pub fails: u32,
+    pub failures: u32,
     /// What the worker last listed.
     pub row: RunRow,
     /// Number of the last list that was asked for when the worker last listed it as running; none if
     /// it never did.
-    pub seen: Option<u64>,
+    pub last_listed: Option<u64>,
     /// When it was first known to be at the worker: its start was confirmed, or it was listed.
-    pub began: Option<Millis>,
+    pub confirmed_at: Option<Millis>,
     /// Calls to start it that may have reached the worker.
-    pub sent: u32,
+    pub start_calls: u32,
     /// When the last call to start it was made.
-    pub sent_at: Millis,
+    pub last_start_at: Millis,
     /// Number of the list whose answer the start waits for, so that it is known that the worker lives.
-    pub awaits: Option<u64>,
+    pub awaited_list: Option<u64>,
     /// A list was asked for to tell the leader that the worker has lived on with it.
-    pub asked: bool,
+    pub list_requested: bool,
     /// How to watch it, as far as known.
     pub watch: Option<Watch>,
     /// What the worker was last told about its pace, in percent; not known of runs that were there
@@ -70,48 +70,51 @@
             phase,
             calling: false,
             due: now,
-            fails: 0,
+            failures: 0,
             row,
-            seen: None,
-            began: None,
-            sent: 0,
-            sent_at: Millis(0),
-            awaits: None,
-            asked: false,
+            last_listed: None,
+            confirmed_at: None,
+            start_calls: 0,
+            last_start_at: Millis(0),
+            awaited_list: None,
+            list_requested: false,
             watch,
             pace: Some(100),
         }
     }
 
     /// It is at the worker, by what the worker says now.
-    pub fn is_there(&mut self, now: Millis) {
-        self.began.get_or_insert(now);
+    pub fn confirm(&mut self, now: Millis) {
+        self.confirmed_at.get_or_insert(now);
     }
 
     /// Whether a call to start it may have reached no list of its life, or more than one did: a later life of the worker
     /// may carry one out.
-    pub fn in_doubt(&self) -> bool {
-        self.sent > 1 || self.in_flight()
+    pub fn is_unresolved(&self) -> bool {
+        self.start_calls > 1 || self.in_flight()
     }
 
     /// Whether a call to start it was made and no list has shown it yet.
     pub fn in_flight(&self) -> bool {
-        self.sent > 0 && self.seen.is_none()
+        self.start_calls > 0 && self.last_listed.is_none()
     }
 
     /// When the leader wants to know that the worker has lived on with it; none if that is no news.
-    pub fn tell_at(&self) -> Option<Millis> {
-        let tell_ms = self.watch.as_ref().map_or(0, |watch| watch.tell_ms);
-        self.began.filter(|_| tell_ms > 0).map(|began| began + Span::from(tell_ms))
+    pub fn survival_due(&self) -> Option<Millis> {
+        let survival_ms = self.watch.as_ref().map_or(0, |watch| watch.tell_ms);
+        self.confirmed_at
+            .filter(|_| survival_ms > 0)
+            .map(|confirmed_at| confirmed_at + Span::from(survival_ms))
     }
 
     /// What to report of it, if its worker last answered anything at `alive`.
-    pub fn row(&self, alive: Millis) -> RunRow {
-        let lived = self.began.map_or(0, |began| alive.since(began));
+    pub fn row(&self, answered_at: Millis) -> RunRow {
+        let lived = self.confirmed_at.map_or(0, |confirmed_at| answered_at.since(confirmed_at));
         let lived_ms = u32::try_from(lived).unwrap_or(u32::MAX);
-        let unsent = self.sent == 0 && self.began.is_none();
-        let just_before = self.sent > 0 && self.sent_at.since(alive) <= MET_MS;
-        let met = self.began.is_some() || just_before;
+        let unsent = self.start_calls == 0 && self.confirmed_at.is_none();
+        let answered_recently =
+            self.start_calls > 0 && self.last_start_at.since(answered_at) <= RECENT_ANSWER_MS;
+        let met = self.confirmed_at.is_some() || answered_recently;
         RunRow { lived_ms, unsent, met, ..self.row.clone() }
     }
 
@@ -122,11 +125,11 @@
         self.phase = Phase::Stopping;
         self.calling = false;
         self.due = now;
-        self.fails = 0;
+        self.failures = 0;
     }
 
     /// Whether it should stop, or has.
-    pub fn stops(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping | Phase::Stopped { .. })
     }
 }
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -13,7 +13,7 @@
 }
 
 /// An agent with everything that it hands out.
-pub struct Bench {
+pub struct Harness {
     pub core: Core,
     pub now: Millis,
     pub calls: Vec<(u64, Call)>,
@@ -27,10 +27,10 @@
     pub acknowledged: Vec<u64>,
 }
 
-impl Bench {
+impl Harness {
     /// An agent that knows neither a leader nor a worker.
-    pub fn without_leader() -> Bench {
-        Bench {
+    pub fn without_leader() -> Harness {
+        Harness {
             core: Core::new(),
             now: Millis(1_000),
             calls: vec![],
@@ -42,11 +42,11 @@
         }
     }
 
-    pub fn new() -> Bench {
-        let mut bench = Bench::without_leader();
-        bench.core.leader_up(3);
-        bench.register(INCARNATION, false, 1);
-        bench
+    pub fn new() -> Harness {
+        let mut harness = Harness::without_leader();
+        harness.core.leader_up(3);
+        harness.register(INCARNATION, false, 1);
+        harness
     }
 
     /// A life registers and answers the call that asks whether it is there, if there is one.
@@ -125,20 +125,20 @@
     }
 
     /// The worker lists the serving run 0 at work with that tail, and the filling runs 1 to `fillers`.
-    pub fn list_tail(&mut self, tail_ms: u32, fillers: u32) {
+    pub fn list_tail(&mut self, tail_ms: u32, best_effort: u32) {
         let row = |index: u32, percent: u32, figure: u32| RunRow {
             run: run(index),
             percent,
             figure,
             ..RunRow::default()
         };
-        let fill = (1..=fillers).map(|index| row(index, 10, 900));
+        let fill = (1..=best_effort).map(|index| row(index, 10, 900));
         let runs = std::iter::once(row(0, 100, tail_ms)).chain(fill).collect();
         self.answer(is_list, Reply::Listed { runs, ends: vec![] });
     }
 
     /// The worker does as told about paces; the paces by the index of the run.
-    pub fn obey_paces(&mut self) -> Vec<(u32, u32)> {
+    pub fn confirm_paces(&mut self) -> Vec<(u32, u32)> {
         let mut paces = Vec::new();
         while self.count(is_pace) > 0 {
             let found = self.calls.iter().find(|(_, call)| is_pace(call));
@@ -192,20 +192,20 @@
     pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
         while self.count(is_list) > 0 {
             self.list(running, ended);
-            if self.count(is_list) == 1 && self.core_waits() {
+            if self.count(is_list) == 1 && self.list_waits() {
                 return;
             }
         }
     }
 
     /// The list that is asked for waits for an end.
-    fn core_waits(&self) -> bool {
+    fn list_waits(&self) -> bool {
         self.calls
             .iter()
             .any(|(_, call)| matches!(call, Call::List { wait_ms, .. } if *wait_ms > 0))
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now = self.now + ms;
         self.tick();
     }
@@ -244,7 +244,7 @@
     Watch { run: run(index), tail_target_ms, ..Watch::default() }
 }
 
-pub fn filling(index: u32, image: &str, blame_permille: u32) -> Watch {
+pub fn best_effort(index: u32, image: &str, blame_permille: u32) -> Watch {
     let image = image.to_owned();
     Watch { run: run(index), fills: true, image, blame_permille, ..Watch::default() }
 }
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -9,14 +9,14 @@
 use pond_proto::fleet::{EndRow, Order, RunRow};
 use pond_proto::job::How;
 use pond_proto::{Millis, Size, Span};
-use support::{Bench, INCARNATION, is_list, is_stop, run};
+use support::{Harness, INCARNATION, is_list, is_stop, run};
 
 /// Step of the injected clock, in milliseconds.
 const STEP_MS: Span = 10;
 
 /// By how much the clock of a worker whose lists cannot be read may go on, in milliseconds: the agent's six
 /// seconds, a list that was on its way, and the age of the clock that was known before.
-const UNREAD_MS: Span = 6_000 + 2 * 1_050;
+const MAX_CLOCK_ADVANCE_MS: Span = 6_000 + 2 * 1_050;
 
 /// A call that the worker has not answered yet: when and how it will.
 struct Pending {
@@ -27,8 +27,8 @@
 }
 
 /// An agent and a worker, call by call.
-struct Play {
-    bench: Bench,
+struct Simulation {
+    harness: Harness,
     pending: Vec<Pending>,
     began: Millis,
     /// When stops were asked for.
@@ -36,50 +36,50 @@
 }
 
 /// Answers at once.
-fn says(reply: Reply) -> Option<Reply> {
+fn reply_with(reply: Reply) -> Option<Reply> {
     Some(reply)
 }
 
-fn nothing_listed() -> Option<Reply> {
-    says(Reply::Listed { runs: vec![], ends: vec![] })
+fn empty_list() -> Option<Reply> {
+    reply_with(Reply::Listed { runs: vec![], ends: vec![] })
 }
 
-impl Play {
+impl Simulation {
     /// An agent that has just been told to start run 0.
-    fn new() -> Play {
-        let mut bench = Bench::new();
-        bench.start(0);
-        let began = bench.now;
-        Play { bench, pending: vec![], began, stops: vec![] }
+    fn new() -> Simulation {
+        let mut harness = Harness::new();
+        harness.start(0);
+        let began = harness.now;
+        Simulation { harness, pending: vec![], began, stops: vec![] }
     }
 
     fn since_order(&self) -> Span {
-        self.bench.now.since(self.began)
+        self.harness.now.since(self.began)
     }
 
     /// Lets time pass until `until` holds; how long it took. None is an answer that never comes.
-    fn until(
+    fn advance_until(
         &mut self,
         longest: Span,
         worker: impl Fn(Span, &Call) -> Option<Reply>,
-        until: impl Fn(&Play) -> bool,
+        advance_until: impl Fn(&Simulation) -> bool,
     ) -> Option<Span> {
-        let from = self.bench.now;
-        while self.bench.now.since(from) < longest {
+        let from = self.harness.now;
+        while self.harness.now.since(from) < longest {
             self.take_calls(&worker);
             self.answer_due();
-            if until(self) {
-                return Some(self.bench.now.since(from));
+            if advance_until(self) {
+                return Some(self.harness.now.since(from));
             }
-            self.bench.pass(STEP_MS);
+            self.harness.advance(STEP_MS);
         }
         None
     }
 
     fn take_calls(&mut self, worker: &impl Fn(Span, &Call) -> Option<Reply>) {
-        for (list_id, call) in std::mem::take(&mut self.bench.calls) {
+        for (list_id, call) in std::mem::take(&mut self.harness.calls) {
             let reply = worker(self.since_order(), &call);
-            self.stops.extend(is_stop(&call).then_some(self.bench.now));
+            self.stops.extend(is_stop(&call).then_some(self.harness.now));
             let clock_ms = reply.is_some().then(|| 50_000 + self.since_order());
             let wait = match (&reply, &call) {
                 (None, call) => call.timeout_ms(),
@@ -91,18 +91,18 @@
                 _ => 0,
             };
             let answer = Answer { clock_ms, reply: reply.unwrap_or(Reply::Unknown) };
-            self.pending.push(Pending { at: self.bench.now + wait, list_id, call, answer });
+            self.pending.push(Pending { at: self.harness.now + wait, list_id, call, answer });
         }
     }
 
     fn answer_due(&mut self) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let (due, later) = std::mem::take(&mut self.pending).into_iter().partition(|p| p.at <= now);
         self.pending = later;
         let due: Vec<Pending> = due;
         for Pending { list_id, call, answer, .. } in due {
-            self.bench.core.answer(now, INCARNATION, self.bench.token, list_id, &call, answer);
-            self.bench.tick();
+            self.harness.core.answer(now, INCARNATION, self.harness.token, list_id, &call, answer);
+            self.harness.tick();
         }
     }
 
@@ -117,13 +117,13 @@
             sequence: 2 + self.since_order(),
             ..Registration::default()
         };
-        self.bench.core.registered(self.bench.now, registration);
-        self.bench.tick();
+        self.harness.core.registered(self.harness.now, registration);
+        self.harness.tick();
     }
 }
 
-fn unstarted(play: &Play) -> bool {
-    play.bench.last().unstarted == [run(0)]
+fn unstarted(simulation: &Simulation) -> bool {
+    simulation.harness.last().unstarted == [run(0)]
 }
 
 fn row(percent: u32) -> RunRow {
@@ -134,10 +134,10 @@
 fn start_that_is_never_answered_is_given_up_after_three_seconds() {
     let worker = |_: Span, call: &Call| match call {
         Call::Start { .. } => None,
-        Call::Stop { .. } => says(Reply::Done),
-        _ => nothing_listed(),
+        Call::Stop { .. } => reply_with(Reply::Done),
+        _ => empty_list(),
     };
-    let took = Play::new().until(10_000, worker, unstarted);
+    let took = Simulation::new().advance_until(10_000, worker, unstarted);
     // Three calls of 800 ms each, with 200 and 400 ms between.
     assert!(took.is_some_and(|took| (3_000..=3_050).contains(&took)), "{took:?}");
 }
@@ -145,22 +145,22 @@
 #[test]
 fn start_that_an_unwell_worker_refuses_is_given_up_within_a_second() {
     let worker = |_: Span, call: &Call| match call {
-        Call::Start { .. } => says(Reply::Refused(Refusal::Unwell)),
-        Call::Stop { .. } => says(Reply::Done),
-        _ => nothing_listed(),
+        Call::Start { .. } => reply_with(Reply::Refused(Refusal::Unwell)),
+        Call::Stop { .. } => reply_with(Reply::Done),
+        _ => empty_list(),
     };
-    let took = Play::new().until(10_000, worker, unstarted);
+    let took = Simulation::new().advance_until(10_000, worker, unstarted);
     assert!(took.is_some_and(|took| (600..=650).contains(&took)), "{took:?}");
 }
 
 #[test]
 fn start_that_is_refused_for_room_is_given_up_at_once() {
     let worker = |_: Span, call: &Call| match call {
-        Call::Start { .. } => says(Reply::Refused(Refusal::NoRoom)),
-        Call::Stop { .. } => says(Reply::Done),
-        _ => nothing_listed(),
+        Call::Start { .. } => reply_with(Reply::Refused(Refusal::NoRoom)),
+        Call::Stop { .. } => reply_with(Reply::Done),
+        _ => empty_list(),
     };
-    let took = Play::new().until(10_000, worker, unstarted);
+    let took = Simulation::new().advance_until(10_000, worker, unstarted);
     assert!(took.is_some_and(|took| took <= 50), "{took:?}");
 }
 
@@ -168,15 +168,16 @@
 fn worker_that_answers_again_has_its_unanswered_start_given_up_soon() {
     // Dark for some time, whatever the time is, then well again.
     let mut worst = 0;
-    for dark in (0..12_000).step_by(90) {
+    for outage_ms in (0..12_000).step_by(90) {
         let worker = move |since: Span, call: &Call| match call {
-            _ if since < dark => None,
-            Call::Start { .. } => says(Reply::Refused(Refusal::Late)),
-            Call::Stop { .. } => says(Reply::Done),
-            _ => nothing_listed(),
+            _ if since < outage_ms => None,
+            Call::Start { .. } => reply_with(Reply::Refused(Refusal::Late)),
+            Call::Stop { .. } => reply_with(Reply::Done),
+            _ => empty_list(),
         };
-        let took = Play::new().until(60_000, worker, unstarted).expect("never given up");
-        worst = worst.max(took.saturating_sub(dark));
+        let took =
+            Simulation::new().advance_until(60_000, worker, unstarted).expect("never given up");
+        worst = worst.max(took.saturating_sub(outage_ms));
     }
     // A call of 800 ms and a wait of 1,600 ms, then a list.
     assert!(worst <= 2_500, "{worst} ms");
@@ -185,15 +186,16 @@
 #[test]
 fn lists_that_hang_after_a_confirmed_stop_only_delay_the_word() {
     let mut worst = 0;
-    for hangs in (3_000..9_000).step_by(130) {
+    for hang_end in (3_000..9_000).step_by(130) {
         let worker = move |since: Span, call: &Call| match call {
             Call::Start { .. } => None,
-            Call::Stop { .. } => says(Reply::Done),
-            _ if (3_000..hangs).contains(&since) => None,
-            _ => nothing_listed(),
+            Call::Stop { .. } => reply_with(Reply::Done),
+            _ if (3_000..hang_end).contains(&since) => None,
+            _ => empty_list(),
         };
-        let took = Play::new().until(60_000, worker, unstarted).expect("never given up");
-        worst = worst.max(took.saturating_sub(hangs));
+        let took =
+            Simulation::new().advance_until(60_000, worker, unstarted).expect("never given up");
+        worst = worst.max(took.saturating_sub(hang_end));
     }
     // A list of 1,800 ms and a wait of 1,600 ms, then one that waits a second.
     assert!(worst <= 4_500, "{worst} ms");
@@ -204,25 +206,25 @@
     // It may still be carried out. Only the end of the lease, which control knows, bounds this.
     let worker = |_: Span, call: &Call| match call {
         Call::Start { .. } | Call::Stop { .. } => None,
-        _ => nothing_listed(),
+        _ => empty_list(),
     };
-    let mut play = Play::new();
-    assert_eq!(play.until(60_000, worker, unstarted), None);
+    let mut simulation = Simulation::new();
+    assert_eq!(simulation.advance_until(60_000, worker, unstarted), None);
     // It is asked for again for as long: a call of 800 ms, then a wait of 1,600 ms.
-    let gaps: Vec<Span> = play.stops.windows(2).map(|pair| pair[1].since(pair[0])).collect();
+    let gaps: Vec<Span> = simulation.stops.windows(2).map(|pair| pair[1].since(pair[0])).collect();
     assert!(gaps.len() >= 20 && gaps.iter().all(|gap| *gap <= 2_450), "{gaps:?}");
 }
 
 #[test]
 fn confirmed_start_that_is_never_listed_is_unstarted_once_control_stops_it() {
     let worker = |_: Span, call: &Call| match call {
-        Call::Start { .. } | Call::Stop { .. } => says(Reply::Done),
-        _ => nothing_listed(),
+        Call::Start { .. } | Call::Stop { .. } => reply_with(Reply::Done),
+        _ => empty_list(),
     };
-    let mut play = Play::new();
-    assert_eq!(play.until(5_000, worker, unstarted), None);
-    play.bench.order(Order { stops: vec![run(0)], ..Order::default() });
-    let took = play.until(5_000, worker, unstarted);
+    let mut simulation = Simulation::new();
+    assert_eq!(simulation.advance_until(5_000, worker, unstarted), None);
+    simulation.harness.order(Order { stops: vec![run(0)], ..Order::default() });
+    let took = simulation.advance_until(5_000, worker, unstarted);
     assert!(took.is_some_and(|took| took <= 50), "{took:?}");
 }
 
@@ -232,33 +234,41 @@
     // placed for ever, as its clock, by which control counts the lease, goes on with each
     // registration; no list extends the lease, so the runs have long lapsed. Cause: the agent reports
     // the newest clock whatever brought it.
-    let mut play = Play::new();
+    let mut simulation = Simulation::new();
     let well = |_: Span, call: &Call| match call {
-        Call::List { .. } => says(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
-        _ => says(Reply::Done),
+        Call::List { .. } => reply_with(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
+        _ => reply_with(Reply::Done),
     };
-    play.until(2_000, well, |_| false);
-    let before = play.bench.last().clock_ms;
+    simulation.advance_until(2_000, well, |_| false);
+    let before = simulation.harness.last().clock_ms;
     for _ in 0..20 {
-        play.until(1_000, |_: Span, _: &Call| None, |_| false);
-        play.register_again();
+        simulation.advance_until(1_000, |_: Span, _: &Call| None, |_| false);
+        simulation.register_again();
     }
-    assert!(!play.bench.last().answers);
-    assert!(play.bench.last().clock_ms <= before + UNREAD_MS, "{}", play.bench.last().clock_ms);
+    assert!(!simulation.harness.last().answers);
+    assert!(
+        simulation.harness.last().clock_ms <= before + MAX_CLOCK_ADVANCE_MS,
+        "{}",
+        simulation.harness.last().clock_ms
+    );
 }
 
 #[test]
 fn lease_does_not_go_on_with_answers_that_hold_no_lists() {
-    let mut play = Play::new();
+    let mut simulation = Simulation::new();
     let well = |_: Span, call: &Call| match call {
-        Call::List { .. } => says(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
-        _ => says(Reply::Done),
+        Call::List { .. } => reply_with(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
+        _ => reply_with(Reply::Done),
     };
-    play.until(2_000, well, |_| false);
-    let before = play.bench.last().clock_ms;
-    let unwell = |_: Span, _: &Call| says(Reply::Refused(Refusal::Other));
-    play.until(20_000, unwell, |_| false);
-    assert!(play.bench.last().clock_ms <= before + UNREAD_MS, "{}", play.bench.last().clock_ms);
+    simulation.advance_until(2_000, well, |_| false);
+    let before = simulation.harness.last().clock_ms;
+    let unwell = |_: Span, _: &Call| reply_with(Reply::Refused(Refusal::Other));
+    simulation.advance_until(20_000, unwell, |_| false);
+    assert!(
+        simulation.harness.last().clock_ms <= before + MAX_CLOCK_ADVANCE_MS,
+        "{}",
+        simulation.harness.last().clock_ms
+    );
 }
 
 #[test]
@@ -266,16 +276,16 @@
     // What is seen: a life that has never answered a call is taken for one that does for 3.5 s, and
     // gets runs that cannot start there. Cause: the time of the last list is set when the life is
     // believed, though there was no list.
-    let mut bench = Bench::new();
-    bench.claim("life-2", false, 1);
-    bench.answer_claim("life-2", Reply::Unknown);
+    let mut harness = Harness::new();
+    harness.claim("life-2", false, 1);
+    harness.answer_claim("life-2", Reply::Unknown);
     for sequence in 2..6 {
-        bench.pass(1_100);
-        bench.claim("life-2", false, sequence);
-        bench.answer_claim("life-2", Reply::Unknown);
+        harness.advance(1_100);
+        harness.claim("life-2", false, sequence);
+        harness.answer_claim("life-2", Reply::Unknown);
     }
-    bench.pass(1_000);
-    let report = bench.last();
+    harness.advance(1_000);
+    let report = harness.last();
     assert_eq!((report.worker.as_str(), report.answers), ("life-2", false));
 }
 
@@ -285,77 +295,79 @@
     // stops it each second and counts it among what runs beside others. Cause: only a listed end
     // takes away a run that was listed once, and a list that comes late brings one back whose end is
     // settled already.
-    let mut bench = Bench::new();
-    bench.start(0);
-    bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
+    let mut harness = Harness::new();
+    harness.start(0);
+    harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
     // The first of two lists is late.
-    bench.start(1);
-    bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Refused(Refusal::NoRoom));
-    bench.pass(1);
-    bench.answer(is_stop, Reply::Done);
-    assert_eq!(bench.count(is_list), 2);
-    let late = bench.calls.remove(bench.calls.iter().position(|(_, call)| is_list(call)).unwrap());
-    bench.list(&[], &[(1, 0, How::Done)]);
-    bench.order(Order { settled: 1, ..Order::default() });
+    harness.start(1);
+    harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Refused(Refusal::NoRoom));
+    harness.advance(1);
+    harness.answer(is_stop, Reply::Done);
+    assert_eq!(harness.count(is_list), 2);
+    let late =
+        harness.calls.remove(harness.calls.iter().position(|(_, call)| is_list(call)).unwrap());
+    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.order(Order { settled: 1, ..Order::default() });
     let reply = Reply::Listed { runs: vec![row(90)], ends: vec![] };
     let answer = Answer { clock_ms: Some(51_000), reply };
-    bench.core.answer(bench.now, INCARNATION, bench.token, late.0, &late.1, answer);
+    harness.core.answer(harness.now, INCARNATION, harness.token, late.0, &late.1, answer);
     for _ in 0..3 {
-        bench.pass(1_000);
-        if bench.count(is_list) > 0 {
-            bench.list(&[], &[]);
+        harness.advance(1_000);
+        if harness.count(is_list) > 0 {
+            harness.list(&[], &[]);
         }
     }
-    bench.pass(1_000);
-    assert!(bench.last().runs.iter().all(|row| row.run != run(0)));
+    harness.advance(1_000);
+    assert!(harness.last().runs.iter().all(|row| row.run != run(0)));
 }
 
 #[test]
 fn run_that_an_older_list_lacks_stays() {
-    let mut bench = Bench::new();
-    bench.start(0);
-    bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
-    bench.start(1);
-    bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Refused(Refusal::NoRoom));
-    bench.pass(1);
-    bench.answer(is_stop, Reply::Done);
-    let late = bench.calls.remove(bench.calls.iter().position(|(_, call)| is_list(call)).unwrap());
-    bench.list(&[0], &[]);
+    let mut harness = Harness::new();
+    harness.start(0);
+    harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
+    harness.start(1);
+    harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Refused(Refusal::NoRoom));
+    harness.advance(1);
+    harness.answer(is_stop, Reply::Done);
+    let late =
+        harness.calls.remove(harness.calls.iter().position(|(_, call)| is_list(call)).unwrap());
+    harness.list(&[0], &[]);
     let answer =
         Answer { clock_ms: Some(51_000), reply: Reply::Listed { runs: vec![], ends: vec![] } };
-    bench.core.answer(bench.now, INCARNATION, bench.token, late.0, &late.1, answer);
-    bench.pass(1_000);
-    assert!(bench.last().runs.iter().any(|row| row.run == run(0)));
+    harness.core.answer(harness.now, INCARNATION, harness.token, late.0, &late.1, answer);
+    harness.advance(1_000);
+    assert!(harness.last().runs.iter().any(|row| row.run == run(0)));
 }
 
 #[test]
 fn run_that_a_list_with_unsettled_ends_lacks_stays() {
     // A list holds so many ends at once; that of this run may be among the rest.
-    let mut bench = Bench::new();
-    bench.start(0);
-    bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
-    bench.list(&[0], &[]);
-    bench.pass(1_000);
-    bench.list(&[], &[(1, 7, How::Done)]);
-    bench.pass(1_000);
-    assert!(bench.last().runs.iter().any(|row| row.run == run(0)));
+    let mut harness = Harness::new();
+    harness.start(0);
+    harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
+    harness.list(&[0], &[]);
+    harness.advance(1_000);
+    harness.list(&[], &[(1, 7, How::Done)]);
+    harness.advance(1_000);
+    assert!(harness.last().runs.iter().any(|row| row.run == run(0)));
     let end = EndRow { number: 2, run: run(0), how: How::Done as i32, save: String::new() };
-    bench.order(Order { settled: 1, ..Order::default() });
-    bench.answer(is_list, Reply::Listed { runs: vec![], ends: vec![end] });
-    bench.pass(1_000);
-    assert_eq!(bench.last().ends.len(), 1);
+    harness.order(Order { settled: 1, ..Order::default() });
+    harness.answer(is_list, Reply::Listed { runs: vec![], ends: vec![end] });
+    harness.advance(1_000);
+    assert_eq!(harness.last().ends.len(), 1);
 }
 
 #[test]
 fn run_counts_as_listed_only_once_the_worker_has_listed_it() {
-    let mut bench = Bench::new();
-    bench.start(0);
-    bench.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
-    bench.pass(1_000);
-    let unlisted = |bench: &Bench| bench.last().runs.iter().map(|row| row.unlisted).collect();
-    let before: Vec<bool> = unlisted(&bench);
-    bench.list(&[0], &[]);
-    bench.pass(1_000);
-    let after: Vec<bool> = unlisted(&bench);
+    let mut harness = Harness::new();
+    harness.start(0);
+    harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
+    harness.advance(1_000);
+    let unlisted = |harness: &Harness| harness.last().runs.iter().map(|row| row.unlisted).collect();
+    let before: Vec<bool> = unlisted(&harness);
+    harness.list(&[0], &[]);
+    harness.advance(1_000);
+    let after: Vec<bool> = unlisted(&harness);
     assert_eq!((before, after), (vec![true], vec![false]));
 }
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -71,7 +71,7 @@
         let terms = Arc::new(terms.with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
         let search = Search::new(addresses, terms.hello.life, now);
         let mut uplink = Uplink { search, links: BTreeMap::new(), terms, events, log };
-        uplink.carry_out();
+        uplink.execute();
         uplink
     }
 
@@ -93,31 +93,31 @@
 
     /// Takes in an event of a link.
     pub fn event(&mut self, now: Millis, event: Event) -> Option<Notification> {
-        let led = self.search.leader();
+        let leader = self.search.leader();
         let link = event.link;
         if !self.links.contains_key(&link) {
             return None;
         }
-        let told = match event.kind {
+        let notification = match event.kind {
             EventKind::Up { sender, .. } => {
-                self.search.up(now, link);
+                self.search.link_up(now, link);
                 if let Some(link) = self.links.get_mut(&link) {
                     link.sender = Some(sender);
                 }
                 None
             }
-            EventKind::Down(error) => self.down(now, link, &error),
-            EventKind::Frame(Body::Lead(lead)) => self.lead(now, link, &lead),
-            EventKind::Frame(body) => (led == Some(link)).then_some(Notification::Frame(body)),
+            EventKind::Down(error) => self.handle_down(now, link, &error),
+            EventKind::Frame(Body::Lead(lead)) => self.handle_lead(now, link, &lead),
+            EventKind::Frame(body) => (leader == Some(link)).then_some(Notification::Frame(body)),
         };
-        self.carry_out();
-        told
+        self.execute();
+        notification
     }
 
     /// Goes on with the search when it is time.
     pub fn tick(&mut self, now: Millis) {
         self.search.tick(now);
-        self.carry_out();
+        self.execute();
     }
 
     /// When [`Uplink::tick`] has something to do.
@@ -125,25 +125,25 @@
         self.search.due()
     }
 
-    fn down(
+    fn handle_down(
         &mut self,
         now: Millis,
         link: LinkKey,
         error: &pond_link::Error,
     ) -> Option<Notification> {
-        let led = self.search.leader() == Some(link);
+        let was_leader = self.search.leader() == Some(link);
         let address = self.search.address(link).to_owned();
         let opened = self.links.get(&link).is_some_and(|link| link.sender.is_some());
         if opened {
             event!(self.log, LINK_DOWN, "peer" => address.clone(), "why" => error.to_string());
         }
-        self.search.down(now, link);
-        led.then(|| self.lost(&address))
+        self.search.link_down(now, link);
+        was_leader.then(|| self.lost(&address))
     }
 
-    fn lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Notification> {
+    fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Notification> {
         let before = self.search.leader();
-        self.search.told(now, link, lead);
+        self.search.handle_lead(now, link, lead);
         let after = self.search.leader();
         if after == Some(link) {
             let new = before != after;
@@ -165,7 +165,7 @@
         Notification::Lost
     }
 
-    fn carry_out(&mut self) {
+    fn execute(&mut self) {
         for output in self.search.outputs() {
             match output {
                 Output::Dial { link, address } => self.dial(link, &address),
--- a/crates/pond-uplink/tests/search.rs
+++ b/crates/pond-uplink/tests/search.rs
@@ -2,7 +2,7 @@
 //! to 25 replicas, minorities that are cut off with the leader, restarts of all, machines that are gone,
 //! addresses of former replicas, processes that know one replica only.
 
-mod world;
+mod simulation;
 
 use std::collections::BTreeMap;
 
@@ -10,34 +10,39 @@
 use pond_proto::{Millis, Span};
 use pond_uplink::{Output, Search};
 
-use world::{Linked, Plan, World};
+use simulation::{Outcome, Scenario, Simulation};
 
 /// Share of the processes that must be linked, in percent.
-const MOST: usize = 95;
+const MIN_LINKED_PERCENT: usize = 95;
 
 /// Within this time after its election, in milliseconds: what is needed after the loss of a link has
 /// been noticed is a dial and an answer; the rest is for processes whose first questions went to the
 /// wrong replicas, and for those that notice the loss later than replicas elect.
-const BOUND_MS: Span = 350;
+const LINKED_WITHIN_MS: Span = 350;
 
 /// Dials that a process makes within any second at most: three at once, three to eight that follow
 /// more and more slowly, and those to replicas that others name.
-const DIALS: usize = 16;
+const MAX_DIALS: usize = 16;
 
 /// Dials of a process that has found nobody for two seconds, within any second.
-const DIALS_LATER: usize = 6;
+const MAX_LATE_DIALS: usize = 6;
 
 /// Within this time after it hears of a leader a process dials it, in milliseconds.
 const SPREAD_MS: Span = 100;
 
-fn holds(plan: Plan) {
+fn check(scenario: Scenario) {
     for seed in 0..8 {
-        let plan = Plan { seed, ..plan };
-        let Linked { within, dials, dials_later } = World::new(plan).play(BOUND_MS);
-        let most = plan.processes * MOST / 100;
-        assert!(within >= most, "{within} of {} linked in time: {plan:?}", plan.processes);
-        assert!(dials <= DIALS, "{dials} dials in a second: {plan:?}");
-        assert!(dials_later <= DIALS_LATER, "{dials_later} dials in a late second: {plan:?}");
+        let scenario = Scenario { seed, ..scenario };
+        let Outcome { linked_in_time, dials, late_dials } =
+            Simulation::new(scenario).run(LINKED_WITHIN_MS);
+        let most = scenario.processes * MIN_LINKED_PERCENT / 100;
+        assert!(
+            linked_in_time >= most,
+            "{linked_in_time} of {} linked in time: {scenario:?}",
+            scenario.processes
+        );
+        assert!(dials <= MAX_DIALS, "{dials} dials in a second: {scenario:?}");
+        assert!(late_dials <= MAX_LATE_DIALS, "{late_dials} dials in a late second: {scenario:?}");
     }
 }
 
@@ -45,8 +50,8 @@
 fn processes_find_a_new_leader_while_any_minority_is_cut_off() {
     for replicas in [3, 5, 9, 25] {
         for cut in 1..=(replicas - 1) / 2 {
-            holds(Plan { replicas, cut, ..Plan::default() });
-            holds(Plan { replicas, cut, split: true, ..Plan::default() });
+            check(Scenario { replicas, cut, ..Scenario::default() });
+            check(Scenario { replicas, cut, split: true, ..Scenario::default() });
         }
     }
 }
@@ -55,7 +60,7 @@
 fn processes_find_a_new_leader_after_all_replicas_restarted() {
     for replicas in [3, 5, 9, 25] {
         for down_ms in [300, 2_000, 10_000] {
-            holds(Plan { replicas, down_ms, ..Plan::default() });
+            check(Scenario { replicas, down_ms, ..Scenario::default() });
         }
     }
 }
@@ -64,7 +69,7 @@
 fn processes_find_a_new_leader_among_addresses_of_machines_that_are_gone() {
     for replicas in [3, 9, 25] {
         for gone in [1, 3, 6] {
-            holds(Plan { replicas, cut: 1, gone, ..Plan::default() });
+            check(Scenario { replicas, cut: 1, gone, ..Scenario::default() });
         }
     }
 }
@@ -72,20 +77,20 @@
 #[test]
 fn processes_that_know_one_replica_find_the_leader_through_it() {
     for replicas in [3, 9, 25] {
-        holds(Plan { replicas, seeds: 1, down_ms: 1_000, ..Plan::default() });
+        check(Scenario { replicas, initial: 1, down_ms: 1_000, ..Scenario::default() });
     }
 }
 
 #[test]
 fn twelve_hundred_processes_that_look_at_once_dial_each_replica_a_few_hundred_times() {
-    let plan = Plan { replicas: 9, cut: 4, processes: 1_200, ..Plan::default() };
-    holds(plan);
+    let scenario = Scenario { replicas: 9, cut: 4, processes: 1_200, ..Scenario::default() };
+    check(scenario);
 }
 
 #[test]
 fn link_that_breaks_alone_is_made_again_while_the_leader_stays() {
     for replicas in [1, 3, 9] {
-        holds(Plan { replicas, reset: true, ..Plan::default() });
+        check(Scenario { replicas, reset: true, ..Scenario::default() });
     }
 }
 
@@ -103,8 +108,8 @@
             for output in search.outputs() {
                 match output {
                     Output::Dial { link, address } => {
-                        search.up(now, link);
-                        search.told(now, link, &knows_nobody);
+                        search.link_up(now, link);
+                        search.handle_lead(now, link, &knows_nobody);
                         dialled.insert(address.clone(), now);
                         open.insert(link, address);
                     }
@@ -126,7 +131,11 @@
         // It hears of the leader just before it would ask one more replica anyway.
         let due = search.due().expect("it looks");
         let before = Millis(due.0 - 2).max(now);
-        search.told(before, *teller, &Lead { term: 2, leader: leader.clone(), ..Lead::default() });
+        search.handle_lead(
+            before,
+            *teller,
+            &Lead { term: 2, leader: leader.clone(), ..Lead::default() },
+        );
         let mut outputs = Vec::new();
         while search.due().expect("it looks") <= before + SPREAD_MS {
             search.tick(search.due().expect("it looks"));
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -18,52 +18,52 @@
 /// Within this time the loss must be noticed, a leader found again and what is sent again be there.
 /// Where control goes on being heard, it notices first and falls silent itself: two silences of
 /// 0.8 s and the dials; the rest is for a busy machine.
-const BOUND: Duration = Duration::from_secs(10);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
 
 /// Time between looks at the uplink, as its owners have it.
 const TICK: Duration = Duration::from_millis(250);
 
 /// Events that may wait; the tests make a few.
-const QUEUE: usize = 64;
+const QUEUE_LEN: usize = 64;
 
 /// A replica of control, reduced to its links.
 struct Replica {
     address: SocketAddr,
-    happened: mpsc::Receiver<Event>,
+    events: mpsc::Receiver<Event>,
     /// What it tells each process of the lead.
     lead: Lead,
-    guests: Vec<(LinkKey, Sender)>,
+    clients: Vec<(LinkKey, Sender)>,
 }
 
 impl Replica {
     async fn start(lead: Lead) -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
         let address = listener.local_addr().expect("an address");
-        let (events, happened) = mpsc::channel(QUEUE);
+        let (sender, events) = mpsc::channel(QUEUE_LEN);
         let terms = Terms::new(Role::Control, "control", "here", Life(1))
             .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
-        tokio::spawn(accept(listener, Arc::new(terms), events));
-        Replica { address, happened, lead, guests: Vec::new() }
+        tokio::spawn(accept(listener, Arc::new(terms), sender));
+        Replica { address, events, lead, clients: Vec::new() }
     }
 
     /// Takes links in until an ask comes; its link and its ticket.
     async fn asked(&mut self) -> (LinkKey, u64) {
         loop {
-            let Event { link, kind } = self.happened.recv().await.expect("an event");
+            let Event { link, kind } = self.events.recv().await.expect("an event");
             match kind {
                 EventKind::Up { sender, .. } => {
                     assert!(sender.send(Body::Lead(self.lead.clone())));
-                    self.guests.push((link, sender));
+                    self.clients.push((link, sender));
                 }
                 EventKind::Frame(Body::Ask(ask)) => return (link, ask.ticket),
                 EventKind::Frame(other) => panic!("no ask: {other:?}"),
-                EventKind::Down(_) => self.guests.retain(|(other, _)| *other != link),
+                EventKind::Down(_) => self.clients.retain(|(other, _)| *other != link),
             }
         }
     }
 
     fn tell(&self, link: LinkKey, ticket: u64) {
-        let (_, sender) = self.guests.iter().find(|(other, _)| *other == link).expect("a guest");
+        let (_, sender) = self.clients.iter().find(|(other, _)| *other == link).expect("a guest");
         assert!(sender.send(Body::Tell(Tell { ticket, ..Tell::default() })));
     }
 }
@@ -78,7 +78,7 @@
 impl Process {
     /// It starts at the first address.
     fn start(addresses: &[SocketAddr]) -> Process {
-        let (events, links) = mpsc::channel(QUEUE);
+        let (events, links) = mpsc::channel(QUEUE_LEN);
         let terms = Terms::new(Role::Entry, "entry", "here", Life(0));
         let addresses = addresses.iter().map(SocketAddr::to_string).collect();
         let uplink = Uplink::start(addresses, terms, events, pond_log::silent(), Millis(0));
@@ -89,15 +89,15 @@
         Millis(self.start.elapsed().as_millis() as u64)
     }
 
-    async fn told(&mut self) -> Notification {
+    async fn next_notification(&mut self) -> Notification {
         loop {
             self.uplink.tick(self.now());
             let event = tokio::select! {
                 event = self.links.recv() => event.expect("an event"),
                 () = sleep(TICK) => continue,
             };
-            if let Some(told) = self.uplink.event(self.now(), event) {
-                return told;
+            if let Some(next_notification) = self.uplink.event(self.now(), event) {
+                return next_notification;
             }
         }
     }
@@ -105,7 +105,7 @@
     /// Waits for a leader that knows nothing of this process.
     async fn find_leader(&mut self) {
         loop {
-            match self.told().await {
+            match self.next_notification().await {
                 Notification::Leader { new: true, .. } => return,
                 Notification::Leader { .. } | Notification::Lost => {}
                 Notification::Frame(frame) => panic!("too early: {frame:?}"),
@@ -118,8 +118,8 @@
     }
 
     /// Waits for the answer to an ask.
-    async fn hear(&mut self, ticket: u64) {
-        match self.told().await {
+    async fn expect_reply(&mut self, ticket: u64) {
+        match self.next_notification().await {
             Notification::Frame(Body::Tell(tell)) => assert_eq!(tell.ticket, ticket),
             other => panic!("no answer: {other:?}"),
         }
@@ -136,12 +136,12 @@
     let (link, asked) = leader.asked().await;
     assert_eq!(asked, ticket);
     leader.tell(link, ticket);
-    process.hear(ticket).await;
+    process.expect_reply(ticket).await;
     link
 }
 
 /// Finds the leader, which takes links in meanwhile, asks and is answered; the link.
-async fn meet(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
+async fn find_and_ask(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
     let found = async {
         process.find_leader().await;
         assert!(process.ask(ticket));
@@ -149,7 +149,7 @@
     let ((), (link, asked)) = tokio::join!(found, leader.asked());
     assert_eq!(asked, ticket);
     leader.tell(link, ticket);
-    process.hear(ticket).await;
+    process.expect_reply(ticket).await;
     link
 }
 
@@ -162,7 +162,8 @@
     mut leader: Replica,
 ) {
     let mut process = Process::start(&[&[proxy.address()], others].concat());
-    let first = timeout(BOUND, meet(&mut process, &mut leader, 1)).await.expect("in time");
+    let first =
+        timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 1)).await.expect("in time");
     proxy.swallow(swallowed);
     // Nobody can know yet that it or its answer gets lost.
     assert!(process.ask(2));
@@ -170,9 +171,9 @@
         assert_eq!(leader.asked().await, (first, 2));
         leader.tell(first, 2);
     }
-    let second = timeout(BOUND, meet(&mut process, &mut leader, 2)).await;
+    let second = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 2)).await;
     assert_ne!(second.expect("in time"), first, "{swallowed:?}");
-    let third = timeout(BOUND, exchange(&mut process, &mut leader, 3)).await;
+    let third = timeout(RECOVERY_LIMIT, exchange(&mut process, &mut leader, 3)).await;
     third.expect("in time");
 }
 
