--- a/crates/pond-agent/src/agent.rs
+++ b/crates/pond-agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The shell around the agent's core.
+//! Runtime of the agent: drives [`Core`] and performs its calls, reports and logging.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::core::{Core, Observation, Output, Registration};
 use crate::worker::{Answer, Call, Reply, Worker};
 
-/// Inputs that may wait for the core: one worker gives a few a second, and one for each call.
+/// Capacity of the input queue. A worker causes a few inputs a second, and each call causes one.
 const QUEUE_LEN: usize = 1024;
 
-/// Longest time between looks at what is due, in milliseconds.
+/// Longest time between two runs of the core, in milliseconds.
 const MAX_TICK_MS: u64 = 250;
 
-/// Something that happens to an agent.
+/// An input of the agent.
 enum Input {
     Registered(Registration),
     Deregistered(String),
@@ -29,30 +29,31 @@
     AddAddresses(Vec<String>),
 }
 
-/// Takes in what a worker says of itself.
+/// Passes registrations, deregistrations and control addresses to an agent.
 #[derive(Clone)]
 pub struct Registrar {
     inputs: mpsc::Sender<Input>,
 }
 
 impl Registrar {
-    /// The worker registers or repeats its registration. False if the agent has stopped.
+    /// Passes on a new or repeated registration of the worker. Returns false if the agent has
+    /// stopped.
     pub async fn registered(&self, registration: Registration) -> bool {
         self.inputs.send(Input::Registered(registration)).await.is_ok()
     }
 
-    /// The worker of that id says that it ends. False if the agent has stopped.
+    /// Passes on that the worker with this ID deregisters. Returns false if the agent has stopped.
     pub async fn deregistered(&self, id: String) -> bool {
         self.inputs.send(Input::Deregistered(id)).await.is_ok()
     }
 
-    /// Further addresses of control replicas.
+    /// Adds addresses of control replicas. Returns false if the agent has stopped.
     pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
         self.inputs.send(Input::AddAddresses(addresses)).await.is_ok()
     }
 }
 
-/// An agent.
+/// The agent of one worker.
 pub struct Agent {
     core: Core,
     uplink: Uplink,
@@ -65,7 +66,8 @@
 }
 
 impl Agent {
-    /// An agent beside `worker`, which reports through `uplink`, whose events come through `links`.
+    /// Creates an agent for `worker` that reports through `uplink` and receives the events of its
+    /// links through `links`.
     pub fn new(
         worker: Arc<dyn Worker>,
         uplink: Uplink,
@@ -83,7 +85,7 @@
         self.clock.now()
     }
 
-    /// Runs until it is cut short.
+    /// Runs until the future is dropped.
     pub async fn run(mut self) {
         loop {
             let now = self.now();
@@ -146,7 +148,7 @@
     fn registered(&mut self, now: Millis, registration: Registration) {
         if let Some(mismatch) = self.core.mismatch(now, &registration) {
             event!(self.log, CALL_FAILED, "worker" => registration.incarnation.clone(),
-                "why" => "a registration of this life that is not its own",
+                "why" => "registration does not match the known incarnation",
                 "mismatch" => format!("{mismatch:?}"), "sequence" => registration.sequence,
                 "clock_ms" => registration.clock_ms);
         } else if self.core.has_changes(&registration) {
@@ -178,7 +180,8 @@
     fn execute(&mut self, now: Millis) {
         for output in self.core.tick(now) {
             match output {
-                // A report that is not sent is made again, as news or within a second.
+                // A report that could not be sent is made again within a second, or earlier if
+                // something changes.
                 Output::Report(report) => {
                     self.uplink.send(Body::Report(report));
                 }
@@ -207,7 +210,7 @@
         let (worker, sender) = (self.worker.clone(), self.sender.clone());
         tokio::spawn(async move {
             let answer = worker.call(&address, &incarnation, token, call.clone()).await;
-            // The receiver is gone only when the agent has stopped.
+            // Sending fails only after the agent has stopped.
             let _ =
                 sender.send(Input::Answered { incarnation, token, list_id, call, answer }).await;
         });
--- a/crates/pond-agent/src/core/answers.rs
+++ b/crates/pond-agent/src/core/answers.rs
@@ -1,4 +1,4 @@
-//! What the agent makes of its worker's answers.
+//! Handles the worker's answers.
 
 use std::collections::BTreeSet;
 
@@ -10,37 +10,37 @@
 use crate::run::{Phase, Run};
 use crate::worker::{Answer, Call, Refusal, Reply};
 
-/// Starts without an answer after which a run is given up: with the time for each answer and the
-/// waits between, about 3 s.
+/// Number of start calls without an answer after which a run is given up. With the timeouts and the
+/// waits between the calls this takes about 3 s.
 const MAX_START_ATTEMPTS: u32 = 3;
 
-/// Time before a call without an answer is made again, in milliseconds; twice as long each time, so
-/// that a dead worker costs little.
+/// Time before an unanswered call is repeated, in milliseconds. It doubles each time, so that a
+/// dead worker causes few calls.
 const RETRY_MS: Span = 200;
 
-/// The waiting time is doubled this often at most, so it stays below two seconds.
+/// Limit of the doublings, which keeps the wait below 2 s.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Time before the next call to stop a run that a list still shows after its confirmed stop, in
-/// milliseconds: a stop takes a fifth of a second, so this is ample.
+/// Time before a stop is repeated if a list still shows the run after its confirmed stop, in
+/// milliseconds. Stopping a run takes about 200 ms.
 const STOP_AGAIN_MS: Span = 500;
 
-/// For so long after its last list a worker's other answers and its registrations take its clock
-/// further, in milliseconds: about the longest lease. Some lists in a row without an answer are no
-/// reason to give up what runs; after this, control counts a lease from the last clock that it knows and
-/// places the runs elsewhere.
+/// Time after the last list during which other answers and registrations advance the worker's
+/// clock, in milliseconds. It is about as long as the longest lease. A few failed lists in a row
+/// are no reason to give up the runs. After this time control counts the lease from the last known
+/// clock and places the runs elsewhere.
 const CLOCK_VALID_MS: Span = 6_000;
 
-/// A worker's answers overtake each other by less than this on its clock, in milliseconds. A clock that has fallen by
-/// more is that of a worker that has started again.
+/// Answers of a worker can overtake each other by less than this on its clock, in milliseconds. If
+/// the clock falls by more, the worker has restarted.
 const CLOCK_TOLERANCE_MS: u64 = 500;
 
-/// Time before the next list while ends wait to be settled, in milliseconds: they would make the
-/// worker answer at once. It is about the time of a commit.
+/// Time before the next list while ends are not committed, in milliseconds. It is about the time of
+/// a commit. The worker would otherwise answer immediately because of those ends.
 const UNCOMMITTED_WAIT_MS: Span = 60;
 
 impl Core {
-    /// The worker answered a call that was made with this fencing token, or did not.
+    /// Handles the result of a call that was made with this fencing token.
     pub fn answer(
         &mut self,
         now: Millis,
@@ -51,7 +51,8 @@
         answer: Answer,
     ) {
         if answer.reply == Reply::Refused(Refusal::Fenced) {
-            // Another has called with a higher one; calls with this one are refused for good.
+            // Another agent has called with a higher token, so all calls with this one will be
+            // refused.
             self.refused_token = self.refused_token.max(token);
         }
         if self.incarnation() != Some(incarnation) {
@@ -78,8 +79,9 @@
         }
     }
 
-    /// The worker lives, or nobody takes calls at its address. A worker that is down is of no use until it is
-    /// back: without the second it would be given work until then, all in vain.
+    /// Records whether the worker is up or nothing accepts connections at its address. The latter
+    /// is reported at once, because the leader would otherwise go on to place runs on a worker that
+    /// is down.
     fn record_contact(&mut self, now: Millis, reply: &Reply) {
         match reply {
             Reply::Unknown => {}
@@ -97,17 +99,18 @@
         }
     }
 
-    /// The worker may be down, or have started again under its id: nothing is started or acknowledged until a list that
-    /// is asked for from now on is from the same life.
+    /// Suspends starts and acknowledgements until a list requested from now on comes from the same
+    /// incarnation, because the worker may be down or may have restarted under its ID.
     fn require_check(&mut self, call: &Call) {
         self.distrusted_list = Some(self.last_list_id);
-        // A list that failed is asked for again in any case, less and less often.
+        // A failed list is repeated anyway, with increasing delay.
         if !matches!(call, Call::List { .. }) && self.check_list.is_none() {
             self.check_list = Some(self.request_list(0));
         }
     }
 
-    /// A start that is surely not carried out, or was tried often enough, becomes a stop.
+    /// Turns a start into a stop if it was certainly not carried out or has been tried often
+    /// enough.
     fn start_answer(&mut self, now: Millis, name: RunName, reply: &Reply) {
         let Some(run) = self.runs.get_mut(&name).filter(|run| !run.is_stopping()) else { return };
         run.calling = false;
@@ -126,12 +129,12 @@
                 *attempts += 1;
                 run.due = now + retry_delay_ms(&mut run.failures);
             }
-            // An earlier call without an answer may still be carried out, so it is stopped first.
+            // An earlier unanswered call may still be carried out, so the run is stopped first.
             _ => run.stop(now),
         }
     }
 
-    /// A confirmed stop is followed by a list, which tells what there was to stop.
+    /// Follows a confirmed stop with a list that shows what there was to stop.
     fn stop_answer(&mut self, now: Millis, name: RunName, reply: &Reply) {
         let last_list_id = self.last_list_id;
         let Some(run) = self.runs.get_mut(&name) else { return };
@@ -155,8 +158,8 @@
         }
     }
 
-    /// The worker told its clock. Control counts leases by it, so it goes on only while lists are read:
-    /// runs of which nothing can be read any more are given up.
+    /// Takes over the worker's clock. Control counts leases by this clock, so it advances only
+    /// while lists can be read. Otherwise control gives up the runs.
     pub(super) fn update_clock(&mut self, now: Millis, clock_ms: u64) {
         if now.since(self.listed_at) < CLOCK_VALID_MS {
             self.advance_clock(now, clock_ms);
@@ -219,7 +222,9 @@
         self.list_due = now + wait;
     }
 
-    /// Lists overlap, so settled ends come again; the run of such an end is known no more.
+    /// Reports an end whose number is already committed although its run is still known. Lists
+    /// overlap, so committed ends are listed again. The run of such an end is usually no longer
+    /// known.
     fn observe_repeated(&mut self, end: &EndRow) {
         let Some(incarnation) = self.incarnation().filter(|_| self.runs.contains_key(&end.run))
         else {
@@ -231,9 +236,9 @@
         self.outputs.push(Output::Observed(observation));
     }
 
-    /// A list may be older than an answer to a start, so it only adds. A run that is not known is
-    /// told at once: nobody may want it any more, and only control can tell. (The next report would
-    /// come up to 0.9 s later.)
+    /// Merges the listed runs. A list may be older than the answer to a start, so runs are only
+    /// added. An unknown run is reported at once, because only control can tell whether it is still
+    /// wanted. The next regular report could be 0.9 s later.
     fn merge_rows(&mut self, now: Millis, list_id: u64, rows: Vec<RunRow>) {
         for row in rows {
             let name = row.run;
@@ -241,17 +246,17 @@
                 continue;
             }
             if !self.runs.contains_key(&name) {
-                // A start that was given up may have been carried out late.
+                // The worker may have carried out late a start that was given up.
                 self.unstarted.remove(&name);
                 self.report_now = true;
             }
             let run = self.runs.entry(name).or_insert_with(|| {
-                // Started through a former life of this agent, which may have slowed it down.
+                // Started by a previous process of this agent, which may have slowed it down.
                 Run { pace: None, ..Run::new(name, Phase::Running, None, now) }
             });
             match run.phase {
                 Phase::Starting { .. } => run.phase = Phase::Running,
-                // It still stops, or it was started after its stop: the stop is called again.
+                // The run is still stopping, or it started after its stop. The stop is repeated.
                 Phase::Stopped { list_id: before } if before < list_id => {
                     run.phase = Phase::Stopping;
                     run.due = now + STOP_AGAIN_MS;
@@ -264,9 +269,9 @@
         }
     }
 
-    /// A run that was listed once, and that a list asked for since lacks, has ended; its end is settled
-    /// if none is left to settle. A late list brings such a run back, and it would be reported for
-    /// ever.
+    /// Drops runs that were listed once and are missing from a list requested later. Such a run has
+    /// ended, and its end is committed if no uncommitted end is left. A late list can bring such a
+    /// run back, and it would then be reported forever.
     fn drop_vanished(&mut self, list_id: u64) {
         if !self.ends.is_empty() {
             return;
@@ -283,8 +288,8 @@
         }
     }
 
-    /// Runs whose stop was confirmed before this list was asked for, and that neither run nor have
-    /// ended, never started.
+    /// Finds the runs that never started: their stop was confirmed before this list was requested,
+    /// and they are neither listed nor ended.
     fn find_unstarted(&mut self, list_id: u64, listed: &BTreeSet<RunName>) {
         let never = |(name, run): &(&RunName, &Run)| {
             let stopped =
@@ -300,7 +305,7 @@
     }
 }
 
-/// How long to wait after one more failed call, in milliseconds.
+/// Counts a failed call and returns how long to wait before the next one, in milliseconds.
 fn retry_delay_ms(failures: &mut u32) -> Span {
     let wait = RETRY_MS << (*failures).min(MAX_DOUBLINGS);
     *failures += 1;
--- a/crates/pond-agent/src/core/claim.rs
+++ b/crates/pond-agent/src/core/claim.rs
@@ -1,8 +1,9 @@
-//! Lives of the worker that have registered and not answered a call yet.
+//! Claims: incarnations of the worker that have registered but not answered a call yet.
 //!
-//! A registration may come late, even after the life that sent it is over and another one has
-//! registered at the same address. So it proves nothing: only the life that answers a call is there.
-//! Taking an old one for the new one would tell control that all runs of the living one are over.
+//! A registration can arrive late, even after its incarnation has ended and another one has
+//! registered at the same address. A registration alone is therefore not conclusive: only an
+//! incarnation that answers a call is running. If an old incarnation were taken for the current
+//! one, control would be told that all runs of the current one are over.
 
 use pond_proto::Millis;
 
@@ -10,27 +11,29 @@
 use super::{Core, Output, Registration};
 use crate::worker::{Answer, Call, Reply};
 
-/// Claims that are kept, the newest: a cut holds back the registrations of a few lives at most.
+/// Number of claims that are kept, the newest. A network failure delays the registrations of
+/// only a few incarnations.
 const MAX_CLAIMS: usize = 4;
 
-/// A life that has registered and not answered yet.
+/// An incarnation that has registered but not answered yet.
 #[derive(Debug)]
 pub(super) struct Claim {
     registration: Registration,
     since: Millis,
-    /// A call to it is on its way.
+    /// Whether a call to it is in flight.
     calling: bool,
 }
 
 impl Claim {
-    /// Whether it is that life's.
+    /// Returns whether the claim is from this incarnation.
     pub fn is_of(&self, incarnation: &str) -> bool {
         self.registration.incarnation == incarnation
     }
 }
 
 impl Core {
-    /// A life registers that is not the known one. It is asked whether it is there.
+    /// Records the registration of an incarnation other than the known one and calls it to see
+    /// whether it answers.
     pub(super) fn claim(&mut self, now: Millis, registration: Registration) {
         let incarnation = registration.incarnation.clone();
         match self.claims.iter_mut().find(|claim| claim.is_of(&incarnation)) {
@@ -46,7 +49,7 @@
         self.adopt_unanswered(now, &incarnation);
     }
 
-    /// Asks all lives that claim to be there and have no call on its way.
+    /// Calls all claimed incarnations that have no call in flight.
     pub(super) fn query_claims(&mut self) {
         if !self.may_call() {
             return;
@@ -64,7 +67,7 @@
         }
     }
 
-    /// A life that claims to be there answered, or did not.
+    /// Handles the result of a call to a claimed incarnation.
     pub(super) fn claim_answer(
         &mut self,
         now: Millis,
@@ -75,25 +78,25 @@
         let found = self.claims.iter().position(|claim| claim.is_of(incarnation));
         let Some(found) = found else { return };
         match answer.reply {
-            // Its next registration asks again.
+            // Its next registration causes another call.
             Reply::Unknown | Reply::NotSent => self.claims[found].calling = false,
             Reply::OtherLife | Reply::Restarted => {
                 self.claims.remove(found);
                 self.remember_ended(incarnation.to_owned());
             }
-            // No other answer tells which life of a worker it is from.
+            // No other answer identifies the incarnation that it comes from.
             reply if !matches!(reply, Reply::Listed { .. }) => self.claims[found].calling = false,
             _ => {
                 self.adopt(now, found);
-                // What it answers goes before what a registration said.
+                // The clock in the answer takes precedence over the one in the registration.
                 self.clock_ms = answer.clock_ms.unwrap_or(self.clock_ms);
                 self.list_answer(now, list_id, answer);
             }
         }
     }
 
-    /// A life that registers again and again but answers nothing is believed once no other answers
-    /// either, so that control learns that the former one is over.
+    /// Adopts an incarnation that keeps registering without answering any call, once the known
+    /// incarnation does not answer either. Control then learns that the previous one has ended.
     fn adopt_unanswered(&mut self, now: Millis, incarnation: &str) {
         let silent = self.worker.is_none() || now.since(self.listed_at) >= UNRESPONSIVE_MS;
         let waited =
@@ -103,7 +106,7 @@
         }
     }
 
-    /// A life is the worker from now on.
+    /// Makes a claimed incarnation the current one.
     fn adopt(&mut self, now: Millis, found: usize) {
         let registration = self.claims.remove(found).registration;
         self.reset(now, &registration.incarnation);
--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -1,4 +1,4 @@
-//! What the agent does when it is due: calls to its worker, the pace of runs, reports to control.
+//! Timed work of the agent: calls to the worker, paces of runs, reports to control.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,30 @@
 use crate::run::{Phase, Run};
 use crate::worker::Call;
 
-/// How long a list waits for an end, in milliseconds: each list extends the lease, which is some
-/// seconds long.
+/// How long a list waits for an end, in milliseconds. Each list extends the lease, which lasts
+/// several seconds.
 const LIST_WAIT_MS: Span = 1_000;
 
-/// The same while filling runs stand beside serving ones: their figures are of half a second.
+/// The same while best-effort and serving runs are co-located: their figures cover half a second.
 const SHORT_LIST_WAIT_MS: Span = 450;
 
-/// Time between reports while nothing changes, in milliseconds: the leader counts on one a second.
+/// Time between reports while nothing changes, in milliseconds. The leader expects one per second.
 const REPORT_INTERVAL_MS: Span = 900;
 
-/// An acknowledgement waits this long for a moment in which no start is on its way, in milliseconds; then starts wait for
-/// it. A worker lists five hundred ends at once, so it can wait for some hundred of them.
+/// How long an acknowledgement waits for a moment without a start in flight, in milliseconds. After
+/// that, starts wait for it. A worker can list 500 ends at once, so a few hundred of them can wait.
 const ACKNOWLEDGE_WAIT_MS: Span = 1_000;
 
-/// Starts wait for an acknowledgement for so long at a time, in milliseconds: a worker that answers has listed all that
-/// it was told to start by then. One that does not must not hold up everything else.
+/// How long starts wait for an acknowledgement at a time, in milliseconds. A responsive worker has
+/// listed all started runs by then. An unresponsive one must not block everything else.
 const START_HOLD_MS: Span = 200;
 
-/// A worker that has not listed for this long does not answer, in milliseconds: about two lists,
-/// each with its wait of a second and the time for an answer.
+/// A worker that has returned no list for this long counts as unresponsive, in milliseconds. This
+/// is about two lists, each with its wait of 1 s and the time for an answer.
 pub(super) const UNRESPONSIVE_MS: Span = 3_500;
 
 impl Core {
-    /// Does what is due and hands out what the shell must do.
+    /// Does the work that is due and returns the outputs to be carried out.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         if self.worker.is_some() {
             if self.may_call() {
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Asks for a list at once when the leader wants to know that the worker has lived on with a run.
+    /// Requests a list immediately if the leader must learn that the worker has survived with a
+    /// run.
     fn check_survival(&mut self, now: Millis) {
         let answered_at = self.answered_at;
         let due = |run: &&mut Run| {
@@ -71,7 +72,7 @@
         self.request_list(0);
     }
 
-    /// When something is due without any further input.
+    /// Returns when something is due without further input.
     pub fn due(&self, now: Millis) -> Millis {
         let mut due = self.reported_at + REPORT_INTERVAL_MS;
         if !self.may_call() {
@@ -94,14 +95,14 @@
         due.max(now)
     }
 
-    /// How long the next list should wait for an end, in milliseconds.
+    /// Returns how long the next list waits for an end, in milliseconds.
     fn wait_ms(&self) -> Span {
         let watches = || self.runs.values().filter_map(|run| run.watch.as_ref());
         let serves = watches().any(|watch| watch.tail_target_ms > 0);
         if serves && watches().any(|watch| watch.fills) { SHORT_LIST_WAIT_MS } else { LIST_WAIT_MS }
     }
 
-    /// Calls the worker about each run that is due and has no call on its way.
+    /// Makes the call that is due for each run without a call in flight.
     fn call_due(&mut self, now: Millis) {
         let lease_end_ms = self.lease_end_ms;
         let holds = self.holds_starts(now);
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Judges the newest figures and tells the worker each pace that has changed.
+    /// Updates the paces from the latest figures and sends each changed pace to the worker.
     pub(super) fn update_paces(&mut self, now: Millis) {
         let serving = self.runs.values().filter_map(|run| {
             let target = run.watch.as_ref()?.tail_target_ms;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Asks for a list that acknowledges nothing; its number.
+    /// Requests a list that acknowledges nothing, and returns its ID.
     pub(super) fn request_list(&mut self, wait_ms: Span) -> u64 {
         self.last_list_id += 1;
         let lease_end_ms = self.lease_end_ms;
@@ -171,9 +172,10 @@
         self.last_list_id
     }
 
-    /// Tells the worker which ends it may forget: once, and only while no start is on its way. A worker may start again
-    /// under its id between two lists and count its ends anew. If it could have been told to start something before
-    /// it gets the acknowledgement, it would forget ends that nobody has read, and their tasks would run again.
+    /// Tells the worker which ends it may forget: once, and only while no start is in flight. A
+    /// worker may restart under its ID between two lists and number its ends anew. If the new
+    /// incarnation received a start before the acknowledgement, it would forget ends that nobody
+    /// has read, and their tasks would run again.
     fn acknowledge(&mut self) {
         let due = self.committed > self.acknowledged && self.acknowledging.is_none();
         let starts = || self.runs.values().any(Run::in_flight);
@@ -186,8 +188,8 @@
         self.call(self.last_list_id, Call::List { lease_end_ms, committed, wait_ms: 0 });
     }
 
-    /// Whether nothing may be started now: the worker may have started again, or an acknowledgement is on its way or has
-    /// waited for too long.
+    /// Returns whether starts are suspended: the worker may have restarted, or an acknowledgement
+    /// is in flight or has waited too long.
     fn holds_starts(&self, now: Millis) -> bool {
         let waits = self.committed > self.acknowledged;
         let waited_ms = now.since(self.acknowledge_since);
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -1,10 +1,13 @@
-//! The agent's decisions.
+//! Decisions of the agent.
 //!
-//! Four things must not go wrong here. A start without an answer is neither running nor not
-//! running: it is asked for again, and given up only after a confirmed stop and a list that was
-//! asked for after it. An end is forgotten only after control has settled it. The lease is extended
-//! only up to times that control granted. What is sent to one life of the worker may reach the next, which may have
-//! the same id: only a list tells whose it is.
+//! The core maintains four invariants:
+//!
+//! - A start without an answer counts neither as running nor as not running. It is repeated, and
+//!   given up only after a confirmed stop and a list requested after that stop.
+//! - An end is forgotten only after control has committed it.
+//! - The lease is extended only up to times that control granted.
+//! - A call meant for one incarnation of the worker can reach the next, which may have the same ID.
+//!   Only a list identifies its incarnation.
 
 mod answers;
 mod claim;
@@ -24,181 +27,187 @@
 use claim::Claim;
 use previous::PreviousIncarnation;
 
-/// Lives that are over and remembered as such, the newest: their registrations may still come late.
+/// Number of ended incarnations that are remembered, the newest. Their registrations can still
+/// arrive late.
 const MAX_ENDED: usize = 16;
 
-/// A worker's clock may have gone on by this much more than the agent's since it was last read, in
-/// milliseconds: a worker may be late to read it, or its clock fast by a hundredth over a minute or two.
+/// How far the worker's clock may have advanced beyond the agent's since it was last read, in
+/// milliseconds. The worker may be late to read it, or its clock may run fast by 1 % for a minute
+/// or two.
 const CLOCK_SLACK_MS: Span = 5_000;
 
-/// Registrations that an agent may miss between two, as during a cut of a day with one a second.
+/// Number of registrations that an agent may miss in a row, as in a network failure of a day with
+/// one registration per second.
 const MAX_MISSED: u64 = 100_000;
 
-/// A worker that has said that it ends takes no calls after this time, in milliseconds; one that still does has started
-/// again.
+/// A deregistered worker accepts no calls after this time, in milliseconds. One that still does has
+/// restarted.
 const DEREGISTRATION_MS: Span = 3_000;
 
-/// A suspect is started without an answer of its worker after this time, in milliseconds: the worker may be
-/// well and its answers lost.
+/// A suspect is started without an answer of its worker after this time, in milliseconds. The
+/// worker may be healthy and its answers lost.
 const START_WAIT_MS: Span = 300;
 
-/// What a worker says of itself.
+/// Registration of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Registration {
-    /// The worker. A later life of it may have the same id, and calls name the id alone.
+    /// ID of the worker. A later incarnation may have the same ID, and calls contain only the ID.
     pub id: String,
-    /// This life of it.
+    /// This incarnation of the worker.
     pub incarnation: String,
-    /// Where it takes calls.
+    /// Address at which it accepts calls.
     pub address: String,
-    /// The pool that it belongs to.
+    /// Its pool.
     pub pool: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Its room.
+    /// Its capacity.
     pub room: Size,
-    /// Its kind and its rack.
+    /// Labels, such as its kind and its rack.
     pub labels: Vec<String>,
-    /// It will leave.
+    /// Whether it is draining.
     pub draining: bool,
-    /// The time that it has left at least, in milliseconds, while it drains.
+    /// Minimum time left while it drains, in milliseconds.
     pub remaining_ms: u64,
     /// Its clock, in milliseconds.
     pub clock_ms: u64,
-    /// Rises with each registration of this life.
+    /// Increases with each registration of this incarnation.
     pub sequence: u64,
 }
 
-/// What of a registration does not fit the life that it names.
+/// Why a registration does not match the incarnation that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// Another pool.
+    /// The pool differs.
     Pool,
-    /// Another address.
+    /// The address differs.
     Address,
-    /// A clock that is too far ahead.
+    /// The clock is too far ahead.
     Clock,
-    /// A number that is too far ahead.
+    /// The sequence number is too far ahead.
     Sequence,
 }
 
-/// What the shell does for the core.
+/// An action for the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Call the worker and hand the answer to [`Core::answer`].
+    /// Call the worker and pass the answer to [`Core::answer`].
     Call {
-        /// Where it takes calls.
+        /// Address of the worker.
         address: String,
-        /// The life that is meant.
+        /// The intended incarnation.
         incarnation: String,
         /// The fencing token.
         token: u64,
-        /// Number of the list, if it is one.
+        /// ID of the list if the call requests one, otherwise zero.
         list_id: u64,
         /// The call.
         call: Call,
     },
-    /// Send this to the leader.
+    /// Send a report to the leader.
     Report(Report),
-    /// Write this to the log.
+    /// Log an observation.
     Observed(Observation),
 }
 
-/// Something that an operator may want to know of, and that is not in calls or reports.
+/// An observation for operators that appears in neither calls nor reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// An end was dropped, as its number counts as settled, though its run was there.
+    /// An end was dropped because its number is already committed, although its run was still
+    /// known.
     EndRepeated {
-        /// The life.
+        /// The incarnation.
         incarnation: String,
         /// The run.
         run: RunName,
-        /// The number of the end.
+        /// Number of the end.
         number: u64,
-        /// Ends up to this number are settled.
+        /// Ends up to this number are committed.
         committed: u64,
     },
-    /// A run that was listed is on no list any more, and no end of it is left to settle.
+    /// A listed run is missing from a later list, and no uncommitted end is left.
     RunVanished {
-        /// The life.
+        /// The incarnation.
         incarnation: String,
         /// The run.
         run: RunName,
-        /// Ends up to this number are settled.
+        /// Ends up to this number are committed.
         committed: u64,
     },
 }
 
-/// The agent's state.
+/// State of the agent.
 #[derive(Debug, Default)]
 pub struct Core {
-    /// The life of the worker that has answered a call.
+    /// The incarnation of the worker that has answered a call.
     worker: Option<Registration>,
-    /// Lives before this one, the newest last.
+    /// Incarnations before this one, the newest last.
     previous: VecDeque<PreviousIncarnation>,
-    /// Lives that are over.
+    /// Incarnations that have ended.
     ended: VecDeque<String>,
-    /// Lives that have registered and not answered yet.
+    /// Incarnations that have registered but not answered yet.
     claims: Vec<Claim>,
     /// The worker's clock, in milliseconds.
     clock_ms: u64,
-    /// When it was last read.
+    /// When the worker's clock was last read.
     clock_read_at: Millis,
-    /// The highest term of a leader.
+    /// The highest known term of a leader.
     term: u64,
-    /// The highest fencing token that a worker refused as too low; zero for none.
+    /// The highest fencing token that a worker refused as too low. Zero for none.
     refused_token: u64,
-    /// The lease that was granted, on the worker's clock in milliseconds.
+    /// End of the granted lease, on the worker's clock in milliseconds.
     lease_end_ms: u64,
-    /// Ends up to this number are in the log.
+    /// Ends up to this number are committed in the log.
     committed: u64,
     /// Ends up to this number were acknowledged to the worker, which may forget them.
     acknowledged: u64,
-    /// Number of the list that carries an acknowledgement, and the number of the end up to which it goes.
+    /// ID of the list that carries an acknowledgement, and the number up to which it acknowledges
+    /// ends.
     acknowledging: Option<(u64, u64)>,
-    /// Since when an acknowledgement is due.
+    /// Since when an acknowledgement has been due.
     acknowledge_since: Millis,
-    /// Lists up to this number prove nothing, as a call after them failed: the worker may have started again.
+    /// Lists up to this ID do not show that the incarnation still runs, because a later call
+    /// failed: the worker may have restarted.
     distrusted_list: Option<u64>,
-    /// Number of the list that was asked for because of that.
+    /// ID of the list requested to find out whether it has.
     check_list: Option<u64>,
-    /// When the worker last said that it ends.
+    /// When the worker last deregistered.
     deregistered_at: Option<Millis>,
     runs: BTreeMap<RunName, Run>,
     ends: BTreeMap<u64, EndRow>,
     unstarted: BTreeSet<RunName>,
     last_list_id: u64,
-    /// Number of the list that is waited for.
+    /// ID of the list whose answer is awaited.
     pending_list: Option<u64>,
     list_due: Millis,
     list_failures: u32,
-    /// When this life last listed, or was believed without a list.
+    /// When this incarnation last returned a list, or was adopted without one.
     listed_at: Millis,
-    /// This life has listed.
+    /// Whether this incarnation has returned a list.
     has_listed: bool,
-    /// When this life last answered a call.
+    /// When this incarnation last answered a call.
     answered_at: Millis,
-    /// Nobody took the last call at its address.
+    /// Whether nothing accepted the last call at its address.
     unreachable: bool,
     reported_at: Millis,
-    /// There is something to report at once.
+    /// Whether a report is due at once.
     report_now: bool,
     pacing: Pacing,
     outputs: Vec<Output>,
 }
 
 impl Core {
-    /// An agent that knows nothing.
+    /// Creates the core of an agent that has no state yet.
     pub fn new() -> Core {
         Core::default()
     }
 
-    /// The life of the worker, if it is known.
+    /// Returns the incarnation of the worker, if known.
     pub fn incarnation(&self) -> Option<&str> {
         self.worker.as_ref().map(|worker| worker.incarnation.as_str())
     }
 
-    /// Whether a registration says something that was not known, besides the time.
+    /// Returns whether a registration changes the incarnation, the draining state or the capacity.
     pub fn has_changes(&self, registration: &Registration) -> bool {
         let known = self.worker.as_ref();
         known.is_none_or(|known| {
@@ -208,8 +217,9 @@
         })
     }
 
-    /// Why a registration that names the known life cannot be its own: a life has one pool and one address, its
-    /// clock goes about as fast as the agent's, and it counts its registrations.
+    /// Returns why a registration that names the known incarnation cannot come from it. An
+    /// incarnation keeps its pool and address, its clock runs at about the agent's speed, and it
+    /// numbers its registrations in order.
     pub fn mismatch(&self, now: Millis, registration: &Registration) -> Option<Mismatch> {
         let known =
             self.worker.as_ref().filter(|known| known.incarnation == registration.incarnation)?;
@@ -227,7 +237,7 @@
         }
     }
 
-    /// The worker says something of itself. From a draining worker's on, nothing is started.
+    /// Handles a registration. Nothing is started after a draining worker has registered.
     pub fn registered(&mut self, now: Millis, registration: Registration) {
         if self.ended.contains(&registration.incarnation)
             || self.mismatch(now, &registration).is_some()
@@ -239,7 +249,7 @@
         match known {
             None => return self.claim(now, registration),
             Some(known) if registration.sequence <= known.sequence => return,
-            // Room that has shrunk is told before the leader counts on it again.
+            // Reported at once, so that the leader does not place runs on capacity that is gone.
             Some(known) => {
                 self.report_now |= known.draining != registration.draining;
                 self.report_now |= known.room != registration.room;
@@ -252,7 +262,7 @@
         self.worker = Some(registration);
     }
 
-    /// Runs whose start has not been confirmed are given up.
+    /// Stops all runs whose start has not been confirmed.
     fn cancel_starts(&mut self, now: Millis) {
         for run in self.runs.values_mut() {
             if matches!(run.phase, Phase::Starting { .. }) {
@@ -261,7 +271,8 @@
         }
     }
 
-    /// Forgets all of the former life; none is known if `life` is empty.
+    /// Resets all state of the previous incarnation. `incarnation` names the new one, and is empty
+    /// if none is known.
     fn reset(&mut self, now: Millis, incarnation: &str) {
         if let Some(before) = self.worker.take().filter(|before| before.incarnation != incarnation)
         {
@@ -290,13 +301,15 @@
         self.ended.drain(..excess);
     }
 
-    /// Whether calls are of use: a leader is known, and no worker has refused its term as too low.
+    /// Returns whether calls can succeed: a leader is known, and no worker has refused its term as
+    /// too low.
     fn may_call(&self) -> bool {
         self.term > self.refused_token
     }
 
-    /// The worker of that id says that it ends. The word may come late, when the worker has started again under its id, so
-    /// it is believed once nobody takes calls any more.
+    /// Handles the deregistration of the worker with this ID. It may arrive late, after the worker
+    /// has restarted under its ID, so it takes effect only once nothing accepts calls at the
+    /// address.
     pub fn deregistered(&mut self, now: Millis, id: &str) {
         if self.worker.as_ref().is_some_and(|worker| worker.id == id) {
             self.deregistered_at = Some(now);
@@ -304,7 +317,7 @@
         }
     }
 
-    /// Nobody takes calls at the worker's address: whether it has left, as it had said.
+    /// Returns whether a worker whose address accepts no calls has left after deregistering.
     fn has_left(&mut self, now: Millis) -> bool {
         let left = self.deregistered_at.is_some_and(|at| now.since(at) < DEREGISTRATION_MS);
         if left && let Some(worker) = &mut self.worker {
@@ -313,12 +326,12 @@
         left
     }
 
-    /// What to report of the runs.
+    /// Returns the rows of all runs for a report.
     fn rows(&self) -> Vec<RunRow> {
         self.runs.values().map(|run| run.row(self.answered_at)).collect()
     }
 
-    /// There is a link to a leader that may know nothing of this agent.
+    /// Handles a new link to a leader that may know nothing about this agent.
     pub fn leader_up(&mut self, term: u64) {
         self.term = self.term.max(term);
         self.report_now = true;
@@ -326,7 +339,7 @@
         self.query_claims();
     }
 
-    /// Control orders something.
+    /// Handles an order of control.
     pub fn order(&mut self, now: Millis, order: Order) {
         if order.term < self.term || self.incarnation() != Some(order.worker.as_str()) {
             return;
@@ -350,7 +363,7 @@
         }
     }
 
-    /// Ends up to this number are in the log; once none is left the worker is asked again.
+    /// Records that ends up to this number are committed. If no end is left, a list is requested.
     fn commit_ends(&mut self, now: Millis, committed: u64) {
         if committed <= self.committed {
             return;
@@ -374,8 +387,9 @@
         }
         let draining = self.worker.as_ref().is_none_or(|worker| worker.draining);
         let watch = Some(order.watch.clone());
-        // Whether a suspect took the worker down can be told only if the worker is known to live when the
-        // suspect starts, and for how long all else has lived there.
+        // It can be decided whether a suspect took the worker down only if the worker is known to
+        // be up when the suspect starts, and if it is known for how long everything else has run
+        // there.
         let await_answer = order.watch.tell_ms > 0 && !draining;
         let phase = if draining { Phase::Stopping } else { Phase::Starting { order, attempts: 0 } };
         let mut run = Run::new(name, phase, watch, now);
--- a/crates/pond-agent/src/core/previous.rs
+++ b/crates/pond-agent/src/core/previous.rs
@@ -1,9 +1,10 @@
-//! Lives of the worker that are over, and starts that may have reached the one after them.
+//! Previous incarnations of the worker, and starts that may have reached a later incarnation.
 //!
-//! A call names the worker's id, and a worker may start again under its id. So a start that was meant for one life
-//! may be carried out by the next, of which the leader knows nothing. Were the former life reported as over before
-//! that is ruled out, its task would run in two places. Such a run is stopped at the new life first: a worker
-//! refuses a start that comes after its stop.
+//! A call contains only the worker's ID, and a worker can restart under its ID. The next
+//! incarnation may therefore carry out a start that was meant for the previous one, and the leader
+//! does not know of it. If the previous incarnation were reported as ended before this is ruled
+//! out, its task would run in two places. Such a run is first stopped at the new incarnation: a
+//! worker refuses a start that arrives after the stop.
 
 use std::collections::BTreeSet;
 
@@ -14,22 +15,22 @@
 use super::{Core, Output, Registration};
 use crate::run::{Phase, Run};
 
-/// Lives that are over and kept to be reported again, the newest: a leader that has not heard of one ends it once it
-/// hears of the next.
+/// Number of previous incarnations that are kept to be reported again, the newest. A leader that
+/// was not told that one ended concludes it when it hears of the next.
 const MAX_PREVIOUS: usize = 4;
 
-/// A life that is over, and what is known of its end.
+/// An incarnation that has ended, and its last known state.
 #[derive(Clone, Debug)]
 pub(super) struct PreviousIncarnation {
     id: String,
     incarnation: String,
-    /// It had said that it would leave.
+    /// Whether it had deregistered or was draining.
     left: bool,
-    /// The runs that it had at last.
+    /// Its last known runs.
     rows: Vec<RunRow>,
-    /// Its ends that were read and are not known to be in the log: nobody else can tell of them.
+    /// Its ends that were read and are not known to be committed. No other process can report them.
     ends: Vec<EndRow>,
-    /// Runs whose start may reach, or have reached, a later life with the same id.
+    /// Runs whose start may have reached, or may still reach, a later incarnation with the same ID.
     unresolved: BTreeSet<RunName>,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl Core {
-    /// Keeps what is known of a life that is over.
+    /// Keeps the state of an incarnation that has ended.
     pub(super) fn keep_previous(&mut self, worker: Registration) {
         let unresolved =
             self.runs.iter().filter(|(_, run)| run.is_unresolved()).map(|(name, _)| *name);
@@ -67,21 +68,22 @@
         self.previous.drain(..excess);
     }
 
-    /// Another worker stands at the address, which refuses what was meant for this one.
+    /// Handles that a different worker is at the address. It refuses calls meant for the previous
+    /// one.
     pub(super) fn replaced_by_other(&mut self, now: Millis) {
         self.reset(now, "");
         self.previous.iter_mut().for_each(|previous| previous.unresolved.clear());
         self.report_previous();
     }
 
-    /// Tells the leader of each former life that nothing of it runs any more, and how it ended.
+    /// Reports each previous incarnation that is certain to run nothing any more, with its ends.
     pub(super) fn report_previous(&mut self) {
         let over = self.previous.iter().filter(|previous| previous.unresolved.is_empty());
         self.outputs.extend(over.map(PreviousIncarnation::report));
     }
 
-    /// A life is the worker from now on: starts that may reach it though they were meant for a former one are
-    /// stopped at it.
+    /// Stops, at the new incarnation, runs whose start was meant for a previous one and may reach
+    /// it.
     pub(super) fn stop_unresolved(&mut self, now: Millis) {
         let Some(id) = self.worker.as_ref().map(|worker| worker.id.clone()) else { return };
         for previous in &mut self.previous {
@@ -99,8 +101,8 @@
         self.report_previous();
     }
 
-    /// Reports the former lives of which the last doubtful start is now known to run nowhere, with its end settled if it
-    /// had begun.
+    /// Reports each previous incarnation whose last unresolved start is now known to run nowhere.
+    /// If such a run had started, its end is committed first.
     pub(super) fn report_resolved(&mut self) {
         let Some(id) = self.worker.as_ref().map(|worker| worker.id.as_str()) else { return };
         let (runs, ends) = (&self.runs, &self.ends);
--- a/crates/pond-agent/src/lib.rs
+++ b/crates/pond-agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent beside a worker.
+//! Agent of a worker.
 //!
-//! [`Core`] is pure: it is given registrations, orders, answers and the time, and hands out calls
-//! to the worker and reports to control. [`Agent`] is the shell around it. The border to the worker
-//! is the trait [`Worker`].
+//! [`Core`] makes all decisions without I/O: it takes registrations, orders, answers and the
+//! current time, and returns calls to the worker and reports to control. [`Agent`] is the runtime
+//! around it. The trait [`Worker`] is the interface to the worker.
 
 mod agent;
 mod core;
--- a/crates/pond-agent/src/pacing.rs
+++ b/crates/pond-agent/src/pacing.rs
@@ -1,68 +1,72 @@
-//! Slows filling runs down while a serving run beside them misses its target.
+//! Slows down best-effort runs while a co-located serving run misses its latency target.
 //!
-//! Filling runs of one image behave alike, so they are paced together. The image that is blamed
-//! most is slowed down first; if nothing is known, all are.
+//! Best-effort runs of the same image behave alike, so they share one pace. The images with the
+//! largest blame are slowed down first. Without any blame recorded, all images are slowed down.
 
 use std::collections::BTreeMap;
 
 use pond_proto::{Millis, Span};
 
-/// Paces of filling runs in percent, from calm to harsh. Each step is about a third of the one
-/// before, as harm is not proportional to work.
+/// Paces of best-effort runs in percent, from full speed to halted. Each is about a third of the
+/// one before, because interference is not proportional to the work done.
 const PACES: [u32; 4] = [100, 40, 12, 0];
 
-/// From this share of its target on, in percent, a tail is too long.
+/// A tail latency of at least this share of its target is too high, in percent.
 const HIGH_PERCENT: u32 = 95;
 
-/// Below this share of its target, in percent, a tail is calm. Between the two it is what it was: the
-/// figures are rough, and a tail about its target wavers.
+/// A tail latency below this share of its target is low, in percent. Between the two limits the
+/// last classification holds, because the figures are rough and a tail near its target fluctuates.
 const LOW_PERCENT: u32 = 80;
 
-/// Tails may be too long for this time before anything is slowed down, in milliseconds: slowing
-/// down costs the filling work and the serving work, and most peaks pass by themselves.
+/// Time that a tail latency must be too high before anything is slowed down, in milliseconds.
+/// Slowing down costs both best-effort and serving work, and most peaks end by themselves.
 const SLOW_DOWN_AFTER_MS: Span = 800;
 
-/// After this time, in milliseconds, all filling work is slowed down, whoever is blamed.
+/// Time of high tail latency after which all best-effort images are slowed down regardless of their
+/// blame, in milliseconds.
 const SLOW_ALL_AFTER_MS: Span = 1_700;
 
-/// After this time, in milliseconds, all filling work is halted. Platforms bear some four seconds,
-/// of which up to one goes by until a long tail is first seen, and half a one until the halt shows.
+/// Time of high tail latency after which all best-effort work is halted, in milliseconds. Platforms
+/// tolerate about 4 s. Up to 1 s of it passes before a high tail is first seen, and 0.5 s before
+/// the halt takes effect.
 const HALT_AFTER_MS: Span = 2_200;
 
-/// Time between steps down, in milliseconds: one new figure.
+/// Time between two steps down, in milliseconds: one new figure arrives in between.
 const STEP_DOWN_MS: Span = 400;
 
-/// Calm time before a step up, in milliseconds: two figures.
+/// Time of low tail latency before a step up, in milliseconds: two figures.
 const STEP_UP_MS: Span = 900;
 
-/// An image with less than this share of all blame is spared, in percent.
+/// An image with a smaller share of the total blame is not slowed down at first, in percent.
 const MIN_BLAME_PERCENT: u64 = 25;
 
-/// The filling runs of one image.
+/// The best-effort runs of one image.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Group {
-    /// How much they add to tails at full pace, in thousandths of the target; zero if unknown.
+    /// How much they add to tail latencies at full pace, in thousandths of the target. Zero if
+    /// unknown.
     pub blame_permille: u64,
 }
 
-/// The paces of all filling runs of a worker.
+/// The paces of all best-effort runs of a worker.
 #[derive(Debug, Default)]
 pub struct Pacing {
     levels: BTreeMap<String, usize>,
     stepped_at: Millis,
-    /// Since when a tail is too long.
+    /// Since when a tail latency has been too high.
     high_since: Option<Millis>,
-    /// When a tail was last not calm.
+    /// When a tail latency was last not low.
     last_elevated: Millis,
 }
 
 impl Pacing {
-    /// The pace of an image in percent.
+    /// Returns the pace of an image in percent.
     pub fn pace(&self, image: &str) -> u32 {
         PACES[self.levels.get(image).copied().unwrap_or(0)]
     }
 
-    /// Takes in the tails and targets of serving runs and the filling images beside them.
+    /// Updates the paces from the tail latencies and targets of serving runs, and from the
+    /// co-located best-effort images.
     pub fn update(
         &mut self,
         now: Millis,
@@ -118,7 +122,8 @@
         }
     }
 
-    /// Images that are hardly blamed speed up first, all of them; then the others.
+    /// Speeds up all images with little blame first, and the others only when none of those is
+    /// slowed down.
     fn speed_up(&mut self, now: Millis, groups: &BTreeMap<String, Group>) {
         let blame = |image: &String| groups.get(image).map_or(0, |group| group.blame_permille);
         let slowed: Vec<String> = self
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -1,69 +1,70 @@
-//! A run as its agent sees it.
+//! State of a run at the agent.
 
 use pond_proto::fleet::{RunRow, StartOrder, Watch};
 use pond_proto::job::RunName;
 use pond_proto::{Millis, Span};
 
-/// A worker that answered no longer ago than this was there when a start was called, in milliseconds.
+/// A worker that answered at most this long before a start call was up when the call was made, in
+/// milliseconds.
 const RECENT_ANSWER_MS: Span = 200;
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// It was ordered; no answer yet.
+    /// Ordered, but the worker has not confirmed it.
     Starting {
-        /// The order.
+        /// The start order.
         order: StartOrder,
-        /// Calls without an answer so far.
+        /// Number of calls so far that got no answer.
         attempts: u32,
     },
-    /// The worker has it.
+    /// The worker has started it.
     Running,
-    /// It is being stopped.
+    /// A stop has to be confirmed by the worker.
     Stopping,
-    /// The worker has confirmed the stop. A list that was asked for after that tells whether there
-    /// was anything to stop.
+    /// The worker has confirmed the stop. Only a list requested after that shows whether there was
+    /// anything to stop.
     Stopped {
-        /// Number of the last list that was asked for before.
+        /// ID of the last list requested before the confirmation.
         list_id: u64,
     },
 }
 
-/// A run that was ordered or is there.
+/// A run that was ordered or that the worker has listed.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// How far it is.
+    /// Its progress.
     pub phase: Phase,
-    /// A call about it is on its way; once it should stop, a call to stop it.
+    /// Whether a call about it is in flight. Once it is to stop, only stop calls count.
     pub calling: bool,
-    /// When to call again.
+    /// When the next call is due.
     pub due: Millis,
-    /// Calls in a row that were not done.
+    /// Number of consecutive failed calls.
     pub failures: u32,
-    /// What the worker last listed.
+    /// The row that the worker listed last.
     pub row: RunRow,
-    /// Number of the last list that was asked for when the worker last listed it as running; none if
-    /// it never did.
+    /// ID of the list that had been requested last when the worker last listed this run. None if it
+    /// was never listed.
     pub last_listed: Option<u64>,
-    /// When it was first known to be at the worker: its start was confirmed, or it was listed.
+    /// When the worker first confirmed or listed it.
     pub confirmed_at: Option<Millis>,
-    /// Calls to start it that may have reached the worker.
+    /// Number of start calls that may have reached the worker.
     pub start_calls: u32,
-    /// When the last call to start it was made.
+    /// When the last start call was made.
     pub last_start_at: Millis,
-    /// Number of the list whose answer the start waits for, so that it is known that the worker lives.
+    /// ID of the list whose answer the start waits for. The answer shows that the worker is up.
     pub awaited_list: Option<u64>,
-    /// A list was asked for to tell the leader that the worker has lived on with it.
+    /// Whether a list was requested to show the leader that the worker has survived with this run.
     pub list_requested: bool,
     /// How to watch it, as far as known.
     pub watch: Option<Watch>,
-    /// What the worker was last told about its pace, in percent; not known of runs that were there
-    /// before this agent.
+    /// The last pace that the worker confirmed, in percent. Unknown for runs that were there before
+    /// this agent started.
     pub pace: Option<u32>,
 }
 
 impl Run {
-    /// A run of which the worker has said nothing yet; the first call about it is due at `now`.
+    /// Creates a run that the worker has not reported yet. Its first call is due at `now`.
     pub fn new(name: RunName, phase: Phase, watch: Option<Watch>, now: Millis) -> Run {
         let row = RunRow { run: name, unlisted: true, ..RunRow::default() };
         Run {
@@ -83,23 +84,24 @@
         }
     }
 
-    /// It is at the worker, by what the worker says now.
+    /// Records that the worker reports this run.
     pub fn confirm(&mut self, now: Millis) {
         self.confirmed_at.get_or_insert(now);
     }
 
-    /// Whether a call to start it may have reached no list of its life, or more than one did: a later life of the worker
-    /// may carry one out.
+    /// Returns whether a later incarnation of the worker may still carry out a start call: no list
+    /// of this incarnation has shown the run, or more than one start call was made.
     pub fn is_unresolved(&self) -> bool {
         self.start_calls > 1 || self.in_flight()
     }
 
-    /// Whether a call to start it was made and no list has shown it yet.
+    /// Returns whether a start call was made and no list has shown the run yet.
     pub fn in_flight(&self) -> bool {
         self.start_calls > 0 && self.last_listed.is_none()
     }
 
-    /// When the leader wants to know that the worker has lived on with it; none if that is no news.
+    /// Returns when the leader must learn that the worker has survived with this run. None if the
+    /// leader does not need to know.
     pub fn survival_due(&self) -> Option<Millis> {
         let survival_ms = self.watch.as_ref().map_or(0, |watch| watch.tell_ms);
         self.confirmed_at
@@ -107,7 +109,7 @@
             .map(|confirmed_at| confirmed_at + Span::from(survival_ms))
     }
 
-    /// What to report of it, if its worker last answered anything at `alive`.
+    /// Returns the row to report if the worker last answered any call at `answered_at`.
     pub fn row(&self, answered_at: Millis) -> RunRow {
         let lived = self.confirmed_at.map_or(0, |confirmed_at| answered_at.since(confirmed_at));
         let lived_ms = u32::try_from(lived).unwrap_or(u32::MAX);
@@ -118,9 +120,9 @@
         RunRow { lived_ms, unsent, met, ..self.row.clone() }
     }
 
-    /// It should stop from now on. The call does not wait for the answer to one that is on its way:
-    /// a worker refuses a start that comes after the stop, and one that gives no answer to the start
-    /// would hold back the stop for 0.8 s.
+    /// Marks the run to be stopped. The stop call does not wait for the answer to a start call in
+    /// flight: the worker refuses a start that arrives after the stop, and a start call without an
+    /// answer would delay the stop by 0.8 s.
     pub fn stop(&mut self, now: Millis) {
         self.phase = Phase::Stopping;
         self.calling = false;
@@ -128,7 +130,7 @@
         self.failures = 0;
     }
 
-    /// Whether it should stop, or has.
+    /// Returns whether the run is to be stopped or has been stopped.
     pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping | Phase::Stopped { .. })
     }
--- a/crates/pond-agent/src/worker.rs
+++ b/crates/pond-agent/src/worker.rs
@@ -1,4 +1,4 @@
-//! The border to a worker.
+//! Interface to a worker.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,51 +7,52 @@
 use pond_proto::fleet::{EndRow, RunRow};
 use pond_proto::job::RunName;
 
-/// What an agent asks of its worker.
+/// A call from the agent to its worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Start a run; one that is there already stays as it is.
+    /// Starts a run. Has no effect on a run that is already there.
     Start {
         /// The run.
         run: RunName,
         /// The job's text.
         text: String,
-        /// The save to go on from; empty for none.
+        /// The checkpoint to resume from. Empty for none.
         checkpoint: String,
-        /// The adviser's ticket; empty for none.
+        /// The adviser's ticket. Empty for none.
         ticket: String,
-        /// Everything at the worker may run until then, on its clock in milliseconds.
+        /// End of the lease for everything at the worker, on the worker's clock in milliseconds.
         lease_end_ms: u64,
     },
-    /// Stop a run; one that is not there yet is refused from then on.
+    /// Stops a run. The worker refuses later starts of a run that is not there yet.
     Stop {
         /// The run.
         run: RunName,
     },
-    /// List runs and ends, and extend the lease.
+    /// Lists runs and ends, and extends the lease.
     List {
-        /// Everything at the worker may run until then; zero to leave it as it is.
+        /// New end of the lease for everything at the worker, on its clock in milliseconds. Zero
+        /// leaves the lease unchanged.
         lease_end_ms: u64,
-        /// Ends up to this number may be forgotten.
+        /// The worker may forget ends up to this number.
         committed: u64,
-        /// Time to wait for an end, in milliseconds.
+        /// How long the worker may wait for an end before it answers, in milliseconds.
         wait_ms: Span,
     },
-    /// Slow a run down.
+    /// Slows a run down.
     Pace {
         /// The run.
         run: RunName,
-        /// Its share of its usual speed, in percent.
+        /// Its share of full speed, in percent.
         percent: u32,
     },
 }
 
-/// How long an answer may take beyond what the worker was asked to wait, in milliseconds. Agent and
-/// worker stand on one machine; a worker answers within a few milliseconds unless it is unwell.
+/// How long an answer may take in addition to the requested wait, in milliseconds. Agent and worker
+/// run on the same machine, and a healthy worker answers within a few milliseconds.
 const ANSWER_TIMEOUT_MS: Span = 800;
 
 impl Call {
-    /// After this time without an answer there will be none, in milliseconds.
+    /// Returns the time after which the call counts as unanswered, in milliseconds.
     pub fn timeout_ms(&self) -> Span {
         match self {
             Call::List { wait_ms, .. } => wait_ms + ANSWER_TIMEOUT_MS,
@@ -60,62 +61,62 @@
     }
 }
 
-/// Why a worker refused.
+/// Why a worker refused a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The fencing token is lower than one it has seen.
+    /// The fencing token is lower than one that the worker has seen.
     Fenced,
-    /// The run is not above one that ended there.
+    /// The run's number is not higher than that of a run of the task that has ended there.
     Old,
-    /// The lease is already over.
+    /// The lease has already expired.
     Late,
-    /// There is no room.
+    /// The worker lacks capacity.
     NoRoom,
-    /// It wants another ticket.
+    /// The worker requires another ticket.
     NoTicket,
-    /// It is not well and has done nothing.
+    /// The worker is unhealthy and has done nothing.
     Unwell,
-    /// It does not understand the call, or refuses for a reason of its own.
+    /// The worker does not understand the call, or has another reason.
     Other,
 }
 
-/// What came of a call.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It is done.
+    /// The call was carried out.
     Done,
-    /// The lists.
+    /// The worker's lists.
     Listed {
-        /// What runs.
+        /// The runs at the worker.
         runs: Vec<RunRow>,
-        /// What has ended and is not forgotten.
+        /// The ends that the worker has not forgotten.
         ends: Vec<EndRow>,
     },
-    /// It was refused.
+    /// The call was refused.
     Refused(Refusal),
-    /// Another worker answered, and did nothing; the life that was meant is over.
+    /// A different worker answered and did nothing. The intended incarnation has ended.
     OtherLife,
-    /// A later life of the same worker answered; the one that was meant is over. Calls that were meant for it may have
-    /// been carried out by the later one.
+    /// A later incarnation of the same worker answered, so the intended one has ended. The later
+    /// one may have carried out calls that were meant for the earlier one.
     Restarted,
-    /// There is no answer; it may have been done, or may still be.
+    /// There was no answer. The call may have been carried out, or may still be.
     Unknown,
-    /// Nothing of the call reached the worker, as nobody takes calls at its address.
+    /// The call did not reach the worker: nothing accepts connections at its address.
     NotSent,
 }
 
-/// A worker's answer.
+/// A worker's answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// The worker's clock, if it told it, in milliseconds.
+    /// The worker's clock in milliseconds, if the answer contains it.
     pub clock_ms: Option<u64>,
-    /// What came of the call.
+    /// Result of the call.
     pub reply: Reply,
 }
 
-/// Calls to a worker.
+/// Makes calls to a worker.
 pub trait Worker: Send + Sync + 'static {
-    /// Makes one call to the life of the worker that stands at `address`, with a fencing token.
+    /// Makes one call to the given incarnation of the worker at `address`, with a fencing token.
     fn call(
         &self,
         address: &str,
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -1,5 +1,5 @@
-//! The agent's promises: no end is forgotten, no start is taken for what it is not, no lease is
-//! extended beyond what was granted.
+//! Guarantees of the agent: no end is forgotten, the state of a start is never guessed, and no
+//! lease is extended beyond the granted time.
 
 mod support;
 
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn start_without_answer_is_asked_again_as_the_same_run() {
+fn start_without_answer_is_repeated_as_the_same_run() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Unknown);
     harness.advance(300);
-    // Whoever takes calls now may be another start of the worker.
+    // A restarted worker may accept calls at the address now.
     assert_eq!(harness.count(is_start), 0);
     harness.list_all(&[], &[]);
     assert_eq!(harness.count(is_start), 1);
@@ -56,7 +56,7 @@
         harness.advance(2_000);
     }
     assert_eq!(harness.count(is_stop), 1);
-    // This list was asked for before the stop was confirmed.
+    // This list was requested before the stop was confirmed.
     harness.list(&[], &[]);
     assert!(harness.last().unstarted.is_empty());
     harness.answer(is_stop, Reply::Done);
@@ -69,7 +69,7 @@
 
 #[test]
 fn refused_start_is_stopped_before_it_counts_as_unstarted() {
-    // An earlier call of a former agent may still be carried out.
+    // An earlier call of a previous agent may still be carried out.
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Refused(Refusal::NoRoom));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn refused_start_whose_end_is_listed_is_no_unstarted_run() {
+fn refused_start_with_a_listed_end_does_not_count_as_unstarted() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Refused(Refusal::Old));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn end_is_reported_until_control_has_settled_it() {
+fn end_is_reported_until_control_has_committed_it() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Done);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn worker_may_forget_only_what_is_settled() {
+fn worker_may_forget_only_committed_ends() {
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done), (2, 1, How::Done)]);
     harness.order(Order { settled: 1, ..Order::default() });
@@ -145,18 +145,18 @@
 }
 
 #[test]
-fn new_life_of_the_worker_is_told_and_the_former_is_over() {
+fn new_incarnation_is_reported_and_the_previous_one_has_ended() {
     let mut harness = Harness::new();
     harness.start(0);
-    harness.register("life-2", false, 1);
+    harness.register("incarnation-2", false, 1);
     assert!(harness.reports.iter().any(|report| report.gone && report.worker == INCARNATION));
     assert!(harness.last().runs.is_empty());
 }
 
 #[test]
-fn new_leader_is_told_of_the_former_life() {
+fn previous_incarnation_is_reported_to_a_new_leader() {
     let mut harness = Harness::new();
-    harness.register("life-2", false, 1);
+    harness.register("incarnation-2", false, 1);
     harness.reports.clear();
     harness.core.leader_up(4);
     harness.tick();
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn call_that_reaches_another_life_ends_this_one() {
+fn call_that_reaches_another_worker_ends_this_incarnation() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::OtherLife);
@@ -172,14 +172,14 @@
 }
 
 #[test]
-fn silent_worker_is_reported_as_such() {
+fn unresponsive_worker_is_reported_as_such() {
     let mut harness = Harness::new();
     harness.advance(4_000);
     assert!(!harness.last().answers);
 }
 
 #[test]
-fn filling_run_is_slowed_down_only_after_its_neighbour_was_too_slow_for_a_while() {
+fn best_effort_run_is_slowed_down_only_after_a_serving_run_was_too_slow_for_a_while() {
     let mut harness = Harness::new();
     harness.run_all(vec![serving(0, 10), best_effort(1, "", 0)]);
     for _ in 0..2 {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn tail_that_wavers_about_its_target_is_too_long() {
+fn tail_latency_that_fluctuates_around_its_target_is_too_high() {
     let mut harness = Harness::new();
     harness.run_all(vec![serving(0, 45), best_effort(1, "", 0)]);
     for tail_ms in [47, 41, 48, 42] {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn all_filling_runs_stop_working_before_a_tail_is_too_long_for_three_seconds() {
+fn all_best_effort_runs_are_halted_before_a_tail_is_too_high_for_three_seconds() {
     let mut harness = Harness::new();
     let serving = Watch { image: "s".to_owned(), blame_permille: 10, ..serving(0, 10) };
     harness.run_all(vec![serving, best_effort(1, "blamed", 900), best_effort(2, "spared", 10)]);
@@ -217,39 +217,40 @@
 }
 
 #[test]
-fn life_that_is_over_does_not_come_back_with_a_late_registration() {
+fn late_registration_does_not_revive_an_ended_incarnation() {
     let mut harness = Harness::new();
     harness.core.deregistered(harness.now, INCARNATION);
     harness.answer(is_list, Reply::NotSent);
     harness.register(INCARNATION, false, 9);
     assert_eq!(harness.core.incarnation(), None);
-    harness.register("life-2", false, 1);
-    assert_eq!(harness.core.incarnation(), Some("life-2"));
+    harness.register("incarnation-2", false, 1);
+    assert_eq!(harness.core.incarnation(), Some("incarnation-2"));
 }
 
 #[test]
-fn absurd_figure_does_no_harm() {
+fn huge_figure_does_not_overflow() {
     let mut harness = Harness::new();
     harness.run_all(vec![serving(0, 10), best_effort(1, "", 0)]);
     harness.list_tail(u32::MAX, 1);
 }
 
 #[test]
-fn late_registration_of_an_earlier_life_changes_nothing() {
-    // The life before this one was never heard of: its registration was held back by a cut.
+fn late_registration_of_an_earlier_incarnation_changes_nothing() {
+    // Nothing was known of the incarnation before this one: a network failure delayed its
+    // registration.
     let mut harness = Harness::new();
     harness.start(0);
-    harness.claim("life-0", false, 7);
-    harness.answer_claim("life-0", Reply::OtherLife);
+    harness.claim("incarnation-0", false, 7);
+    harness.answer_claim("incarnation-0", Reply::OtherLife);
     assert_eq!(harness.core.incarnation(), Some(INCARNATION));
     assert!(!harness.reports.iter().any(|report| report.gone));
-    harness.claim("life-0", false, 8);
+    harness.claim("incarnation-0", false, 8);
     assert!(harness.claims.is_empty());
 }
 
 #[test]
-fn registrations_of_lives_in_any_order_lead_to_the_one_that_answers() {
-    let lives = ["life-0", "life-1", "life-2"];
+fn registrations_in_any_order_lead_to_the_incarnation_that_answers() {
+    let lives = ["incarnation-0", "incarnation-1", "incarnation-2"];
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
         let mut harness = Harness::without_leader();
         harness.core.leader_up(3);
@@ -260,30 +261,32 @@
             let there = Reply::Listed { runs: vec![], ends: vec![] };
             harness.answer_claim(
                 incarnation,
-                if incarnation == "life-2" { there } else { Reply::OtherLife },
+                if incarnation == "incarnation-2" { there } else { Reply::OtherLife },
             );
         }
-        assert_eq!(harness.core.incarnation(), Some("life-2"), "{order:?}");
-        assert!(!harness.reports.iter().any(|report| report.gone && report.worker == "life-2"));
+        assert_eq!(harness.core.incarnation(), Some("incarnation-2"), "{order:?}");
+        assert!(
+            !harness.reports.iter().any(|report| report.gone && report.worker == "incarnation-2")
+        );
     }
 }
 
 #[test]
-fn life_that_only_registers_is_believed_once_no_other_answers() {
+fn incarnation_that_only_registers_is_adopted_once_no_other_answers() {
     let mut harness = Harness::new();
-    harness.claim("life-2", false, 1);
-    harness.answer_claim("life-2", Reply::Unknown);
+    harness.claim("incarnation-2", false, 1);
+    harness.answer_claim("incarnation-2", Reply::Unknown);
     for sequence in 2..6 {
         harness.advance(1_100);
-        harness.claim("life-2", false, sequence);
-        harness.answer_claim("life-2", Reply::Unknown);
+        harness.claim("incarnation-2", false, sequence);
+        harness.answer_claim("incarnation-2", Reply::Unknown);
     }
-    assert_eq!(harness.core.incarnation(), Some("life-2"));
+    assert_eq!(harness.core.incarnation(), Some("incarnation-2"));
     assert!(harness.reports.iter().any(|report| report.gone && report.worker == INCARNATION));
 }
 
 #[test]
-fn agent_without_a_leader_calls_nobody() {
+fn agent_without_a_leader_makes_no_calls() {
     let mut harness = Harness::without_leader();
     harness.claim(INCARNATION, false, 1);
     harness.advance(5_000);
@@ -319,8 +322,8 @@
 }
 
 #[test]
-fn run_found_at_the_start_of_an_agent_is_told_its_pace_anew() {
-    // A former life of the agent may have halted it; nothing on the worker's lists tells.
+fn pace_is_sent_again_for_a_run_found_at_the_start_of_an_agent() {
+    // A previous process of the agent may have halted the run. The worker's lists do not show it.
     let mut harness = Harness::new();
     harness.list(&[1], &[]);
     let watches = vec![best_effort(1, "", 0)];
@@ -334,7 +337,7 @@
 }
 
 #[test]
-fn end_of_a_life_is_told_with_what_ran_there_and_for_how_long_it_was_known_to() {
+fn end_of_an_incarnation_is_reported_with_its_runs_and_how_long_they_survived() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Done);
@@ -357,7 +360,7 @@
 }
 
 #[test]
-fn life_that_left_as_planned_is_told_as_such() {
+fn incarnation_that_left_as_planned_is_reported_as_such() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Done);
@@ -367,9 +370,9 @@
     assert!(harness.gone().left);
 }
 
-/// A report of another writer may name a life that is there.
+/// A report from another sender may name an existing incarnation.
 #[test]
-fn registration_that_names_another_pool_or_address_changes_nothing_of_a_life() {
+fn registration_with_another_pool_or_address_does_not_change_an_incarnation() {
     let strange = |change: fn(&mut Registration)| {
         let mut registration = Registration {
             id: INCARNATION.to_owned(),
@@ -394,7 +397,7 @@
 }
 
 #[test]
-fn change_of_room_is_told_at_once() {
+fn change_of_capacity_is_reported_at_once() {
     let mut harness = Harness::new();
     harness.advance(900);
     let registration = Registration {
@@ -411,9 +414,10 @@
     assert_eq!(harness.last().milli_cpu, 1_000);
 }
 
-/// The leader counts leases by the worker's clock: one that is far ahead would stand still for it ever after.
+/// The leader counts leases by the worker's clock. After a clock far ahead it would see no
+/// progress.
 #[test]
-fn registration_whose_clock_or_count_is_far_ahead_changes_nothing() {
+fn registration_with_a_clock_or_sequence_far_ahead_changes_nothing() {
     for (clock_ms, sequence) in [(u64::MAX, 2), (50_000 + 3_600_000, 2), (51_000, u64::MAX)] {
         let mut harness = Harness::new();
         let far = Registration {
@@ -436,9 +440,9 @@
     }
 }
 
-/// A worker that has started again in between would carry the start out and forget its end unread.
+/// If the worker had restarted in between, it would carry out the start and forget its unread end.
 #[test]
-fn worker_may_forget_nothing_while_a_start_is_on_its_way() {
+fn nothing_is_acknowledged_while_a_start_is_in_flight() {
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.start(1);
@@ -452,7 +456,7 @@
 }
 
 #[test]
-fn nothing_is_started_while_an_acknowledgement_is_on_its_way() {
+fn nothing_is_started_while_an_acknowledgement_is_in_flight() {
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.order(Order { settled: 1, ..Order::default() });
@@ -464,7 +468,7 @@
 }
 
 #[test]
-fn acknowledgement_that_starts_leave_no_moment_for_makes_them_wait() {
+fn overdue_acknowledgement_delays_starts() {
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.start(1);
@@ -475,7 +479,7 @@
     harness.answer(is_start, Reply::Done);
     harness.list_all(&[1], &[]);
     assert_eq!(harness.acknowledged, [1]);
-    // One that is not answered holds up the others for a moment only.
+    // An unanswered start delays the other starts only briefly.
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.start(1);
@@ -487,10 +491,10 @@
 }
 
 #[test]
-fn nothing_is_started_after_a_clock_that_falls_until_a_list() {
+fn nothing_is_started_after_a_clock_fell_until_a_list() {
     let mut harness = Harness::new();
     harness.start(0);
-    let found = harness.calls.iter().position(|(_, call)| is_start(call)).expect("a start");
+    let found = harness.calls.iter().position(|(_, call)| is_start(call)).expect("no start call");
     let (list_id, call) = harness.calls.remove(found);
     let answer = Answer { clock_ms: Some(1_000), reply: Reply::Done };
     harness.core.answer(harness.now, INCARNATION, harness.token, list_id, &call, answer);
@@ -501,41 +505,40 @@
     assert_eq!(harness.count(is_start), 1);
 }
 
-/// The life before this one is told as over only once what may have reached this one runs nowhere.
+/// The previous incarnation is reported as ended only once the starts that may have reached the new
+/// one run nowhere.
 #[test]
-fn start_that_may_reach_the_next_life_of_the_worker_is_stopped_there_first() {
+fn start_that_may_reach_the_next_incarnation_is_stopped_there_first() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_list, Reply::Restarted);
     assert!(!harness.reports.iter().any(|report| report.gone));
-    harness.claim_as(INCARNATION, "life-2", 1);
-    harness.answer_claim("life-2", Reply::Listed { runs: vec![], ends: vec![] });
+    harness.claim_as(INCARNATION, "incarnation-2", 1);
+    harness.answer_claim("incarnation-2", Reply::Listed { runs: vec![], ends: vec![] });
     let told: Vec<_> = harness.last().runs.iter().map(|row| row.run).collect();
     assert_eq!((harness.count(is_stop), told), (1, vec![run(0)]));
     assert!(!harness.reports.iter().any(|report| report.gone));
-    harness.answer_as("life-2", is_stop, Reply::Done);
+    harness.answer_as("incarnation-2", is_stop, Reply::Done);
     while harness.count(is_list) > 0 && !harness.reports.iter().any(|report| report.gone) {
-        harness.answer_as("life-2", is_list, Reply::Listed { runs: vec![], ends: vec![] });
+        harness.answer_as("incarnation-2", is_list, Reply::Listed { runs: vec![], ends: vec![] });
     }
     assert_eq!(harness.gone().worker, INCARNATION);
 }
 
-/// Only a list tells which of the lives with one id it is from.
+/// Only a list identifies which of several incarnations with one ID it comes from.
 #[test]
-fn life_that_registers_and_refuses_to_list_is_not_taken_for_the_worker() {
+fn incarnation_that_registers_and_refuses_to_list_is_not_adopted() {
     let mut harness = Harness::new();
-    harness.claim_as(INCARNATION, "life-0", 1);
-    harness.answer_claim("life-0", Reply::Refused(Refusal::Unwell));
+    harness.claim_as(INCARNATION, "incarnation-0", 1);
+    harness.answer_claim("incarnation-0", Reply::Refused(Refusal::Unwell));
     assert_eq!(harness.core.incarnation(), Some(INCARNATION));
 }
 
-/// Found by reading: a farewell that comes late, of a start of the worker that is over, ended the next one, which has the
-/// same id and whose runs go on. It names the id alone.
-///
-/// Cause: a word of one life was taken for another's without a look at who is there. What proved it: the test fails if
-/// the farewell ends the life at once.
+/// Guards against a late deregistration that ends the next incarnation of the worker. Both have the
+/// same ID, and the deregistration contains only the ID. The fault occurs if the agent ends the
+/// incarnation without checking whether the worker still answers.
 #[test]
-fn farewell_of_a_worker_that_still_answers_ends_nothing() {
+fn deregistration_of_a_worker_that_still_answers_ends_nothing() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Done);
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -1,5 +1,5 @@
-//! Runs that a worker starts late or that nobody wants any more: how soon the agent tells control
-//! of them, and how soon and how long it calls for their stop.
+//! Runs that start late or are no longer wanted: how soon the agent reports them to control, and
+//! how soon and how long it calls the worker to stop them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,28 +8,28 @@
 use pond_proto::job::{How, RunName, TaskName};
 use pond_proto::{Millis, Size, Span};
 
-const INCARNATION: &str = "life-1";
+const INCARNATION: &str = "incarnation-1";
 const TERM: u64 = 3;
 
-/// Step of the injected clock, in milliseconds; the bounds below are met to within one.
+/// Step of the simulated clock, in milliseconds. The limits below are met to within one step.
 const STEP_MS: Span = 10;
 
-/// From a start that nobody waits for until control is told, in milliseconds: one list, which waits
-/// for an end and not for a start.
+/// Time from an unexpected start until it is reported to control, in milliseconds: one list, which
+/// waits for an end and not for a start.
 const REPORTED_WITHIN_MS: Span = 1_000;
 
-/// From an order to stop until the call, in milliseconds.
+/// Time from an order to stop until the call, in milliseconds.
 const CALLED_WITHIN_MS: Span = 0;
 
-/// From a call to stop without an answer until the next one, in milliseconds: the time for its
-/// answer and the first wait.
+/// Time from an unanswered stop call until the next one, in milliseconds: the answer timeout and
+/// the first wait.
 const FIRST_RETRY_MS: Span = 1_000;
 
-/// The same however often there was none: the time for the answer and the longest wait.
+/// The same after any number of unanswered calls: the answer timeout and the longest wait.
 const RETRY_MS: Span = 2_400;
 
-/// From a confirmed stop of a run that goes on until the next call, in milliseconds: a stop takes a
-/// fifth of a second, and half a second is given to it; two answers come before.
+/// Time from a confirmed stop of a run that continues until the next call, in milliseconds. A stop
+/// takes 200 ms and is given 500 ms. Two answers come before it.
 const STOP_REPEATED_WITHIN_MS: Span = 520;
 
 /// The longest lease in these tests, in milliseconds.
@@ -39,7 +39,7 @@
     RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
 }
 
-/// A call on its way, and when it is answered at the latest.
+/// A call in flight, and when it is answered at the latest.
 struct PendingCall {
     token: u64,
     list_id: u64,
@@ -48,17 +48,17 @@
     unanswered: bool,
 }
 
-/// A worker on the injected clock: it answers at once, but for the lists that wait, and leaves
-/// calls unanswered as told.
+/// A worker on the simulated clock. It answers at once, except for lists that wait, and can leave
+/// calls unanswered.
 #[derive(Default)]
 struct Worker {
     running: BTreeSet<RunName>,
     ends: Vec<EndRow>,
-    /// Runs that it does not start any more.
+    /// Runs that it refuses to start.
     refused_runs: BTreeSet<RunName>,
     ignore_starts: bool,
     ignore_stops: bool,
-    /// It confirms stops, and the runs go on.
+    /// It confirms stops, but the runs continue.
     runs_survive_stop: bool,
     fence: u64,
     lease_end_ms: u64,
@@ -120,7 +120,7 @@
     }
 }
 
-/// An agent beside that worker, with everything that it hands out and when.
+/// An agent and its worker, with all outputs of the agent and their times.
 struct Harness {
     core: Core,
     now: Millis,
@@ -133,7 +133,7 @@
 }
 
 impl Harness {
-    /// An agent that knows its worker and a leader, half a second into its second list.
+    /// Creates an agent that knows its worker and a leader, half a second into its second list.
     fn new() -> Harness {
         let mut harness = Harness::without_leader();
         harness.core.leader_up(TERM);
@@ -169,7 +169,7 @@
         self.tick();
     }
 
-    /// Another agent takes over, which knows nothing.
+    /// Replaces the agent with a new one that knows nothing.
     fn replace_agent(&mut self) {
         self.core = Core::new();
         self.pending_calls.clear();
@@ -211,7 +211,7 @@
         });
     }
 
-    /// Hands over the answers that are due; a list comes early if there is an end to tell.
+    /// Delivers the answers that are due. A list is answered early if there is an end to report.
     fn deliver(&mut self) {
         let due = |pending: &PendingCall, worker: &Worker| {
             let early = match &pending.call {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Time passes in steps of the clock.
+    /// Advances the time in steps of the clock.
     fn advance(&mut self, ms: Span) {
         let end = self.now + ms;
         while self.now < end {
@@ -251,7 +251,8 @@
         }
     }
 
-    /// Time passes until something is so; how long it took, at most `bound` and a step.
+    /// Advances the time until `what` holds. Returns how long it took, at most `bound` and one
+    /// step.
     fn advance_until(&mut self, bound: Span, what: fn(&Harness) -> bool) -> Span {
         let since = self.now;
         while !what(self) {
@@ -279,7 +280,7 @@
         self.order(Order { stops: vec![run(index)], ..Order::default() });
     }
 
-    /// Run 0 gets no answer, is given up and is reported as unstarted.
+    /// Orders run 0, whose start gets no answer, and waits until it is reported as unstarted.
     fn give_up_start(&mut self) {
         self.worker.ignore_starts = true;
         self.order_start(0);
@@ -287,7 +288,7 @@
         assert_eq!((self.starts.len(), self.stops.len()), (3, 1));
     }
 
-    /// The worker carries out an earlier start after all.
+    /// Makes the worker carry out an earlier start late.
     fn start_late(&mut self, index: u32) {
         self.worker.running.insert(run(index));
     }
@@ -302,11 +303,11 @@
 }
 
 #[test]
-fn start_that_was_given_up_and_came_late_is_told_with_the_list_that_shows_it() {
+fn late_start_after_giving_up_is_reported_with_the_list_that_shows_it() {
     let mut harness = Harness::new();
     harness.give_up_start();
     harness.order(Order { forget: vec![run(0)], ..Order::default() });
-    // The time between reports must not add to it, whenever the start comes.
+    // The time between reports must not add to the delay, whenever the start happens.
     for late_ms in [0, 300, 600, 900] {
         harness.advance(3_000 + late_ms);
         harness.start_late(0);
@@ -320,7 +321,7 @@
 }
 
 #[test]
-fn run_that_came_late_is_stopped_with_the_order() {
+fn run_that_started_late_is_stopped_with_the_order() {
     let mut harness = Harness::new();
     harness.give_up_start();
     harness.order(Order { forget: vec![run(0)], ..Order::default() });
@@ -336,18 +337,18 @@
 }
 
 #[test]
-fn run_that_came_late_is_stopped_though_control_has_not_heard_that_it_was_given_up() {
+fn run_that_started_late_is_stopped_before_control_hears_that_it_was_given_up() {
     let mut harness = Harness::new();
     harness.give_up_start();
     harness.start_late(0);
     harness.advance_until(REPORTED_WITHIN_MS, Harness::reports_run);
-    assert!(harness.last().unstarted.is_empty(), "it did start");
+    assert!(harness.last().unstarted.is_empty(), "the run has started");
     harness.order_stop(0);
     harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 2);
 }
 
 #[test]
-fn run_that_goes_on_after_its_confirmed_stop_is_stopped_again() {
+fn run_that_continues_after_its_confirmed_stop_is_stopped_again() {
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.advance(100);
@@ -368,13 +369,13 @@
 }
 
 #[test]
-fn stop_that_takes_its_time_is_called_once() {
+fn slow_stop_is_called_once() {
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.advance(100);
     harness.worker.runs_survive_stop = true;
     harness.order_stop(0);
-    // The list that is asked for after the stop shows the run still at its end.
+    // The list requested after the stop still shows the run at its end.
     harness.advance(200);
     harness.worker.end(run(0), How::Stopped);
     harness.advance(5_000);
@@ -383,22 +384,22 @@
 
 #[test]
 fn stop_does_not_wait_for_the_answer_to_a_start() {
-    // Both are on their way; the worker refuses a start that comes after the stop.
+    // Both calls are in flight. The worker refuses a start that arrives after the stop.
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.order_start(0);
     harness.advance(100);
     harness.order_stop(0);
     harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
-    // The start's missing answer changes nothing: it is not made again, and neither is the stop.
+    // The missing answer to the start has no effect: neither the start nor the stop is repeated.
     harness.advance(5_000);
     assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
     assert_eq!(harness.last().unstarted, [run(0)]);
 }
 
 #[test]
-fn missing_answer_to_a_start_does_not_bring_the_next_stop_forward() {
-    // The worker leaves both unanswered; each stop has its own time for an answer.
+fn missing_answer_to_a_start_does_not_advance_the_next_stop() {
+    // The worker answers neither call. Each stop has its own answer timeout.
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.worker.ignore_stops = true;
@@ -412,11 +413,11 @@
 }
 
 #[test]
-fn start_with_tries_left_is_not_made_again_once_it_should_stop() {
+fn start_with_attempts_left_is_not_repeated_after_an_order_to_stop() {
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.order_start(0);
-    // Its first call had no answer, and the next one is not due yet.
+    // The first call got no answer, and the next one is not due yet.
     harness.advance(900);
     harness.order_stop(0);
     harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
@@ -425,8 +426,8 @@
 }
 
 #[test]
-fn start_of_a_run_that_should_stop_comes_late_and_is_found() {
-    // Even if the worker carries it out after it confirmed the stop.
+fn late_start_of_a_run_that_should_stop_is_found() {
+    // This holds even if the worker carries out the start after it confirmed the stop.
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.order_start(0);
@@ -442,7 +443,7 @@
 }
 
 #[test]
-fn stop_without_an_answer_is_called_again_until_it_is_confirmed() {
+fn stop_without_an_answer_is_repeated_until_confirmed() {
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.advance(100);
@@ -458,8 +459,8 @@
 }
 
 #[test]
-fn stop_of_a_start_that_was_given_up_is_called_again_as_soon_as_any_other() {
-    // The worker leaves everything about the run unanswered.
+fn stop_of_a_start_that_was_given_up_is_repeated_as_soon_as_any_other() {
+    // The worker answers no call about the run.
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.worker.ignore_stops = true;
@@ -487,7 +488,7 @@
 }
 
 #[test]
-fn run_that_ends_by_itself_while_its_stop_has_no_answer_counts_as_it_ended() {
+fn run_that_ends_by_itself_while_its_stop_has_no_answer_keeps_its_outcome() {
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.advance(100);
@@ -503,7 +504,7 @@
 }
 
 #[test]
-fn fresh_agent_tells_of_a_run_that_was_there_and_stops_it() {
+fn new_agent_reports_an_existing_run_and_stops_it() {
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.order_start(0);
@@ -519,7 +520,7 @@
 }
 
 #[test]
-fn fresh_agent_tells_of_a_run_that_its_predecessor_started_and_that_comes_late() {
+fn new_agent_reports_a_late_run_that_its_predecessor_started() {
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.order_start(0);
@@ -540,7 +541,7 @@
 }
 
 #[test]
-fn fresh_agent_stops_a_run_that_it_has_never_heard_of_before_it_starts() {
+fn new_agent_stops_an_unknown_run_before_it_starts() {
     let mut harness = Harness::new();
     harness.worker.ignore_starts = true;
     harness.order_start(0);
@@ -555,13 +556,13 @@
 }
 
 #[test]
-fn without_a_leader_no_lease_goes_on_beyond_what_was_granted() {
+fn without_a_leader_no_lease_is_extended_beyond_the_granted_time() {
     let mut harness = Harness::new();
     harness.order_start(0);
     let granted = harness.clock_ms() + LEASE_MS;
     harness.advance(100);
     harness.start_late(1);
-    // No leader says anything any more; lists go on, and extend nothing.
+    // No leader sends anything any more. Lists continue and extend nothing.
     let lists = harness.lists;
     harness.advance(2 * LEASE_MS);
     assert!(harness.lists > lists + 10);
@@ -569,20 +570,20 @@
 }
 
 #[test]
-fn agent_that_knows_no_leader_extends_nothing() {
+fn agent_without_a_leader_extends_nothing() {
     let mut harness = Harness::without_leader();
     harness.start_late(0);
     harness.register(1);
     harness.advance(2 * LEASE_MS);
     assert_eq!((harness.lists, harness.worker.lease_end_ms), (0, 0));
-    // The first leader that it finds is told at once.
+    // The first leader that is found gets a report at once.
     harness.core.leader_up(TERM);
     harness.register(2);
     harness.advance_until(STEP_MS, Harness::reports_run);
 }
 
 #[test]
-fn agent_whose_token_is_refused_extends_nothing_and_tells_the_next_leader() {
+fn agent_with_a_refused_token_extends_nothing_and_reports_to_the_next_leader() {
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.advance(100);
@@ -600,7 +601,7 @@
 }
 
 #[test]
-fn lease_for_others_leaves_a_run_that_nobody_wants_alive_until_its_stop() {
+fn lease_extended_for_other_runs_keeps_an_unwanted_run_alive_until_its_stop() {
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.advance(100);
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An agent's core whose worker answers as the test says.
+//! The core of an agent, and a worker whose answers the test defines.
 #![allow(dead_code)]
 
 use pond_agent::{Answer, Call, Core, Observation, Output, Registration, Reply};
@@ -6,18 +6,18 @@
 use pond_proto::job::{How, RunName, TaskName};
 use pond_proto::{Millis, Size};
 
-pub const INCARNATION: &str = "life-1";
+pub const INCARNATION: &str = "incarnation-1";
 
 pub fn run(index: u32) -> RunName {
     RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
 }
 
-/// An agent with everything that it hands out.
+/// The core of an agent, with all its outputs.
 pub struct Harness {
     pub core: Core,
     pub now: Millis,
     pub calls: Vec<(u64, Call)>,
-    /// Calls to lives that have registered and not answered.
+    /// Calls to incarnations that have registered but not answered yet.
     pub claims: Vec<(String, u64, Call)>,
     /// Token of the last call.
     pub token: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Harness {
-    /// An agent that knows neither a leader nor a worker.
+    /// Creates an agent that knows neither a leader nor a worker.
     pub fn without_leader() -> Harness {
         Harness {
             core: Core::new(),
@@ -49,18 +49,18 @@
         harness
     }
 
-    /// A life registers and answers the call that asks whether it is there, if there is one.
+    /// Registers an incarnation and answers the call that this causes, if any.
     pub fn register(&mut self, incarnation: &str, draining: bool, sequence: u64) {
         self.claim(incarnation, draining, sequence);
         self.answer_claim(incarnation, Reply::Listed { runs: vec![], ends: vec![] });
     }
 
-    /// A registration comes of a worker whose id is the name of its life.
+    /// Registers a worker whose ID is the name of its incarnation.
     pub fn claim(&mut self, incarnation: &str, draining: bool, sequence: u64) {
         self.registration(incarnation, incarnation, draining, sequence);
     }
 
-    /// The same of the worker of that id.
+    /// Registers an incarnation of the worker with this ID.
     pub fn claim_as(&mut self, id: &str, incarnation: &str, sequence: u64) {
         self.registration(id, incarnation, false, sequence);
     }
@@ -113,7 +113,7 @@
         self.order(Order { lease_end_ms: 56_000, starts: vec![start], ..Order::default() });
     }
 
-    /// Starts a run for each watch; the worker confirms all of them.
+    /// Starts a run for each watch. The worker confirms all of them.
     pub fn run_all(&mut self, watches: Vec<Watch>) {
         let confirmed = watches.len();
         let start = |watch: Watch| StartOrder { run: watch.run, watch, ..StartOrder::default() };
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The worker lists the serving run 0 at work with that tail, and the filling runs 1 to `fillers`.
+    /// Lists the serving run 0 with this tail latency, and the best-effort runs 1 to `best_effort`.
     pub fn list_tail(&mut self, tail_ms: u32, best_effort: u32) {
         let row = |index: u32, percent: u32, figure: u32| RunRow {
             run: run(index),
@@ -137,7 +137,7 @@
         self.answer(is_list, Reply::Listed { runs, ends: vec![] });
     }
 
-    /// The worker does as told about paces; the paces by the index of the run.
+    /// Confirms all pace calls and returns the paces by the index of the run.
     pub fn confirm_paces(&mut self) -> Vec<(u32, u32)> {
         let mut paces = Vec::new();
         while self.count(is_pace) > 0 {
@@ -150,12 +150,12 @@
         paces
     }
 
-    /// Answers the oldest call of that kind that was not answered yet.
+    /// Answers the oldest unanswered call of this kind.
     pub fn answer(&mut self, wanted: fn(&Call) -> bool, reply: Reply) {
         self.answer_as(INCARNATION, wanted, reply);
     }
 
-    /// The same with a call to that life.
+    /// The same for a call to this incarnation.
     pub fn answer_as(&mut self, incarnation: &str, wanted: fn(&Call) -> bool, reply: Reply) {
         let found = self.calls.iter().position(|(_, call)| wanted(call)).expect("no such call");
         let (list_id, call) = self.calls.remove(found);
@@ -164,7 +164,7 @@
         self.tick();
     }
 
-    /// Answers the call that asks a life whether it is there.
+    /// Answers the call to an incarnation that has only registered.
     pub fn answer_claim(&mut self, incarnation: &str, reply: Reply) {
         let Some(found) = self.claims.iter().position(|(claim, ..)| claim == incarnation) else {
             return;
@@ -188,7 +188,7 @@
         self.answer(is_list, Reply::Listed { runs, ends });
     }
 
-    /// Answers all lists that were asked for, and those that this brings about.
+    /// Answers all requested lists, and those requested as a result.
     pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
         while self.count(is_list) > 0 {
             self.list(running, ended);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The list that is asked for waits for an end.
+    /// Returns whether a list that waits for an end is in flight.
     fn list_waits(&self) -> bool {
         self.calls
             .iter()
@@ -214,9 +214,9 @@
         self.calls.iter().filter(|(_, call)| wanted(call)).count()
     }
 
-    /// The newest report that a life is over.
+    /// Returns the newest report that an incarnation has ended.
     pub fn gone(&self) -> &Report {
-        self.reports.iter().rev().find(|report| report.gone).expect("no life is over")
+        self.reports.iter().rev().find(|report| report.gone).expect("no incarnation has ended")
     }
 
     pub fn last(&self) -> &Report {
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -1,7 +1,7 @@
-//! How long a run may stand between its order and the word that it runs, has ended or never started.
+//! Time from the order of a run until it is reported as running, ended or never started.
 //!
-//! The worker answers as each test says, or not at all; then the call comes back without an answer
-//! after its own patience. Times are of the injected clock.
+//! The worker answers as each test defines, or not at all. The call then fails after its own
+//! timeout. All times are of the simulated clock.
 
 mod support;
 
@@ -11,14 +11,14 @@
 use pond_proto::{Millis, Size, Span};
 use support::{Harness, INCARNATION, is_list, is_stop, run};
 
-/// Step of the injected clock, in milliseconds.
+/// Step of the simulated clock, in milliseconds.
 const STEP_MS: Span = 10;
 
-/// By how much the clock of a worker whose lists cannot be read may go on, in milliseconds: the agent's six
-/// seconds, a list that was on its way, and the age of the clock that was known before.
+/// How far the clock of a worker with unreadable lists may advance, in milliseconds: the agent's 6
+/// s, a list in flight, and the age of the last known clock.
 const MAX_CLOCK_ADVANCE_MS: Span = 6_000 + 2 * 1_050;
 
-/// A call that the worker has not answered yet: when and how it will.
+/// A call that the worker has not answered yet, with its answer and the time of it.
 struct Pending {
     at: Millis,
     list_id: u64,
@@ -26,16 +26,16 @@
     answer: Answer,
 }
 
-/// An agent and a worker, call by call.
+/// An agent and a simulated worker.
 struct Simulation {
     harness: Harness,
     pending: Vec<Pending>,
     began: Millis,
-    /// When stops were asked for.
+    /// Times of the stop calls.
     stops: Vec<Millis>,
 }
 
-/// Answers at once.
+/// Answers with `reply` at once.
 fn reply_with(reply: Reply) -> Option<Reply> {
     Some(reply)
 }
@@ -45,7 +45,7 @@
 }
 
 impl Simulation {
-    /// An agent that has just been told to start run 0.
+    /// Creates an agent that has just been ordered to start run 0.
     fn new() -> Simulation {
         let mut harness = Harness::new();
         harness.start(0);
@@ -57,7 +57,8 @@
         self.harness.now.since(self.began)
     }
 
-    /// Lets time pass until `until` holds; how long it took. None is an answer that never comes.
+    /// Advances the time until `until` holds, and returns how long it took. If `worker` returns
+    /// None, the call is never answered.
     fn advance_until(
         &mut self,
         longest: Span,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The worker registers again, with a clock that goes on.
+    /// Repeats the worker's registration with a later clock.
     fn register_again(&mut self) {
         let registration = Registration {
             id: INCARNATION.to_owned(),
@@ -138,12 +139,12 @@
         _ => empty_list(),
     };
     let took = Simulation::new().advance_until(10_000, worker, unstarted);
-    // Three calls of 800 ms each, with 200 and 400 ms between.
+    // Three calls of 800 ms each, with 200 ms and 400 ms in between.
     assert!(took.is_some_and(|took| (3_000..=3_050).contains(&took)), "{took:?}");
 }
 
 #[test]
-fn start_that_an_unwell_worker_refuses_is_given_up_within_a_second() {
+fn start_refused_by_an_unhealthy_worker_is_given_up_within_a_second() {
     let worker = |_: Span, call: &Call| match call {
         Call::Start { .. } => reply_with(Reply::Refused(Refusal::Unwell)),
         Call::Stop { .. } => reply_with(Reply::Done),
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn start_that_is_refused_for_room_is_given_up_at_once() {
+fn start_refused_for_lack_of_capacity_is_given_up_at_once() {
     let worker = |_: Span, call: &Call| match call {
         Call::Start { .. } => reply_with(Reply::Refused(Refusal::NoRoom)),
         Call::Stop { .. } => reply_with(Reply::Done),
@@ -165,8 +166,8 @@
 }
 
 #[test]
-fn worker_that_answers_again_has_its_unanswered_start_given_up_soon() {
-    // Dark for some time, whatever the time is, then well again.
+fn unanswered_start_is_given_up_soon_after_the_worker_answers_again() {
+    // The worker answers nothing for some time, and everything after that.
     let mut worst = 0;
     for outage_ms in (0..12_000).step_by(90) {
         let worker = move |since: Span, call: &Call| match call {
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn lists_that_hang_after_a_confirmed_stop_only_delay_the_word() {
+fn lists_that_hang_after_a_confirmed_stop_only_delay_the_report() {
     let mut worst = 0;
     for hang_end in (3_000..9_000).step_by(130) {
         let worker = move |since: Span, call: &Call| match call {
@@ -197,20 +198,21 @@
             Simulation::new().advance_until(60_000, worker, unstarted).expect("never given up");
         worst = worst.max(took.saturating_sub(hang_end));
     }
-    // A list of 1,800 ms and a wait of 1,600 ms, then one that waits a second.
+    // A list of 1,800 ms and a wait of 1,600 ms, then one that waits for 1 s.
     assert!(worst <= 4_500, "{worst} ms");
 }
 
 #[test]
 fn start_without_answer_is_never_given_up_without_a_confirmed_stop() {
-    // It may still be carried out. Only the end of the lease, which control knows, bounds this.
+    // The start may still be carried out. Only the end of the lease, which control knows, limits
+    // this.
     let worker = |_: Span, call: &Call| match call {
         Call::Start { .. } | Call::Stop { .. } => None,
         _ => empty_list(),
     };
     let mut simulation = Simulation::new();
     assert_eq!(simulation.advance_until(60_000, worker, unstarted), None);
-    // It is asked for again for as long: a call of 800 ms, then a wait of 1,600 ms.
+    // The stop is repeated all the time: a call of 800 ms, then a wait of 1,600 ms.
     let gaps: Vec<Span> = simulation.stops.windows(2).map(|pair| pair[1].since(pair[0])).collect();
     assert!(gaps.len() >= 20 && gaps.iter().all(|gap| *gap <= 2_450), "{gaps:?}");
 }
@@ -229,11 +231,11 @@
 }
 
 #[test]
-fn lease_does_not_go_on_with_registrations_while_lists_cannot_be_read() {
-    // What is seen: a worker registers again and again, and its lists do not come. Its runs count as
-    // placed for ever, as its clock, by which control counts the lease, goes on with each
-    // registration; no list extends the lease, so the runs have long lapsed. Cause: the agent reports
-    // the newest clock whatever brought it.
+fn registrations_do_not_extend_the_lease_while_lists_cannot_be_read() {
+    // Guards against runs that count as placed forever at a worker that registers regularly but
+    // returns no lists. Control counts the lease by the worker's clock. If the agent reports the
+    // newest clock whatever message contained it, each registration advances the clock, although no
+    // list extends the lease and the runs expired long ago.
     let mut simulation = Simulation::new();
     let well = |_: Span, call: &Call| match call {
         Call::List { .. } => reply_with(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
@@ -254,7 +256,7 @@
 }
 
 #[test]
-fn lease_does_not_go_on_with_answers_that_hold_no_lists() {
+fn answers_without_lists_do_not_extend_the_lease() {
     let mut simulation = Simulation::new();
     let well = |_: Span, call: &Call| match call {
         Call::List { .. } => reply_with(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
@@ -272,29 +274,29 @@
 }
 
 #[test]
-fn life_that_only_registers_does_not_count_as_answering() {
-    // What is seen: a life that has never answered a call is taken for one that does for 3.5 s, and
-    // gets runs that cannot start there. Cause: the time of the last list is set when the life is
-    // believed, though there was no list.
+fn incarnation_that_only_registers_does_not_count_as_responsive() {
+    // Guards against an incarnation that counts as responsive for 3.5 s without ever having
+    // answered a call, and gets runs that cannot start there. This happens if adopting an
+    // incarnation sets the time of its last list although there was none.
     let mut harness = Harness::new();
-    harness.claim("life-2", false, 1);
-    harness.answer_claim("life-2", Reply::Unknown);
+    harness.claim("incarnation-2", false, 1);
+    harness.answer_claim("incarnation-2", Reply::Unknown);
     for sequence in 2..6 {
         harness.advance(1_100);
-        harness.claim("life-2", false, sequence);
-        harness.answer_claim("life-2", Reply::Unknown);
+        harness.claim("incarnation-2", false, sequence);
+        harness.answer_claim("incarnation-2", Reply::Unknown);
     }
     harness.advance(1_000);
     let report = harness.last();
-    assert_eq!((report.worker.as_str(), report.answers), ("life-2", false));
+    assert_eq!((report.worker.as_str(), report.answers), ("incarnation-2", false));
 }
 
 #[test]
-fn run_that_a_newer_list_lacks_without_an_end_is_forgotten() {
-    // What is seen: a run that is on no list any more is reported for ever, as far as it was; control
-    // stops it each second and counts it among what runs beside others. Cause: only a listed end
-    // takes away a run that was listed once, and a list that comes late brings one back whose end is
-    // settled already.
+fn run_missing_from_a_newer_list_without_an_end_is_forgotten() {
+    // Guards against a run that is on no list any more but is reported forever. Control would stop
+    // it every second and count it among the co-located runs. This happens if only a listed end
+    // removes a run that was listed once: a late list brings back a run whose end is already
+    // committed.
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
@@ -322,7 +324,7 @@
 }
 
 #[test]
-fn run_that_an_older_list_lacks_stays() {
+fn run_missing_from_an_older_list_is_kept() {
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
@@ -341,8 +343,8 @@
 }
 
 #[test]
-fn run_that_a_list_with_unsettled_ends_lacks_stays() {
-    // A list holds so many ends at once; that of this run may be among the rest.
+fn run_missing_from_a_list_with_uncommitted_ends_is_kept() {
+    // A list contains a limited number of ends. The end of this run may be among the rest.
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -1,7 +1,7 @@
-//! One link to the control replica that leads, found through any replica.
+//! Link to the leading control replica, which is found through any replica.
 //!
-//! A process starts from a few addresses. Each replica tells who leads and where all replicas are; see
-//! [`Search`] for how the leader is found, and found again.
+//! A process starts from a few addresses. Each replica names the leader and the addresses of all
+//! replicas. [`Search`] decides how the leader is found, and found again after a loss.
 
 mod search;
 
@@ -19,31 +19,32 @@
 
 pub use search::{Output, Search};
 
-/// Time between heartbeats on a link to control, so that silence is noticed within a second.
+/// Time between heartbeats on a link to control. Silence is noticed within a second.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Silence after which a link to control is lost: three heartbeats.
+/// Silence after which a link to control counts as lost: three heartbeats.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What the owner of the link is told.
+/// A notification for the owner of the link.
 #[derive(Debug)]
 pub enum Notification {
-    /// The link leads to the leader now, or the leader says something new about itself.
+    /// A link to the leader was established, or the leader sent new information about itself.
     Leader {
-        /// Its term.
+        /// The leader's term.
         term: u64,
-        /// Whether it holds a configuration.
+        /// Whether the leader has a configuration.
         configured: bool,
-        /// Whether the link was elsewhere before; then the leader knows nothing of this process.
+        /// Whether the leader was on another link before or on none. It then knows nothing about
+        /// this process.
         new: bool,
     },
     /// There is no link to a leader any more.
     Lost,
-    /// The leader sent this.
+    /// A message from the leader.
     Frame(Body),
 }
 
-/// The link.
+/// The link of a process to the leading control replica.
 pub struct Uplink {
     search: Search,
     /// Links that are open or being opened.
@@ -60,7 +61,7 @@
 }
 
 impl Uplink {
-    /// Starts to look for the leader, on the current runtime.
+    /// Starts to search for the leader on the current runtime.
     pub fn start(
         addresses: Vec<String>,
         terms: Terms,
@@ -75,23 +76,23 @@
         uplink
     }
 
-    /// Whether there is a link to a leader.
+    /// Returns whether there is a link to a leader.
     pub fn has_leader(&self) -> bool {
         self.search.leader().is_some()
     }
 
-    /// Further addresses of replicas, as from changed settings.
+    /// Adds addresses of replicas, such as those in changed settings.
     pub fn add_addresses(&mut self, addresses: &[String]) {
         self.search.add_addresses(addresses);
     }
 
-    /// Sends to the leader; false if there is none or its link is full.
+    /// Sends a message to the leader. Returns false if there is no leader or its link is full.
     pub fn send(&self, body: Body) -> bool {
         let link = self.search.leader().and_then(|leader| self.links.get(&leader));
         link.and_then(|link| link.sender.as_ref()).is_some_and(|sender| sender.send(body))
     }
 
-    /// Takes in an event of a link.
+    /// Handles an event of a link.
     pub fn event(&mut self, now: Millis, event: Event) -> Option<Notification> {
         let leader = self.search.leader();
         let link = event.link;
@@ -114,13 +115,13 @@
         notification
     }
 
-    /// Goes on with the search when it is time.
+    /// Continues the search if it is due.
     pub fn tick(&mut self, now: Millis) {
         self.search.tick(now);
         self.execute();
     }
 
-    /// When [`Uplink::tick`] has something to do.
+    /// Returns when [`Uplink::tick`] is due.
     pub fn due(&self) -> Option<Millis> {
         self.search.due()
     }
@@ -180,7 +181,7 @@
 
     fn dial(&mut self, link: LinkKey, address: &str) {
         let Ok(parsed) = address.parse() else {
-            event!(self.log, LINK_REFUSED, "why" => format!("{address} is no address"));
+            event!(self.log, LINK_REFUSED, "why" => format!("invalid address: {address}"));
             return;
         };
         let task = tokio::spawn(dial(parsed, link, self.terms.clone(), self.events.clone()));
--- a/crates/pond-uplink/src/search.rs
+++ b/crates/pond-uplink/src/search.rs
@@ -1,11 +1,13 @@
-//! The search for the replica that leads: whom to ask, when, how many at once, and what to believe.
+//! Search for the leading replica: which replicas to dial, when, how many at once, and which
+//! replies to trust.
 //!
-//! Replicas that do not lead are asked too, and stay linked while the search goes on: each of them
-//! tells at once when it hears of a leader, so a new leader is found within some round trips of its
-//! election. Several are asked at once, as those that were cut off with the former leader know
-//! nothing.
+//! Replicas that do not lead are dialled too, and their links stay open during the search. Each of
+//! them reports a new leader as soon as it hears of it, so a new leader is found within a few round
+//! trips of its election. Several replicas are dialled at once, because those that were cut off
+//! together with the previous leader know nothing.
 //!
-//! Pure: time and events go in, dials and closes come out.
+//! The search does no I/O: it takes the time and link events, and returns links to dial and to
+//! close.
 
 use std::collections::BTreeMap;
 
@@ -15,65 +17,66 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Replicas that are asked at once when a leader is lost: with any minority cut off, three drawn
-/// at random are all in it less than one time in eight.
+/// Number of replicas that are dialled at once when a leader is lost. With any minority cut off,
+/// three random replicas all belong to it with a probability below 1/8.
 const PARALLEL_DIALS: usize = 3;
 
-/// Links that are held while there is no leader: those that are asked at once, one to a leader that
-/// leads no more, and one so that another replica can be asked while these hang.
+/// Maximum number of links while there is no leader: those that are dialled at once, one to a
+/// previous leader, and one for another replica while the others hang.
 const MAX_LINKS: usize = PARALLEL_DIALS + 2;
 
-/// The first wait before one more replica is asked, in milliseconds: a dial and the answer take a
-/// few, so whoever has not answered by then is slow, cut off or gone.
+/// First wait before one more replica is dialled, in milliseconds. A dial and its answer take a few
+/// milliseconds, so a replica that has not answered by then is slow, cut off or gone.
 const FIRST_DIAL_WAIT_MS: Span = 60;
 
-/// The longest wait before one more replica is asked, in milliseconds. It bounds the dials of a
-/// process that finds nobody to five a second.
+/// Longest wait before one more replica is dialled, in milliseconds. It limits a process that finds
+/// no replica to five dials per second.
 const MAX_DIAL_WAIT_MS: Span = 400;
 
-/// A link that has led to no leader for this long makes room for another replica, in milliseconds:
-/// about an election.
+/// A link that has led to no leader for this long may be closed in favour of another replica, in
+/// milliseconds. This is about the time of an election.
 const LEADERLESS_MS: Span = 600;
 
-/// Processes that hear of a new leader dial it within this time, in milliseconds, each at a moment of its
-/// own. All at once they would overflow what its system queues: of 291 dials within 10 ms, while it saved
-/// a snapshot, 125 were answered only when they were given up after 0.8 s.
+/// Each process dials a new leader after a random delay up to this, in milliseconds. Simultaneous
+/// dials would overflow the leader's accept queue: of 291 dials within 10 ms, while the leader
+/// wrote a snapshot, 125 timed out after 0.8 s.
 const LEADER_DIAL_SPREAD_MS: Span = 100;
 
-/// The replica that others name is dialled anew if the link is not open after this time, in milliseconds:
-/// far more than a dial takes, far less than links wait in silence.
+/// Time after which the replica named as the leader is dialled again if the link is not open, in
+/// milliseconds. This is much longer than a dial takes and much shorter than the silence timeout of
+/// links.
 const LEADER_REDIAL_MS: Span = 250;
 
-/// What the owner of the links does.
+/// An action for the owner of the links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Open a link.
     Dial {
-        /// Its key.
+        /// Key of the link.
         link: LinkKey,
-        /// The replica's address.
+        /// Address of the replica.
         address: String,
     },
-    /// Close a link, or give up to open it.
+    /// Close a link or stop opening it.
     Close(LinkKey),
 }
 
-/// A replica that may be asked.
+/// A known replica.
 #[derive(Debug)]
 struct Replica {
     address: String,
     /// When it was last dialled.
     dialled: Option<Millis>,
-    /// The last dial came to nothing.
+    /// Whether the last dial failed.
     failed: bool,
-    /// The last word on the lead named it among the replicas.
+    /// Whether the latest message about the leader listed this replica.
     listed: bool,
 }
 
 impl Replica {
-    /// Who is asked first: replicas that others name as such, then any other address, then those
-    /// that could not be reached when they were last asked; among equals the one that was not asked
-    /// for longest.
+    /// Returns the rank of the replica in the order of dialling: listed replicas first, then other
+    /// addresses, then those whose last dial failed. Among equals, the one dialled least recently
+    /// comes first.
     fn rank(&self) -> (bool, bool, Option<Millis>) {
         (self.failed, !self.failed && !self.listed, self.dialled)
     }
@@ -82,35 +85,35 @@
 /// A link that is open or being opened.
 #[derive(Debug)]
 struct Link {
-    /// The place among the replicas.
+    /// Index of the replica.
     replica: usize,
     since: Millis,
     up: bool,
-    /// The term that the replica told last.
+    /// The latest term that the replica reported.
     term: u64,
 }
 
-/// A replica that others take for the leader.
+/// A replica that others name as the leader.
 #[derive(Clone, Copy, Debug)]
 struct NamedLeader {
-    /// The place among the replicas.
+    /// Index of the replica.
     replica: usize,
     /// When it is dialled, or dialled again.
     due: Millis,
 }
 
-/// The search.
+/// State of the search.
 #[derive(Debug)]
 pub struct Search {
     replicas: Vec<Replica>,
     links: BTreeMap<LinkKey, Link>,
     leader: Option<LinkKey>,
-    /// The highest term that any replica told of.
+    /// The highest term that any replica reported.
     term: u64,
-    /// The replica that leads in that term, as others say.
+    /// The leader of that term, as named by other replicas.
     named: Option<NamedLeader>,
     last_link: LinkKey,
-    /// When one more replica is asked.
+    /// When one more replica is dialled.
     due: Millis,
     wait_ms: Span,
     rng: SmallRng,
@@ -118,7 +121,7 @@
 }
 
 impl Search {
-    /// Starts to look. The seed spreads the processes over the replicas.
+    /// Starts a search. The seed spreads the processes over the replicas.
     pub fn new(addresses: Vec<String>, seed: u64, now: Millis) -> Search {
         let mut search = Search {
             replicas: Vec::new(),
@@ -137,17 +140,17 @@
         search
     }
 
-    /// The link to the leader.
+    /// Returns the link to the leader.
     pub fn leader(&self) -> Option<LinkKey> {
         self.leader
     }
 
-    /// The address of the replica at the other end of a link.
+    /// Returns the address of the replica at the other end of a link.
     pub fn address(&self, link: LinkKey) -> &str {
         self.links.get(&link).map_or("", |found| &self.replicas[found.replica].address)
     }
 
-    /// Further addresses of replicas.
+    /// Adds addresses of replicas.
     pub fn add_addresses(&mut self, addresses: &[String]) {
         for address in addresses {
             if !self.replicas.iter().any(|known| known.address == *address) {
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Another replica says which ones there are.
+    /// Records which replicas exist according to another replica.
     fn update_listed(&mut self, addresses: &[String]) {
         self.add_addresses(addresses);
         for replica in &mut self.replicas {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// A link is open.
+    /// Records that a link is open.
     pub fn link_up(&mut self, now: Millis, link: LinkKey) {
         if let Some(found) = self.links.get_mut(&link) {
             found.up = true;
@@ -175,8 +178,8 @@
         }
     }
 
-    /// A link is lost or could not be opened. If only the link to the leader is lost, the others
-    /// still name it, so it is asked again within some milliseconds.
+    /// Records that a link was lost or could not be opened. If only the link to the leader was
+    /// lost, the other replicas still name it, so it is dialled again within a few milliseconds.
     pub fn link_down(&mut self, now: Millis, link: LinkKey) {
         let Some(lost) = self.links.remove(&link) else { return };
         self.replicas[lost.replica].failed = !lost.up;
@@ -187,7 +190,7 @@
         }
     }
 
-    /// What a replica says of the lead.
+    /// Handles a replica's message about the leader.
     pub fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) {
         let Some(found) = self.links.get_mut(&link) else { return };
         found.term = lead.term;
@@ -198,13 +201,14 @@
             return;
         }
         if self.leader == Some(link) {
-            // It may still be the first to tell of the next one, so its link stays.
+            // The link stays open, as this replica may be the first to report the next leader.
             self.leader = None;
             self.dial_until(now, PARALLEL_DIALS + 1);
         }
     }
 
-    /// The highest term is believed: who is cut off goes on naming a former leader.
+    /// Updates the named leader from the highest term. Replicas that are cut off continue to name a
+    /// previous leader.
     fn update_named(&mut self, now: Millis, lead: &Lead) {
         if lead.term > self.term {
             self.term = lead.term;
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Asks one more replica when it is time.
+    /// Dials one more replica if it is due.
     pub fn tick(&mut self, now: Millis) {
         if self.leader.is_some() {
             return;
@@ -236,14 +240,14 @@
         }
     }
 
-    /// When [`Search::tick`] has something to do.
+    /// Returns when [`Search::tick`] is due.
     pub fn due(&self) -> Option<Millis> {
         let named = self.named.map(|named| named.due);
         let due = named.map_or(self.due, |named| named.min(self.due));
         self.leader.is_none().then_some(due)
     }
 
-    /// What must be done, in order.
+    /// Returns the pending actions in order.
     pub fn outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -257,21 +261,21 @@
         }
     }
 
-    /// Asks replicas until so many links are held.
+    /// Dials replicas until there are `count` links.
     fn dial_until(&mut self, now: Millis, count: usize) {
         self.wait_ms = FIRST_DIAL_WAIT_MS;
         while self.links.len() < count && self.dial_next(now) {}
         self.schedule_next(now);
     }
 
-    /// Sets when one more is asked. Processes that lost the same leader spread out.
+    /// Schedules the next dial. The random delay spreads processes that lost the same leader.
     fn schedule_next(&mut self, now: Millis) {
         self.due = now + self.rng.random_range(self.wait_ms / 2..=self.wait_ms);
         self.wait_ms = (self.wait_ms * 2).min(MAX_DIAL_WAIT_MS);
     }
 
-    /// Asks the replica that comes first, one of several by chance; false if there is none to ask or no
-    /// room.
+    /// Dials the replica with the lowest rank, chosen at random among equals. Returns false if
+    /// there is no such replica or no link is free.
     fn dial_next(&mut self, now: Millis) -> bool {
         let is_linked = |index: &usize| self.links.values().any(|found| found.replica == *index);
         let free: Vec<usize> = (0..self.replicas.len()).filter(|index| !is_linked(index)).collect();
@@ -288,8 +292,8 @@
         true
     }
 
-    /// Asks the replica that others take for the leader, again if it did not answer. While a link to it
-    /// is open it tells of itself.
+    /// Dials the replica that others name as the leader, again if it did not answer. If a link to
+    /// it is open, the replica itself reports whether it leads.
     fn dial_named(&mut self, now: Millis, replica: usize) {
         let since = self.replicas[replica].dialled.unwrap_or_default();
         let found = self.links.iter().find(|(_, found)| found.replica == replica);
@@ -306,14 +310,16 @@
         self.dial(now, replica);
     }
 
-    /// Whether one more link may be held, if need be in the place of one that leads nowhere.
+    /// Returns whether one more link may be opened, if necessary after closing one that led
+    /// nowhere.
     fn make_room(&mut self, now: Millis) -> bool {
         self.links.len() < MAX_LINKS || self.close_least_useful(now, LEADERLESS_MS)
     }
 
-    /// Closes a link: one that should be open by now, unless it is to the replica that others name, or else
-    /// one to a replica that knows less than others, or else one that has led to no leader for that
-    /// long; the oldest of its sort.
+    /// Closes one link and returns whether there was one to close. Links that should be open by now
+    /// come first, except the one to the named leader. Then follow links to replicas whose term is
+    /// out of date, and links that have led to no leader for `leaderless_ms`. The oldest of each
+    /// kind is closed first.
     fn close_least_useful(&mut self, now: Millis, leaderless_ms: Span) -> bool {
         let named = |found: &Link| self.named.is_some_and(|named| named.replica == found.replica);
         let useless = |found: &Link| match found.up {
--- a/crates/pond-uplink/tests/search.rs
+++ b/crates/pond-uplink/tests/search.rs
@@ -1,6 +1,6 @@
-//! How soon processes are linked to a new leader, and how much they dial for it, in virtual time: 3
-//! to 25 replicas, minorities that are cut off with the leader, restarts of all, machines that are gone,
-//! addresses of former replicas, processes that know one replica only.
+//! Time until processes are linked to a new leader, and the number of dials, in virtual time: with
+//! 3 to 25 replicas, minorities cut off with the leader, restarts of all replicas, machines that
+//! are gone, addresses of previous replicas, and processes that know only one replica.
 
 mod simulation;
 
@@ -12,22 +12,22 @@
 
 use simulation::{Outcome, Scenario, Simulation};
 
-/// Share of the processes that must be linked, in percent.
+/// Minimum share of processes that are linked in time, in percent.
 const MIN_LINKED_PERCENT: usize = 95;
 
-/// Within this time after its election, in milliseconds: what is needed after the loss of a link has
-/// been noticed is a dial and an answer; the rest is for processes whose first questions went to the
-/// wrong replicas, and for those that notice the loss later than replicas elect.
+/// Time after the election within which they are linked, in milliseconds. Once the loss of a link
+/// has been noticed, a dial and an answer are needed. The rest is for processes that dialled the
+/// wrong replicas first, and for those that notice the loss later than the replicas elect.
 const LINKED_WITHIN_MS: Span = 350;
 
-/// Dials that a process makes within any second at most: three at once, three to eight that follow
-/// more and more slowly, and those to replicas that others name.
+/// Maximum number of dials of a process within any second: three at once, three to eight at
+/// increasing intervals, and those to replicas that others name.
 const MAX_DIALS: usize = 16;
 
-/// Dials of a process that has found nobody for two seconds, within any second.
+/// Maximum number of dials within any second for a process that has found no leader for 2 s.
 const MAX_LATE_DIALS: usize = 6;
 
-/// Within this time after it hears of a leader a process dials it, in milliseconds.
+/// Time within which a process dials a leader that it has heard of, in milliseconds.
 const SPREAD_MS: Span = 100;
 
 fn check(scenario: Scenario) {
@@ -42,7 +42,10 @@
             scenario.processes
         );
         assert!(dials <= MAX_DIALS, "{dials} dials in a second: {scenario:?}");
-        assert!(late_dials <= MAX_LATE_DIALS, "{late_dials} dials in a late second: {scenario:?}");
+        assert!(
+            late_dials <= MAX_LATE_DIALS,
+            "{late_dials} dials in a second after 2 s: {scenario:?}"
+        );
     }
 }
 
@@ -82,26 +85,26 @@
 }
 
 #[test]
-fn twelve_hundred_processes_that_look_at_once_dial_each_replica_a_few_hundred_times() {
+fn twelve_hundred_processes_that_search_at_once_stay_within_the_limit_of_dials() {
     let scenario = Scenario { replicas: 9, cut: 4, processes: 1_200, ..Scenario::default() };
     check(scenario);
 }
 
 #[test]
-fn link_that_breaks_alone_is_made_again_while_the_leader_stays() {
+fn broken_link_is_restored_while_the_leader_stays() {
     for replicas in [1, 3, 9] {
         check(Scenario { replicas, reset: true, ..Scenario::default() });
     }
 }
 
 #[test]
-fn dial_to_the_new_leader_is_not_given_up_for_the_next_question() {
+fn dial_to_the_new_leader_is_not_given_up_for_the_next_dial() {
     let addresses: Vec<String> = (1..=9).map(|host| format!("10.0.0.{host}:80")).collect();
     for seed in 0..50 {
         let mut search = Search::new(addresses.clone(), seed, Millis(0));
         let knows_nobody = Lead { term: 1, ..Lead::default() };
         let mut now = Millis(0);
-        // All that are asked answer, and none knows a leader.
+        // All dialled replicas answer, and none knows a leader.
         let mut open = BTreeMap::new();
         let mut dialled = BTreeMap::new();
         loop {
@@ -119,17 +122,17 @@
             if now >= Millis(1_000) {
                 break;
             }
-            now = search.due().expect("it looks");
+            now = search.due().expect("the search goes on");
             search.tick(now);
         }
         let held = |address: &&String| open.values().any(|other| other == *address);
         let mut others = addresses.iter().filter(|address| !held(address));
         let leader = others
             .find(|address| dialled.get(*address).is_none_or(|at| now.since(*at) > 250))
-            .expect("another");
-        let teller = open.keys().next().expect("a link");
-        // It hears of the leader just before it would ask one more replica anyway.
-        let due = search.due().expect("it looks");
+            .expect("a replica that was not dialled recently");
+        let teller = open.keys().next().expect("no open link");
+        // It hears of the leader just before it would dial another replica.
+        let due = search.due().expect("the search goes on");
         let before = Millis(due.0 - 2).max(now);
         search.handle_lead(
             before,
@@ -137,15 +140,15 @@
             &Lead { term: 2, leader: leader.clone(), ..Lead::default() },
         );
         let mut outputs = Vec::new();
-        while search.due().expect("it looks") <= before + SPREAD_MS {
-            search.tick(search.due().expect("it looks"));
+        while search.due().expect("the search goes on") <= before + SPREAD_MS {
+            search.tick(search.due().expect("the search goes on"));
             outputs.extend(search.outputs());
         }
         let dial = outputs.iter().find_map(|output| match output {
             Output::Dial { link, address } if address == leader => Some(*link),
             _ => None,
         });
-        let dial = dial.expect("the leader is dialled");
+        let dial = dial.expect("the leader was not dialled");
         assert!(!outputs.contains(&Output::Close(dial)), "seed {seed}: {outputs:?}");
     }
 }
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -1,5 +1,5 @@
-//! The link to control when open connections fall silent for good, without a reset, while new ones
-//! work.
+//! The link to control when open connections become silent forever without a reset, while new
+//! connections work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,30 +15,30 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Within this time the loss must be noticed, a leader found again and what is sent again be there.
-/// Where control goes on being heard, it notices first and falls silent itself: two silences of
-/// 0.8 s and the dials; the rest is for a busy machine.
+/// Time limit to notice the loss, find a leader again and deliver what is sent again. If control
+/// still receives data, it notices first and becomes silent itself. This takes two silence timeouts
+/// of 0.8 s and the dials. The rest is for a busy machine.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
 
-/// Time between looks at the uplink, as its owners have it.
+/// Time between two ticks of the uplink, the same as in its owners.
 const TICK: Duration = Duration::from_millis(250);
 
-/// Events that may wait; the tests make a few.
+/// Capacity of the event queues. The tests cause only a few events.
 const QUEUE_LEN: usize = 64;
 
-/// A replica of control, reduced to its links.
+/// A control replica, reduced to its links.
 struct Replica {
     address: SocketAddr,
     events: mpsc::Receiver<Event>,
-    /// What it tells each process of the lead.
+    /// What it reports about the leader to each process.
     lead: Lead,
     clients: Vec<(LinkKey, Sender)>,
 }
 
 impl Replica {
     async fn start(lead: Lead) -> Replica {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot listen");
+        let address = listener.local_addr().expect("no local address");
         let (sender, events) = mpsc::channel(QUEUE_LEN);
         let terms = Terms::new(Role::Control, "control", "here", Life(1))
             .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
@@ -46,24 +46,25 @@
         Replica { address, events, lead, clients: Vec::new() }
     }
 
-    /// Takes links in until an ask comes; its link and its ticket.
+    /// Accepts links until a request arrives. Returns its link and its ticket.
     async fn asked(&mut self) -> (LinkKey, u64) {
         loop {
-            let Event { link, kind } = self.events.recv().await.expect("an event");
+            let Event { link, kind } = self.events.recv().await.expect("events closed");
             match kind {
                 EventKind::Up { sender, .. } => {
                     assert!(sender.send(Body::Lead(self.lead.clone())));
                     self.clients.push((link, sender));
                 }
                 EventKind::Frame(Body::Ask(ask)) => return (link, ask.ticket),
-                EventKind::Frame(other) => panic!("no ask: {other:?}"),
+                EventKind::Frame(other) => panic!("not a request: {other:?}"),
                 EventKind::Down(_) => self.clients.retain(|(other, _)| *other != link),
             }
         }
     }
 
     fn tell(&self, link: LinkKey, ticket: u64) {
-        let (_, sender) = self.clients.iter().find(|(other, _)| *other == link).expect("a guest");
+        let (_, sender) =
+            self.clients.iter().find(|(other, _)| *other == link).expect("no link to the client");
         assert!(sender.send(Body::Tell(Tell { ticket, ..Tell::default() })));
     }
 }
@@ -76,7 +77,7 @@
 }
 
 impl Process {
-    /// It starts at the first address.
+    /// Starts at the first address.
     fn start(addresses: &[SocketAddr]) -> Process {
         let (events, links) = mpsc::channel(QUEUE_LEN);
         let terms = Terms::new(Role::Entry, "entry", "here", Life(0));
@@ -93,7 +94,7 @@
         loop {
             self.uplink.tick(self.now());
             let event = tokio::select! {
-                event = self.links.recv() => event.expect("an event"),
+                event = self.links.recv() => event.expect("events closed"),
                 () = sleep(TICK) => continue,
             };
             if let Some(next_notification) = self.uplink.event(self.now(), event) {
@@ -102,13 +103,13 @@
         }
     }
 
-    /// Waits for a leader that knows nothing of this process.
+    /// Waits for a leader that knows nothing about this process.
     async fn find_leader(&mut self) {
         loop {
             match self.next_notification().await {
                 Notification::Leader { new: true, .. } => return,
                 Notification::Leader { .. } | Notification::Lost => {}
-                Notification::Frame(frame) => panic!("too early: {frame:?}"),
+                Notification::Frame(frame) => panic!("frame before a leader was found: {frame:?}"),
             }
         }
     }
@@ -117,11 +118,11 @@
         self.uplink.send(Body::Ask(Ask { ticket, ..Ask::default() }))
     }
 
-    /// Waits for the answer to an ask.
+    /// Waits for the reply to a request.
     async fn expect_reply(&mut self, ticket: u64) {
         match self.next_notification().await {
             Notification::Frame(Body::Tell(tell)) => assert_eq!(tell.ticket, ticket),
-            other => panic!("no answer: {other:?}"),
+            other => panic!("not a reply: {other:?}"),
         }
     }
 }
@@ -130,7 +131,7 @@
     Lead { leads: true, term: 1, ..Lead::default() }
 }
 
-/// Asks the leader over the link that there is, and is answered; the link.
+/// Sends a request to the leader over the existing link and waits for the reply. Returns the link.
 async fn exchange(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
     assert!(process.ask(ticket));
     let (link, asked) = leader.asked().await;
@@ -140,7 +141,8 @@
     link
 }
 
-/// Finds the leader, which takes links in meanwhile, asks and is answered; the link.
+/// Finds the leader, which accepts links meanwhile, sends a request and waits for the reply.
+/// Returns the link.
 async fn find_and_ask(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
     let found = async {
         process.find_leader().await;
@@ -153,8 +155,9 @@
     link
 }
 
-/// A link to the leader falls silent: it is noticed as lost, the leader is found again, and what is
-/// sent again arrives and is answered. `others` are further replicas that the process starts from.
+/// Checks that a silent link to the leader is noticed, that the leader is found again, and that a
+/// repeated request arrives and is answered. `others` are further replicas that the process starts
+/// from.
 async fn recovers(
     swallowed: Swallowed,
     others: &[SocketAddr],
@@ -162,23 +165,24 @@
     mut leader: Replica,
 ) {
     let mut process = Process::start(&[&[proxy.address()], others].concat());
-    let first =
-        timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 1)).await.expect("in time");
+    let first = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 1))
+        .await
+        .expect("not within the limit");
     proxy.swallow(swallowed);
-    // Nobody can know yet that it or its answer gets lost.
+    // The process cannot know yet that the request or its reply gets lost.
     assert!(process.ask(2));
     if swallowed == Swallowed::Answered {
         assert_eq!(leader.asked().await, (first, 2));
         leader.tell(first, 2);
     }
     let second = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 2)).await;
-    assert_ne!(second.expect("in time"), first, "{swallowed:?}");
+    assert_ne!(second.expect("not within the limit"), first, "{swallowed:?}");
     let third = timeout(RECOVERY_LIMIT, exchange(&mut process, &mut leader, 3)).await;
-    third.expect("in time");
+    third.expect("not within the limit");
 }
 
 #[tokio::test]
-async fn link_to_the_only_replica_is_made_again() {
+async fn link_to_the_only_replica_is_restored() {
     for swallowed in Swallowed::ALL {
         let leader = Replica::start(leads()).await;
         let proxy = SwallowProxy::start(leader.address).await;
--- a/crates/pond-uplink/tests/simulation/mod.rs
+++ b/crates/pond-uplink/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Processes that look for a leader among replicas, in virtual time.
+//! Processes that search for the leader among replicas, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,56 +10,58 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A dial and the hello, or the way of a message, in milliseconds.
+/// Time for a dial with its hello, or for one message, in milliseconds.
 const DELAY_MS: Span = 3;
 
-/// A dial that nobody answers, and a link that falls silent, are given up after this long, in
-/// milliseconds, as the links do.
+/// Time after which an unanswered dial or a silent link is given up, in milliseconds, the same as
+/// in the real links.
 const SILENCE_MS: Span = 800;
 
-/// Heartbeats come this often, so silence is counted from up to so long before, in milliseconds.
+/// Time between heartbeats, in milliseconds. The silence on a link may have begun up to this long
+/// before the fault.
 const HEARTBEAT_MS: Span = 250;
 
-/// An election takes that long, in milliseconds, and up to four times as long if votes are split.
+/// Time of an election, in milliseconds. It takes up to four times as long if votes are split.
 const ELECTION_MS: Span = 500;
 
-/// When something happens to the leader, in milliseconds: long after all are linked.
+/// When the fault occurs, in milliseconds: long after all processes are linked.
 const FAULT_MS: Span = 5_000;
 
-/// A leader that hears no majority says so after this time, in milliseconds, and followers that hear no
-/// leader after an election's.
+/// Time after which a leader without a majority resigns, in milliseconds. Followers without a
+/// leader react after the time of an election.
 const LEASE_MS: Span = 475;
 
-/// Replicas hear of a new leader after this time, in milliseconds.
+/// Time until replicas hear of a new leader, in milliseconds.
 const PROPAGATION_MS: Span = 5;
 
-/// A new leader takes in no link for this long, in milliseconds: it applies what it has read, and may
-/// save a snapshot.
+/// Time during which a new leader accepts no links, in milliseconds: it applies what it has read,
+/// and may write a snapshot.
 const BUSY_MS: Span = 30;
 
-/// Dials that its system queues meanwhile; others get no answer.
+/// Number of dials that its accept queue holds meanwhile. Further dials get no answer.
 const QUEUE: usize = 128;
 
-/// What happens.
+/// A scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Replicas that are cut off from processes and from the others, the leader among them.
+    /// Number of replicas, including the leader, that are cut off from the processes and the other
+    /// replicas.
     pub cut: usize,
-    /// Those that are cut off are cut off from the other replicas only; processes reach all.
+    /// The replicas are cut off only from the other replicas. Processes reach all of them.
     pub split: bool,
-    /// All replicas are down for that long; zero if they are not.
+    /// How long all replicas are down, in milliseconds. Zero if they are not.
     pub down_ms: Span,
-    /// Addresses that processes know of machines that are gone.
+    /// Number of known addresses whose machines are gone.
     pub gone: usize,
-    /// Replicas that a process knows at first; zero for all.
+    /// Number of replicas that a process knows initially. Zero for all.
     pub initial: usize,
-    /// The links to the leader break, and nothing else.
+    /// Only the links to the leader break.
     pub reset: bool,
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Seed of everything random.
+    /// Seed of the random generators.
     pub seed: u64,
 }
 
@@ -79,18 +81,18 @@
     }
 }
 
-/// What came of it.
+/// Result of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// Processes that were linked to the new leader in time.
+    /// Number of processes that were linked to the new leader in time.
     pub linked_in_time: usize,
     /// The most dials of one process within a second.
     pub dials: usize,
-    /// The same once it had looked for two seconds.
+    /// The same after 2 s of search.
     pub late_dials: usize,
 }
 
-/// Something that happens to a process.
+/// An event at a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Tick,
@@ -105,7 +107,7 @@
     dials: Vec<Millis>,
 }
 
-/// Replicas, processes and what is due.
+/// The replicas, the processes and the scheduled events.
 pub struct Simulation {
     scenario: Scenario,
     rng: StdRng,
@@ -114,7 +116,7 @@
     elected: Millis,
     /// The replica that leads after the fault.
     next: usize,
-    /// Dials that wait there while it is busy.
+    /// Dials queued there while it is busy.
     queued: usize,
 }
 
@@ -123,7 +125,7 @@
 }
 
 impl Simulation {
-    /// All are linked to replica 0, which leads until the fault.
+    /// Links all processes to replica 0, which leads until the fault.
     pub fn new(scenario: Scenario) -> Simulation {
         let mut rng = StdRng::seed_from_u64(scenario.seed);
         let back = FAULT_MS + scenario.down_ms;
@@ -161,7 +163,7 @@
         self.execute(Millis(0), index);
     }
 
-    /// Plays until that long after the election.
+    /// Runs until `bound_ms` after the election.
     pub fn run(mut self, bound_ms: Span) -> Outcome {
         let end = self.elected + bound_ms;
         let mut broken = false;
@@ -204,7 +206,7 @@
         }
     }
 
-    /// The replica at the other end says who leads, now and when that changes.
+    /// Sends the state of the leader from the replica of a link, now and when it changes.
     fn tell(&mut self, now: Millis, index: usize, link: LinkKey) {
         let Some(replica) = self.processes[index].links.get(&link).copied() else { return };
         if !self.is_reachable(now, replica) {
@@ -243,13 +245,13 @@
         now >= fault && now < fault + self.scenario.down_ms
     }
 
-    /// Whether a replica hears processes.
+    /// Returns whether processes reach a replica.
     fn is_reachable(&self, now: Millis, replica: usize) -> bool {
         let silent = self.is_cut_off(now, replica) && !self.scenario.split;
         replica < self.scenario.replicas && !silent && !self.is_down(now)
     }
 
-    /// What a dial comes to, and when.
+    /// Returns the result of a dial and when it is known.
     fn dial_result(&mut self, now: Millis, replica: usize, link: LinkKey) -> (Millis, Event) {
         let busy = replica == self.next && now >= self.elected && now < self.elected + BUSY_MS;
         if busy && !self.scenario.reset {
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Links to replicas that are cut off fall silent, those to processes that ended break.
+    /// Makes links to replicas that are cut off silent, and breaks those to replicas that stopped.
     fn break_links(&mut self) {
         let fault = Millis(FAULT_MS);
         for index in 0..self.processes.len() {
@@ -299,7 +301,7 @@
                 Output::Dial { link, address: to } => {
                     let all = self.scenario.replicas + self.scenario.gone;
                     let replica = (0..all).find(|replica| address(*replica) == to);
-                    let replica = replica.expect("a known address");
+                    let replica = replica.expect("unknown address");
                     let process = &mut self.processes[index];
                     process.links.insert(link, replica);
                     process.dials.push(now);
@@ -317,7 +319,7 @@
     }
 }
 
-/// The most dials within any second that begins at `from` or later.
+/// Returns the most dials within any second that begins at `from` or later.
 fn most_dials(dials: &[Millis], from: Millis) -> usize {
     let late: Vec<Millis> = dials.iter().copied().filter(|at| *at >= from).collect();
     let within_second = |(first, at): (usize, &Millis)| {
