--- a/crates/pond-agent/src/core/answers.rs
+++ b/crates/pond-agent/src/core/answers.rs
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Takes over the worker's clock. Control counts leases by this clock, so it advances only
-    /// while lists can be read. Otherwise control gives up the runs.
+    /// Advances the recorded clock of the worker, but only while its lists can be read. Control
+    /// counts leases by this clock, so it gives up runs that cannot be listed any more.
     pub(super) fn update_clock(&mut self, now: Millis, clock_ms: u64) {
         if now.since(self.listed_at) < CLOCK_VALID_MS {
             self.advance_clock(now, clock_ms);
@@ -222,9 +222,9 @@
         self.list_due = now + wait;
     }
 
-    /// Reports an end whose number is already committed although its run is still known. Lists
-    /// overlap, so committed ends are listed again. The run of such an end is usually no longer
-    /// known.
+    /// Outputs an observation for an end whose number is already committed although its run is still
+    /// known. Lists overlap, so committed ends are listed again, but normally their runs are no
+    /// longer known.
     fn observe_repeated(&mut self, end: &EndRow) {
         let Some(incarnation) = self.incarnation().filter(|_| self.runs.contains_key(&end.run))
         else {
@@ -291,12 +291,13 @@
     /// Finds the runs that never started: their stop was confirmed before this list was requested,
     /// and they are neither listed nor ended.
     fn find_unstarted(&mut self, list_id: u64, listed: &BTreeSet<RunName>) {
-        let never = |(name, run): &(&RunName, &Run)| {
+        let never_started = |(name, run): &(&RunName, &Run)| {
             let stopped =
                 matches!(run.phase, Phase::Stopped { list_id: before } if before < list_id);
             stopped && run.last_listed.is_none() && !listed.contains(name)
         };
-        let found: Vec<RunName> = self.runs.iter().filter(never).map(|(name, _)| *name).collect();
+        let found: Vec<RunName> =
+            self.runs.iter().filter(never_started).map(|(name, _)| *name).collect();
         for name in found {
             self.runs.remove(&name);
             self.unstarted.insert(name);
--- a/crates/pond-agent/src/core/claim.rs
+++ b/crates/pond-agent/src/core/claim.rs
@@ -3,7 +3,7 @@
 //! A registration can arrive late, even after its incarnation has ended and another one has
 //! registered at the same address. A registration alone is therefore not conclusive: only an
 //! incarnation that answers a call is running. If an old incarnation were taken for the current
-//! one, control would be told that all runs of the current one are over.
+//! one, control would be notified that all runs of the current one have ended.
 
 use pond_proto::Millis;
 
@@ -98,10 +98,10 @@
     /// Adopts an incarnation that keeps registering without answering any call, once the known
     /// incarnation does not answer either. Control then learns that the previous one has ended.
     fn adopt_unanswered(&mut self, now: Millis, incarnation: &str) {
-        let silent = self.worker.is_none() || now.since(self.listed_at) >= UNRESPONSIVE_MS;
+        let unresponsive = self.worker.is_none() || now.since(self.listed_at) >= UNRESPONSIVE_MS;
         let waited =
             |claim: &Claim| claim.is_of(incarnation) && now.since(claim.since) >= UNRESPONSIVE_MS;
-        if let Some(found) = self.claims.iter().position(waited).filter(|_| silent) {
+        if let Some(found) = self.claims.iter().position(waited).filter(|_| unresponsive) {
             self.adopt(now, found);
         }
     }
--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -81,9 +81,9 @@
         if self.pending_list.is_none() {
             due = due.min(self.list_due);
         }
-        let holds = self.holds_starts(now);
+        let suspended = self.starts_suspended(now);
         for run in self.runs.values().filter(|run| !run.calling) {
-            let starts = matches!(run.phase, Phase::Starting { .. }) && !holds;
+            let starts = matches!(run.phase, Phase::Starting { .. }) && !suspended;
             if starts || run.phase == Phase::Stopping {
                 due = due.min(run.due);
             }
@@ -105,14 +105,14 @@
     /// Makes the call that is due for each run without a call in flight.
     fn call_due(&mut self, now: Millis) {
         let lease_end_ms = self.lease_end_ms;
-        let holds = self.holds_starts(now);
+        let suspended = self.starts_suspended(now);
         let mut calls = Vec::new();
         for (name, run) in &mut self.runs {
             if run.calling || now < run.due {
                 continue;
             }
             let call = match &run.phase {
-                Phase::Starting { .. } if holds => continue,
+                Phase::Starting { .. } if suspended => continue,
                 Phase::Starting { order, .. } => {
                     run.start_calls += 1;
                     run.last_start_at = now;
@@ -190,7 +190,7 @@
 
     /// Returns whether starts are suspended: the worker may have restarted, or an acknowledgement
     /// is in flight or has waited too long.
-    fn holds_starts(&self, now: Millis) -> bool {
+    fn starts_suspended(&self, now: Millis) -> bool {
         let waits = self.committed > self.acknowledged;
         let waited_ms = now.since(self.acknowledge_since);
         let overdue =
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -339,7 +339,7 @@
         self.query_claims();
     }
 
-    /// Handles an order of control.
+    /// Handles an order from control.
     pub fn order(&mut self, now: Millis, order: Order) {
         if order.term < self.term || self.incarnation() != Some(order.worker.as_str()) {
             return;
--- a/crates/pond-agent/src/core/previous.rs
+++ b/crates/pond-agent/src/core/previous.rs
@@ -16,7 +16,7 @@
 use crate::run::{Phase, Run};
 
 /// Number of previous incarnations that are kept to be reported again, the newest. A leader that
-/// was not told that one ended concludes it when it hears of the next.
+/// got no report of the end of one ends it when it hears of the next.
 const MAX_PREVIOUS: usize = 4;
 
 /// An incarnation that has ended, and its last known state.
@@ -68,8 +68,8 @@
         self.previous.drain(..excess);
     }
 
-    /// Handles that a different worker is at the address. It refuses calls meant for the previous
-    /// one.
+    /// Ends the current incarnation because a different worker answers at its address. That worker
+    /// refuses calls meant for the previous one, so no start of it remains unresolved.
     pub(super) fn replaced_by_other(&mut self, now: Millis) {
         self.reset(now, "");
         self.previous.iter_mut().for_each(|previous| previous.unresolved.clear());
@@ -78,8 +78,8 @@
 
     /// Reports each previous incarnation that is certain to run nothing any more, with its ends.
     pub(super) fn report_previous(&mut self) {
-        let over = self.previous.iter().filter(|previous| previous.unresolved.is_empty());
-        self.outputs.extend(over.map(PreviousIncarnation::report));
+        let ended = self.previous.iter().filter(|previous| previous.unresolved.is_empty());
+        self.outputs.extend(ended.map(PreviousIncarnation::report));
     }
 
     /// Stops, at the new incarnation, runs whose start was meant for a previous one and may reach
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -20,7 +20,7 @@
     },
     /// The worker has started it.
     Running,
-    /// A stop has to be confirmed by the worker.
+    /// It is to be stopped, and the worker has not confirmed the stop.
     Stopping,
     /// The worker has confirmed the stop. Only a list requested after that shows whether there was
     /// anything to stop.
@@ -58,8 +58,8 @@
     pub list_requested: bool,
     /// How to watch it, as far as known.
     pub watch: Option<Watch>,
-    /// The last pace that the worker confirmed, in percent. Unknown for runs that were there before
-    /// this agent started.
+    /// The pace of the run at the worker, in percent. Unknown for runs that were there before this
+    /// agent started.
     pub pace: Option<u32>,
 }
 
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -258,10 +258,10 @@
             harness.claim(lives[place], false, 1);
         }
         for incarnation in lives {
-            let there = Reply::Listed { runs: vec![], ends: vec![] };
+            let listed = Reply::Listed { runs: vec![], ends: vec![] };
             harness.answer_claim(
                 incarnation,
-                if incarnation == "incarnation-2" { there } else { Reply::OtherLife },
+                if incarnation == "incarnation-2" { listed } else { Reply::OtherLife },
             );
         }
         assert_eq!(harness.core.incarnation(), Some("incarnation-2"), "{order:?}");
@@ -354,9 +354,9 @@
     harness.advance(1);
     let last = harness.gone();
     assert!(!last.left);
-    let told: Vec<_> =
+    let reported: Vec<_> =
         last.runs.iter().map(|row| (row.run.task.index, row.lived_ms, row.unsent)).collect();
-    assert_eq!(told, [(0, 600, false), (1, 0, true), (2, 0, false), (3, 0, false)]);
+    assert_eq!(reported, [(0, 600, false), (1, 0, true), (2, 0, false), (3, 0, false)]);
 }
 
 #[test]
@@ -373,7 +373,7 @@
 /// A report from another sender may name an existing incarnation.
 #[test]
 fn registration_with_another_pool_or_address_does_not_change_an_incarnation() {
-    let strange = |change: fn(&mut Registration)| {
+    let report_after = |change: fn(&mut Registration)| {
         let mut registration = Registration {
             id: INCARNATION.to_owned(),
             incarnation: INCARNATION.to_owned(),
@@ -389,11 +389,12 @@
         harness.advance(900);
         harness.last().clone()
     };
-    let other_pool = strange(|registration| registration.pool = "others".to_owned());
+    let other_pool = report_after(|registration| registration.pool = "others".to_owned());
     assert_eq!((other_pool.pool.as_str(), other_pool.clock_ms), ("", 50_000));
-    let other_address = strange(|registration| registration.address = "127.0.0.2:1".to_owned());
+    let other_address =
+        report_after(|registration| registration.address = "127.0.0.2:1".to_owned());
     assert_eq!(other_address.clock_ms, 50_000);
-    assert_eq!(strange(|_| ()).clock_ms, 52_000);
+    assert_eq!(report_after(|_| ()).clock_ms, 52_000);
 }
 
 #[test]
@@ -515,8 +516,8 @@
     assert!(!harness.reports.iter().any(|report| report.gone));
     harness.claim_as(INCARNATION, "incarnation-2", 1);
     harness.answer_claim("incarnation-2", Reply::Listed { runs: vec![], ends: vec![] });
-    let told: Vec<_> = harness.last().runs.iter().map(|row| row.run).collect();
-    assert_eq!((harness.count(is_stop), told), (1, vec![run(0)]));
+    let reported: Vec<_> = harness.last().runs.iter().map(|row| row.run).collect();
+    assert_eq!((harness.count(is_stop), reported), (1, vec![run(0)]));
     assert!(!harness.reports.iter().any(|report| report.gone));
     harness.answer_as("incarnation-2", is_stop, Reply::Done);
     while harness.count(is_list) > 0 && !harness.reports.iter().any(|report| report.gone) {
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -251,11 +251,11 @@
         }
     }
 
-    /// Advances the time until `what` holds. Returns how long it took, at most `bound` and one
+    /// Advances the time until `condition` holds. Returns how long it took, at most `bound` and one
     /// step.
-    fn advance_until(&mut self, bound: Span, what: fn(&Harness) -> bool) -> Span {
+    fn advance_until(&mut self, bound: Span, condition: fn(&Harness) -> bool) -> Span {
         let since = self.now;
-        while !what(self) {
+        while !condition(self) {
             let took = self.now.since(since);
             assert!(took <= bound, "not within {bound} ms");
             self.advance(STEP_MS);
@@ -609,8 +609,8 @@
     let mut stopped: BTreeMap<RunName, Millis> = BTreeMap::new();
     for _ in 0..10 {
         let lease_end_ms = harness.clock_ms() + LEASE_MS;
-        let stray = harness.last().runs.iter().any(|row| row.run == run(1));
-        let stops = if stray { vec![run(1)] } else { Vec::new() };
+        let unwanted = harness.last().runs.iter().any(|row| row.run == run(1));
+        let stops = if unwanted { vec![run(1)] } else { Vec::new() };
         harness.order(Order { lease_end_ms, stops, ..Order::default() });
         harness.advance(500);
         stopped.extend(harness.stops.iter().map(|(at, run)| (*run, *at)));
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -14,8 +14,8 @@
 /// Step of the simulated clock, in milliseconds.
 const STEP_MS: Span = 10;
 
-/// How far the clock of a worker with unreadable lists may advance, in milliseconds: the agent's 6
-/// s, a list in flight, and the age of the last known clock.
+/// How far the clock of a worker with unreadable lists may advance, in milliseconds: the limit of
+/// 6 s at the agent, a list in flight, and the age of the last known clock.
 const MAX_CLOCK_ADVANCE_MS: Span = 6_000 + 2 * 1_050;
 
 /// A call that the worker has not answered yet, with its answer and the time of it.
@@ -30,7 +30,7 @@
 struct Simulation {
     harness: Harness,
     pending: Vec<Pending>,
-    began: Millis,
+    ordered_at: Millis,
     /// Times of the stop calls.
     stops: Vec<Millis>,
 }
@@ -49,27 +49,27 @@
     fn new() -> Simulation {
         let mut harness = Harness::new();
         harness.start(0);
-        let began = harness.now;
-        Simulation { harness, pending: vec![], began, stops: vec![] }
+        let ordered_at = harness.now;
+        Simulation { harness, pending: vec![], ordered_at, stops: vec![] }
     }
 
     fn since_order(&self) -> Span {
-        self.harness.now.since(self.began)
+        self.harness.now.since(self.ordered_at)
     }
 
-    /// Advances the time until `until` holds, and returns how long it took. If `worker` returns
+    /// Advances the time until `condition` holds, and returns how long it took. If `worker` returns
     /// None, the call is never answered.
     fn advance_until(
         &mut self,
-        longest: Span,
+        limit: Span,
         worker: impl Fn(Span, &Call) -> Option<Reply>,
-        advance_until: impl Fn(&Simulation) -> bool,
+        condition: impl Fn(&Simulation) -> bool,
     ) -> Option<Span> {
         let from = self.harness.now;
-        while self.harness.now.since(from) < longest {
+        while self.harness.now.since(from) < limit {
             self.take_calls(&worker);
             self.answer_due();
-            if advance_until(self) {
+            if condition(self) {
                 return Some(self.harness.now.since(from));
             }
             self.harness.advance(STEP_MS);
@@ -237,11 +237,11 @@
     // newest clock whatever message contained it, each registration advances the clock, although no
     // list extends the lease and the runs expired long ago.
     let mut simulation = Simulation::new();
-    let well = |_: Span, call: &Call| match call {
+    let healthy = |_: Span, call: &Call| match call {
         Call::List { .. } => reply_with(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
         _ => reply_with(Reply::Done),
     };
-    simulation.advance_until(2_000, well, |_| false);
+    simulation.advance_until(2_000, healthy, |_| false);
     let before = simulation.harness.last().clock_ms;
     for _ in 0..20 {
         simulation.advance_until(1_000, |_: Span, _: &Call| None, |_| false);
@@ -258,14 +258,14 @@
 #[test]
 fn answers_without_lists_do_not_extend_the_lease() {
     let mut simulation = Simulation::new();
-    let well = |_: Span, call: &Call| match call {
+    let healthy = |_: Span, call: &Call| match call {
         Call::List { .. } => reply_with(Reply::Listed { runs: vec![row(10)], ends: vec![] }),
         _ => reply_with(Reply::Done),
     };
-    simulation.advance_until(2_000, well, |_| false);
+    simulation.advance_until(2_000, healthy, |_| false);
     let before = simulation.harness.last().clock_ms;
-    let unwell = |_: Span, _: &Call| reply_with(Reply::Refused(Refusal::Other));
-    simulation.advance_until(20_000, unwell, |_| false);
+    let unhealthy = |_: Span, _: &Call| reply_with(Reply::Refused(Refusal::Other));
+    simulation.advance_until(20_000, unhealthy, |_| false);
     assert!(
         simulation.harness.last().clock_ms <= before + MAX_CLOCK_ADVANCE_MS,
         "{}",
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -34,8 +34,7 @@
         term: u64,
         /// Whether the leader has a configuration.
         configured: bool,
-        /// Whether the leader was on another link before or on none. It then knows nothing about
-        /// this process.
+        /// Whether this link to a leader is new. The leader then knows nothing about this process.
         new: bool,
     },
     /// There is no link to a leader any more.
--- a/crates/pond-uplink/src/search.rs
+++ b/crates/pond-uplink/src/search.rs
@@ -136,7 +136,7 @@
             outputs: Vec::new(),
         };
         search.add_addresses(&addresses);
-        search.dial_until(now, PARALLEL_DIALS);
+        search.dial_up_to(now, PARALLEL_DIALS);
         search
     }
 
@@ -186,7 +186,7 @@
         self.outputs.push(Output::Close(link));
         if self.leader == Some(link) {
             self.leader = None;
-            self.dial_until(now, PARALLEL_DIALS);
+            self.dial_up_to(now, PARALLEL_DIALS);
         }
     }
 
@@ -203,7 +203,7 @@
         if self.leader == Some(link) {
             // The link stays open, as this replica may be the first to report the next leader.
             self.leader = None;
-            self.dial_until(now, PARALLEL_DIALS + 1);
+            self.dial_up_to(now, PARALLEL_DIALS + 1);
         }
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Dials replicas until there are `count` links.
-    fn dial_until(&mut self, now: Millis, count: usize) {
+    fn dial_up_to(&mut self, now: Millis, count: usize) {
         self.wait_ms = FIRST_DIAL_WAIT_MS;
         while self.links.len() < count && self.dial_next(now) {}
         self.schedule_next(now);
--- a/crates/pond-uplink/tests/search.rs
+++ b/crates/pond-uplink/tests/search.rs
@@ -35,9 +35,9 @@
         let scenario = Scenario { seed, ..scenario };
         let Outcome { linked_in_time, dials, late_dials } =
             Simulation::new(scenario).run(LINKED_WITHIN_MS);
-        let most = scenario.processes * MIN_LINKED_PERCENT / 100;
+        let required = scenario.processes * MIN_LINKED_PERCENT / 100;
         assert!(
-            linked_in_time >= most,
+            linked_in_time >= required,
             "{linked_in_time} of {} linked in time: {scenario:?}",
             scenario.processes
         );
@@ -102,7 +102,7 @@
     let addresses: Vec<String> = (1..=9).map(|host| format!("10.0.0.{host}:80")).collect();
     for seed in 0..50 {
         let mut search = Search::new(addresses.clone(), seed, Millis(0));
-        let knows_nobody = Lead { term: 1, ..Lead::default() };
+        let no_leader = Lead { term: 1, ..Lead::default() };
         let mut now = Millis(0);
         // All dialled replicas answer, and none knows a leader.
         let mut open = BTreeMap::new();
@@ -112,7 +112,7 @@
                 match output {
                     Output::Dial { link, address } => {
                         search.link_up(now, link);
-                        search.handle_lead(now, link, &knows_nobody);
+                        search.handle_lead(now, link, &no_leader);
                         dialled.insert(address.clone(), now);
                         open.insert(link, address);
                     }
@@ -125,18 +125,18 @@
             now = search.due().expect("the search goes on");
             search.tick(now);
         }
-        let held = |address: &&String| open.values().any(|other| other == *address);
-        let mut others = addresses.iter().filter(|address| !held(address));
+        let is_linked = |address: &&String| open.values().any(|other| other == *address);
+        let mut others = addresses.iter().filter(|address| !is_linked(address));
         let leader = others
             .find(|address| dialled.get(*address).is_none_or(|at| now.since(*at) > 250))
             .expect("a replica that was not dialled recently");
-        let teller = open.keys().next().expect("no open link");
+        let other = open.keys().next().expect("no open link");
         // It hears of the leader just before it would dial another replica.
         let due = search.due().expect("the search goes on");
         let before = Millis(due.0 - 2).max(now);
         search.handle_lead(
             before,
-            *teller,
+            *other,
             &Lead { term: 2, leader: leader.clone(), ..Lead::default() },
         );
         let mut outputs = Vec::new();
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -47,7 +47,7 @@
     }
 
     /// Accepts links until a request arrives. Returns its link and its ticket.
-    async fn asked(&mut self) -> (LinkKey, u64) {
+    async fn next_request(&mut self) -> (LinkKey, u64) {
         loop {
             let Event { link, kind } = self.events.recv().await.expect("events closed");
             match kind {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn tell(&self, link: LinkKey, ticket: u64) {
+    fn send_reply(&self, link: LinkKey, ticket: u64) {
         let (_, sender) =
             self.clients.iter().find(|(other, _)| *other == link).expect("no link to the client");
         assert!(sender.send(Body::Tell(Tell { ticket, ..Tell::default() })));
@@ -97,8 +97,8 @@
                 event = self.links.recv() => event.expect("events closed"),
                 () = sleep(TICK) => continue,
             };
-            if let Some(next_notification) = self.uplink.event(self.now(), event) {
-                return next_notification;
+            if let Some(notification) = self.uplink.event(self.now(), event) {
+                return notification;
             }
         }
     }
@@ -114,7 +114,7 @@
         }
     }
 
-    fn ask(&self, ticket: u64) -> bool {
+    fn send_request(&self, ticket: u64) -> bool {
         self.uplink.send(Body::Ask(Ask { ticket, ..Ask::default() }))
     }
 
@@ -127,16 +127,16 @@
     }
 }
 
-fn leads() -> Lead {
+fn leading() -> Lead {
     Lead { leads: true, term: 1, ..Lead::default() }
 }
 
 /// Sends a request to the leader over the existing link and waits for the reply. Returns the link.
 async fn exchange(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
-    assert!(process.ask(ticket));
-    let (link, asked) = leader.asked().await;
+    assert!(process.send_request(ticket));
+    let (link, asked) = leader.next_request().await;
     assert_eq!(asked, ticket);
-    leader.tell(link, ticket);
+    leader.send_reply(link, ticket);
     process.expect_reply(ticket).await;
     link
 }
@@ -146,11 +146,11 @@
 async fn find_and_ask(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
     let found = async {
         process.find_leader().await;
-        assert!(process.ask(ticket));
+        assert!(process.send_request(ticket));
     };
-    let ((), (link, asked)) = tokio::join!(found, leader.asked());
+    let ((), (link, asked)) = tokio::join!(found, leader.next_request());
     assert_eq!(asked, ticket);
-    leader.tell(link, ticket);
+    leader.send_reply(link, ticket);
     process.expect_reply(ticket).await;
     link
 }
@@ -158,7 +158,7 @@
 /// Checks that a silent link to the leader is noticed, that the leader is found again, and that a
 /// repeated request arrives and is answered. `others` are further replicas that the process starts
 /// from.
-async fn recovers(
+async fn check_recovery(
     swallowed: Swallowed,
     others: &[SocketAddr],
     proxy: SwallowProxy,
@@ -170,10 +170,10 @@
         .expect("not within the limit");
     proxy.swallow(swallowed);
     // The process cannot know yet that the request or its reply gets lost.
-    assert!(process.ask(2));
+    assert!(process.send_request(2));
     if swallowed == Swallowed::Answered {
-        assert_eq!(leader.asked().await, (first, 2));
-        leader.tell(first, 2);
+        assert_eq!(leader.next_request().await, (first, 2));
+        leader.send_reply(first, 2);
     }
     let second = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 2)).await;
     assert_ne!(second.expect("not within the limit"), first, "{swallowed:?}");
@@ -184,21 +184,21 @@
 #[tokio::test]
 async fn link_to_the_only_replica_is_restored() {
     for swallowed in Swallowed::ALL {
-        let leader = Replica::start(leads()).await;
+        let leader = Replica::start(leading()).await;
         let proxy = SwallowProxy::start(leader.address).await;
-        recovers(swallowed, &[], proxy, leader).await;
+        check_recovery(swallowed, &[], proxy, leader).await;
     }
 }
 
 #[tokio::test]
 async fn leader_is_found_again_through_another_replica() {
     for swallowed in Swallowed::ALL {
-        let leader = Replica::start(leads()).await;
+        let leader = Replica::start(leading()).await;
         let proxy = SwallowProxy::start(leader.address).await;
         let follows = Lead { leader: proxy.address().to_string(), ..Lead::default() };
         let mut other = Replica::start(follows).await;
         let address = other.address;
-        tokio::spawn(async move { other.asked().await });
-        recovers(swallowed, &[address], proxy, leader).await;
+        tokio::spawn(async move { other.next_request().await });
+        check_recovery(swallowed, &[address], proxy, leader).await;
     }
 }
--- a/crates/pond-uplink/tests/simulation/mod.rs
+++ b/crates/pond-uplink/tests/simulation/mod.rs
@@ -115,7 +115,7 @@
     due: BinaryHeap<Reverse<(Millis, usize, Event)>>,
     elected: Millis,
     /// The replica that leads after the fault.
-    next: usize,
+    new_leader: usize,
     /// Dials queued there while it is busy.
     queued: usize,
 }
@@ -128,11 +128,11 @@
     /// Links all processes to replica 0, which leads until the fault.
     pub fn new(scenario: Scenario) -> Simulation {
         let mut rng = StdRng::seed_from_u64(scenario.seed);
-        let back = FAULT_MS + scenario.down_ms;
+        let back_at = FAULT_MS + scenario.down_ms;
         let election =
             if scenario.reset { 0 } else { rng.random_range(ELECTION_MS..4 * ELECTION_MS) };
-        let elected = Millis(back + election);
-        let next = match scenario {
+        let elected = Millis(back_at + election);
+        let new_leader = match scenario {
             Scenario { reset: true, .. } => 0,
             Scenario { cut: 0, replicas, .. } => rng.random_range(0..replicas),
             Scenario { cut, replicas, .. } => rng.random_range(cut..replicas),
@@ -143,21 +143,21 @@
             processes: Vec::new(),
             due: BinaryHeap::new(),
             elected,
-            next,
+            new_leader,
             queued: 0,
         };
         for index in 0..scenario.processes {
-            simulation.add(index);
+            simulation.add_process(index);
         }
         simulation
     }
 
-    fn add(&mut self, index: usize) {
+    fn add_process(&mut self, index: usize) {
         let Scenario { replicas, gone, initial, .. } = self.scenario;
         let known = if initial == 0 { replicas + gone } else { initial };
         let first = if initial == 0 { 0 } else { self.rng.random_range(0..replicas) };
         let addresses =
-            (0..known).map(|seed| address((first + seed) % (replicas + gone))).collect();
+            (0..known).map(|offset| address((first + offset) % (replicas + gone))).collect();
         let search = Search::new(addresses, self.rng.random(), Millis(0));
         self.processes.push(Process { search, links: BTreeMap::new(), dials: Vec::new() });
         self.execute(Millis(0), index);
@@ -189,7 +189,7 @@
 
     fn is_linked(&self, process: &Process) -> bool {
         let leader = process.search.leader().and_then(|link| process.links.get(&link));
-        leader == Some(&self.next)
+        leader == Some(&self.new_leader)
     }
 
     fn handle(&mut self, now: Millis, index: usize, event: Event) {
@@ -197,22 +197,22 @@
             Event::Tick => self.processes[index].search.tick(now),
             Event::Up(link) => {
                 self.processes[index].search.link_up(now, link);
-                self.tell(now, index, link);
+                self.send_lead(now, index, link);
             }
             Event::Down(link) => {
                 self.processes[index].search.link_down(now, link);
             }
-            Event::Lead(link) => self.tell(now, index, link),
+            Event::Lead(link) => self.send_lead(now, index, link),
         }
     }
 
     /// Sends the state of the leader from the replica of a link, now and when it changes.
-    fn tell(&mut self, now: Millis, index: usize, link: LinkKey) {
+    fn send_lead(&mut self, now: Millis, index: usize, link: LinkKey) {
         let Some(replica) = self.processes[index].links.get(&link).copied() else { return };
         if !self.is_reachable(now, replica) {
             return;
         }
-        let lead = self.lead(now, replica);
+        let lead = self.lead_from(now, replica);
         self.processes[index].search.handle_lead(now, link, &lead);
         if now < self.elected + PROPAGATION_MS {
             let again = self.elected + PROPAGATION_MS + DELAY_MS;
@@ -220,20 +220,20 @@
         }
     }
 
-    fn lead(&self, now: Millis, replica: usize) -> Lead {
+    fn lead_from(&self, now: Millis, replica: usize) -> Lead {
         let after = now >= self.elected + PROPAGATION_MS && !self.is_cut_off(now, replica);
         let timeout_ms = if replica == 0 { LEASE_MS } else { ELECTION_MS };
         let before = now < Millis(FAULT_MS + timeout_ms) && self.scenario.down_ms == 0;
         let leader = match (after, before) {
-            (true, _) => Some(self.next),
+            (true, _) => Some(self.new_leader),
             (false, true) => Some(0),
             (false, false) => None,
         };
-        let knows = leader.map_or(String::new(), address);
+        let leader_address = leader.map_or(String::new(), address);
         let leads = leader == Some(replica) && self.is_reachable(now, replica);
         let replicas = (0..self.scenario.replicas).map(address).collect();
         let term = if after { 2 } else { 1 };
-        Lead { leader: knows, replicas, term, leads, ..Lead::default() }
+        Lead { leader: leader_address, replicas, term, leads, ..Lead::default() }
     }
 
     fn is_cut_off(&self, now: Millis, replica: usize) -> bool {
@@ -253,7 +253,8 @@
 
     /// Returns the result of a dial and when it is known.
     fn dial_result(&mut self, now: Millis, replica: usize, link: LinkKey) -> (Millis, Event) {
-        let busy = replica == self.next && now >= self.elected && now < self.elected + BUSY_MS;
+        let busy =
+            replica == self.new_leader && now >= self.elected && now < self.elected + BUSY_MS;
         if busy && !self.scenario.reset {
             self.queued += 1;
             return match self.queued <= QUEUE {
