--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -250,14 +250,14 @@
 
 #[test]
 fn registrations_in_any_order_lead_to_the_incarnation_that_answers() {
-    let lives = ["incarnation-0", "incarnation-1", "incarnation-2"];
+    let incarnations = ["incarnation-0", "incarnation-1", "incarnation-2"];
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
         let mut harness = Harness::without_leader();
         harness.core.leader_up(3);
-        for place in order {
-            harness.claim(lives[place], false, 1);
+        for index in order {
+            harness.claim(incarnations[index], false, 1);
         }
-        for incarnation in lives {
+        for incarnation in incarnations {
             let listed = Reply::Listed { runs: vec![], ends: vec![] };
             harness.answer_claim(
                 incarnation,
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -134,8 +134,8 @@
 /// Sends a request to the leader over the existing link and waits for the reply. Returns the link.
 async fn exchange(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
     assert!(process.send_request(ticket));
-    let (link, asked) = leader.next_request().await;
-    assert_eq!(asked, ticket);
+    let (link, requested) = leader.next_request().await;
+    assert_eq!(requested, ticket);
     leader.send_reply(link, ticket);
     process.expect_reply(ticket).await;
     link
@@ -148,8 +148,8 @@
         process.find_leader().await;
         assert!(process.send_request(ticket));
     };
-    let ((), (link, asked)) = tokio::join!(found, leader.next_request());
-    assert_eq!(asked, ticket);
+    let ((), (link, requested)) = tokio::join!(found, leader.next_request());
+    assert_eq!(requested, ticket);
     leader.send_reply(link, ticket);
     process.expect_reply(ticket).await;
     link
