--- a/crates/pond-agent/src/core/answers.rs
+++ b/crates/pond-agent/src/core/answers.rs
@@ -222,7 +222,7 @@
         self.list_due = now + wait;
     }
 
-    /// Outputs an observation for an end whose number is already committed although its run is still
+    /// Outputs an observation for an end whose number is committed although its run is still
     /// known. Lists overlap, so committed ends are listed again, but normally their runs are no
     /// longer known.
     fn observe_repeated(&mut self, end: &EndRow) {
