--- a/crates/pond-agent/src/agent.rs
+++ b/crates/pond-agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The shell around the agent's core.
+//! Runtime of the agent: drives [`Core`] and performs its calls, reports and logging.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,51 +8,52 @@
 use pond_log::{Logger, event};
 use pond_proto::Millis;
 use pond_proto::wire::Body;
-use pond_uplink::{Told, Uplink};
+use pond_uplink::{Notification, Uplink};
 use tokio::sync::mpsc;
 use tokio::time::{Instant as Timer, sleep_until};
 
 use crate::core::{Core, Observation, Output, Registration};
 use crate::worker::{Answer, Call, Reply, Worker};
 
-/// Inputs that may wait for the core: one worker gives a few a second, and one for each call.
-const QUEUE: usize = 1024;
+/// Capacity of the input queue. A worker causes a few inputs a second, and each call causes one.
+const QUEUE_LEN: usize = 1024;
 
-/// Longest time between looks at what is due, in milliseconds.
-const TICK_MS: u64 = 250;
+/// Longest time between two runs of the core, in milliseconds.
+const MAX_TICK_MS: u64 = 250;
 
-/// Something that happens to an agent.
+/// An input of the agent.
 enum Input {
     Registered(Registration),
-    Leaves(String),
-    Answered { life: String, token: u64, look: u64, call: Call, answer: Answer },
-    Learn(Vec<String>),
+    Deregistered(String),
+    Answered { incarnation: String, token: u64, list_id: u64, call: Call, answer: Answer },
+    AddAddresses(Vec<String>),
 }
 
-/// Takes in what a worker says of itself.
+/// Passes registrations, deregistrations and control addresses to an agent.
 #[derive(Clone)]
 pub struct Registrar {
     inputs: mpsc::Sender<Input>,
 }
 
 impl Registrar {
-    /// The worker registers or repeats its registration. False if the agent has stopped.
+    /// Passes on a new or repeated registration of the worker. Returns false if the agent has
+    /// stopped.
     pub async fn registered(&self, registration: Registration) -> bool {
         self.inputs.send(Input::Registered(registration)).await.is_ok()
     }
 
-    /// The worker of that id says that it ends. False if the agent has stopped.
-    pub async fn leaves(&self, id: String) -> bool {
-        self.inputs.send(Input::Leaves(id)).await.is_ok()
+    /// Passes on that the worker with this ID deregisters. Returns false if the agent has stopped.
+    pub async fn deregistered(&self, id: String) -> bool {
+        self.inputs.send(Input::Deregistered(id)).await.is_ok()
     }
 
-    /// Further addresses of control replicas.
-    pub async fn learn(&self, addresses: Vec<String>) -> bool {
-        self.inputs.send(Input::Learn(addresses)).await.is_ok()
+    /// Adds addresses of control replicas. Returns false if the agent has stopped.
+    pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
+        self.inputs.send(Input::AddAddresses(addresses)).await.is_ok()
     }
 }
 
-/// An agent.
+/// The agent of one worker.
 pub struct Agent {
     core: Core,
     uplink: Uplink,
@@ -65,7 +66,8 @@
 }
 
 impl Agent {
-    /// An agent beside `worker`, which reports through `uplink`, whose events come through `links`.
+    /// Creates an agent for `worker` that reports through `uplink` and receives the events of its
+    /// links through `links`.
     pub fn new(
         worker: Arc<dyn Worker>,
         uplink: Uplink,
@@ -73,7 +75,7 @@
         clock: Clock,
         log: Logger,
     ) -> (Agent, Registrar) {
-        let (sender, inputs) = mpsc::channel(QUEUE);
+        let (sender, inputs) = mpsc::channel(QUEUE_LEN);
         let registrar = Registrar { inputs: sender.clone() };
         let core = Core::new();
         (Agent { core, uplink, links, worker, sender, inputs, clock, log }, registrar)
@@ -83,107 +85,108 @@
         self.clock.now()
     }
 
-    /// Runs until it is cut short.
+    /// Runs until the future is dropped.
     pub async fn run(mut self) {
         loop {
             let now = self.now();
             self.uplink.tick(now);
-            self.carry_out(now);
+            self.execute(now);
             let due =
                 self.uplink.due().map_or(self.core.due(now), |due| due.min(self.core.due(now)));
-            let wait = due.since(now).clamp(1, TICK_MS);
+            let wait = due.since(now).clamp(1, MAX_TICK_MS);
             let timer = sleep_until(Timer::now() + Duration::from_millis(wait));
             tokio::select! {
-                Some(event) = self.links.recv() => self.link(event),
-                Some(input) = self.inputs.recv() => self.input(input),
+                Some(event) = self.links.recv() => self.handle_event(event),
+                Some(input) = self.inputs.recv() => self.handle_input(input),
                 () = timer => {}
             }
             while let Ok(event) = self.links.try_recv() {
-                self.link(event);
+                self.handle_event(event);
             }
             while let Ok(input) = self.inputs.try_recv() {
-                self.input(input);
+                self.handle_input(input);
             }
         }
     }
 
-    fn link(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
-        if let Some(told) = self.uplink.event(now, event) {
-            self.told(now, told);
+        if let Some(notification) = self.uplink.event(now, event) {
+            self.handle_notification(now, notification);
         }
     }
 
-    fn told(&mut self, now: Millis, told: Told) {
-        match told {
-            Told::Leader { term, new, .. } if new => self.core.leader_up(term),
-            Told::Frame(Body::Order(order)) => {
+    fn handle_notification(&mut self, now: Millis, notification: Notification) {
+        match notification {
+            Notification::Leader { term, new, .. } if new => self.core.leader_up(term),
+            Notification::Frame(Body::Order(order)) => {
                 event!(self.log, ORDERED, "worker" => order.worker.clone(), "term" => order.term,
                     "starts" => order.starts.len(), "stops" => order.stops.len(),
                     "lease_end_ms" => order.lease_end_ms, "settled" => order.settled);
                 self.core.order(now, order);
             }
-            Told::Leader { .. } | Told::Lost | Told::Frame(_) => {}
+            Notification::Leader { .. } | Notification::Lost | Notification::Frame(_) => {}
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.now();
         match input {
             Input::Registered(registration) => self.registered(now, registration),
-            Input::Leaves(id) => {
+            Input::Deregistered(id) => {
                 event!(self.log, WORKER_LEAVES, "worker" => id.clone());
-                self.core.leaves(now, &id);
+                self.core.deregistered(now, &id);
             }
-            Input::Answered { life, token, look, call, answer } => {
-                self.log_answer(&life, &call, &answer);
-                self.core.answer(now, &life, token, look, &call, answer);
+            Input::Answered { incarnation, token, list_id, call, answer } => {
+                self.log_answer(&incarnation, &call, &answer);
+                self.core.answer(now, &incarnation, token, list_id, &call, answer);
             }
-            Input::Learn(addresses) => self.uplink.learn(&addresses),
+            Input::AddAddresses(addresses) => self.uplink.add_addresses(&addresses),
         }
     }
 
     fn registered(&mut self, now: Millis, registration: Registration) {
         if let Some(mismatch) = self.core.mismatch(now, &registration) {
-            event!(self.log, CALL_FAILED, "worker" => registration.life.clone(),
-                "why" => "a registration of this life that is not its own",
+            event!(self.log, CALL_FAILED, "worker" => registration.incarnation.clone(),
+                "why" => "registration does not match the known incarnation",
                 "mismatch" => format!("{mismatch:?}"), "sequence" => registration.sequence,
                 "clock_ms" => registration.clock_ms);
-        } else if self.core.news_in(&registration) {
-            event!(self.log, WORKER_REGISTERED, "worker" => registration.life.clone(),
+        } else if self.core.has_changes(&registration) {
+            event!(self.log, WORKER_REGISTERED, "worker" => registration.incarnation.clone(),
                 "draining" => registration.draining, "sequence" => registration.sequence);
         }
         self.core.registered(now, registration);
     }
 
-    fn log_answer(&self, life: &str, call: &Call, answer: &Answer) {
+    fn log_answer(&self, incarnation: &str, call: &Call, answer: &Answer) {
         let done = matches!(answer.reply, Reply::Done | Reply::Listed { .. });
         let (verb, run) = match call {
             Call::Start { run, .. } => ("start", run.to_string()),
             Call::Stop { run } => ("stop", run.to_string()),
             Call::Pace { run, percent } => ("pace", format!("{run} to {percent} %")),
-            Call::Look { .. } => ("look", String::new()),
+            Call::List { .. } => ("look", String::new()),
         };
         if !done {
-            event!(self.log, CALL_FAILED, "worker" => life.to_owned(), "call" => verb, "run" => run,
+            event!(self.log, CALL_FAILED, "worker" => incarnation.to_owned(), "call" => verb, "run" => run,
                 "reply" => format!("{:?}", answer.reply));
         } else if let Call::Pace { run, percent } = call {
-            event!(self.log, RUN_PACED, "worker" => life.to_owned(), "run" => run.to_string(),
+            event!(self.log, RUN_PACED, "worker" => incarnation.to_owned(), "run" => run.to_string(),
                 "percent" => *percent);
-        } else if !matches!(call, Call::Look { .. }) {
-            event!(self.log, WORKER_CALLED, "worker" => life.to_owned(), "call" => verb, "run" => run);
+        } else if !matches!(call, Call::List { .. }) {
+            event!(self.log, WORKER_CALLED, "worker" => incarnation.to_owned(), "call" => verb, "run" => run);
         }
     }
 
-    fn carry_out(&mut self, now: Millis) {
+    fn execute(&mut self, now: Millis) {
         for output in self.core.tick(now) {
             match output {
-                // A report that is not sent is made again, as news or within a second.
+                // A report that could not be sent is made again within a second, or earlier if
+                // something changes.
                 Output::Report(report) => {
                     self.uplink.send(Body::Report(report));
                 }
-                Output::Call { address, life, token, look, call } => {
-                    self.call(address, life, token, look, call);
+                Output::Call { address, incarnation, token, list_id, call } => {
+                    self.call(address, incarnation, token, list_id, call);
                 }
                 Output::Observed(observation) => self.log_observation(observation),
             }
@@ -192,23 +195,24 @@
 
     fn log_observation(&self, observation: Observation) {
         match observation {
-            Observation::EndRepeated { life, run, number, settled } => {
-                event!(self.log, END_REPEATED, "worker" => life, "run" => run.to_string(),
-                    "number" => number, "settled" => settled);
+            Observation::EndRepeated { incarnation, run, number, committed } => {
+                event!(self.log, END_REPEATED, "worker" => incarnation, "run" => run.to_string(),
+                    "number" => number, "settled" => committed);
             }
-            Observation::RunVanished { life, run, settled } => {
-                event!(self.log, RUN_VANISHED, "worker" => life, "run" => run.to_string(),
-                    "settled" => settled);
+            Observation::RunVanished { incarnation, run, committed } => {
+                event!(self.log, RUN_VANISHED, "worker" => incarnation, "run" => run.to_string(),
+                    "settled" => committed);
             }
         }
     }
 
-    fn call(&self, address: String, life: String, token: u64, look: u64, call: Call) {
+    fn call(&self, address: String, incarnation: String, token: u64, list_id: u64, call: Call) {
         let (worker, sender) = (self.worker.clone(), self.sender.clone());
         tokio::spawn(async move {
-            let answer = worker.call(&address, &life, token, call.clone()).await;
-            // The receiver is gone only when the agent has stopped.
-            let _ = sender.send(Input::Answered { life, token, look, call, answer }).await;
+            let answer = worker.call(&address, &incarnation, token, call.clone()).await;
+            // Sending fails only after the agent has stopped.
+            let _ =
+                sender.send(Input::Answered { incarnation, token, list_id, call, answer }).await;
         });
     }
 }
--- a/crates/pond-agent/src/core/claim.rs
+++ b/crates/pond-agent/src/core/claim.rs
@@ -1,107 +1,117 @@
-//! Lives of the worker that have registered and not answered a call yet.
+//! Claims: incarnations of the worker that have registered but not answered a call yet.
 //!
-//! A registration may come late, even after the life that sent it is over and another one has
-//! registered at the same address. So it proves nothing: only the life that answers a call is there.
-//! Taking an old one for the new one would tell control that all runs of the living one are over.
+//! A registration can arrive late, even after its incarnation has ended and another one has
+//! registered at the same address. A registration alone is therefore not conclusive: only an
+//! incarnation that answers a call is running. If an old incarnation were taken for the current
+//! one, control would be notified that all runs of the current one have ended.
 
 use pond_proto::Millis;
 
-use super::due::SILENT_MS;
+use super::due::UNRESPONSIVE_MS;
 use super::{Core, Output, Registration};
 use crate::worker::{Answer, Call, Reply};
 
-/// Claims that are kept, the newest: a cut holds back the registrations of a few lives at most.
-const MOST_CLAIMS: usize = 4;
+/// Number of claims that are kept, the newest. A network failure delays the registrations of
+/// only a few incarnations.
+const MAX_CLAIMS: usize = 4;
 
-/// A life that has registered and not answered yet.
+/// An incarnation that has registered but not answered yet.
 #[derive(Debug)]
 pub(super) struct Claim {
     registration: Registration,
     since: Millis,
-    /// A call to it is on its way.
-    asked: bool,
+    /// Whether a call to it is in flight.
+    calling: bool,
 }
 
 impl Claim {
-    /// Whether it is that life's.
-    pub fn is_of(&self, life: &str) -> bool {
-        self.registration.life == life
+    /// Returns whether the claim is from this incarnation.
+    pub fn is_of(&self, incarnation: &str) -> bool {
+        self.registration.incarnation == incarnation
     }
 }
 
 impl Core {
-    /// A life registers that is not the known one. It is asked whether it is there.
+    /// Records the registration of an incarnation other than the known one and calls it to see
+    /// whether it answers.
     pub(super) fn claim(&mut self, now: Millis, registration: Registration) {
-        let life = registration.life.clone();
-        match self.claims.iter_mut().find(|claim| claim.is_of(&life)) {
+        let incarnation = registration.incarnation.clone();
+        match self.claims.iter_mut().find(|claim| claim.is_of(&incarnation)) {
             Some(claim) if registration.sequence <= claim.registration.sequence => return,
             Some(claim) => claim.registration = registration,
             None => {
-                self.claims.push(Claim { registration, since: now, asked: false });
-                let more = self.claims.len().saturating_sub(MOST_CLAIMS);
-                self.claims.drain(..more);
+                self.claims.push(Claim { registration, since: now, calling: false });
+                let excess = self.claims.len().saturating_sub(MAX_CLAIMS);
+                self.claims.drain(..excess);
             }
         }
-        self.ask_claims();
-        self.adopt_unanswered(now, &life);
+        self.query_claims();
+        self.adopt_unanswered(now, &incarnation);
     }
 
-    /// Asks all lives that claim to be there and have no call on its way.
-    pub(super) fn ask_claims(&mut self) {
+    /// Calls all claimed incarnations that have no call in flight.
+    pub(super) fn query_claims(&mut self) {
         if !self.may_call() {
             return;
         }
-        for claim in self.claims.iter_mut().filter(|claim| !claim.asked) {
-            claim.asked = true;
-            self.looks += 1;
+        for claim in self.claims.iter_mut().filter(|claim| !claim.calling) {
+            claim.calling = true;
+            self.last_list_id += 1;
             self.outputs.push(Output::Call {
                 address: claim.registration.address.clone(),
-                life: claim.registration.life.clone(),
+                incarnation: claim.registration.incarnation.clone(),
                 token: self.term,
-                look: self.looks,
-                call: Call::Look { lease_end_ms: 0, settled: 0, wait_ms: 0 },
+                list_id: self.last_list_id,
+                call: Call::List { lease_end_ms: 0, committed: 0, wait_ms: 0 },
             });
         }
     }
 
-    /// A life that claims to be there answered, or did not.
-    pub(super) fn claim_answer(&mut self, now: Millis, life: &str, look: u64, answer: Answer) {
-        let found = self.claims.iter().position(|claim| claim.is_of(life));
+    /// Handles the result of a call to a claimed incarnation.
+    pub(super) fn claim_answer(
+        &mut self,
+        now: Millis,
+        incarnation: &str,
+        list_id: u64,
+        answer: Answer,
+    ) {
+        let found = self.claims.iter().position(|claim| claim.is_of(incarnation));
         let Some(found) = found else { return };
         match answer.reply {
-            // Its next registration asks again.
-            Reply::Unknown | Reply::NotSent => self.claims[found].asked = false,
+            // Its next registration causes another call.
+            Reply::Unknown | Reply::NotSent => self.claims[found].calling = false,
             Reply::OtherLife | Reply::Restarted => {
                 self.claims.remove(found);
-                self.remember_over(life.to_owned());
+                self.remember_ended(incarnation.to_owned());
             }
-            // No other answer tells which life of a worker it is from.
-            reply if !matches!(reply, Reply::Listed { .. }) => self.claims[found].asked = false,
+            // No other answer identifies the incarnation that it comes from.
+            reply if !matches!(reply, Reply::Listed { .. }) => self.claims[found].calling = false,
             _ => {
                 self.adopt(now, found);
-                // What it answers goes before what a registration said.
+                // The clock in the answer takes precedence over the one in the registration.
                 self.clock_ms = answer.clock_ms.unwrap_or(self.clock_ms);
-                self.look_answer(now, look, answer);
+                self.list_answer(now, list_id, answer);
             }
         }
     }
 
-    /// A life that registers again and again but answers nothing is believed once no other answers
-    /// either, so that control learns that the former one is over.
-    fn adopt_unanswered(&mut self, now: Millis, life: &str) {
-        let silent = self.worker.is_none() || now.since(self.listed) >= SILENT_MS;
-        let waited = |claim: &Claim| claim.is_of(life) && now.since(claim.since) >= SILENT_MS;
-        if let Some(found) = self.claims.iter().position(waited).filter(|_| silent) {
+    /// Adopts an incarnation that keeps registering without answering any call, once the known
+    /// incarnation does not answer either. Control then learns that the previous one has ended.
+    fn adopt_unanswered(&mut self, now: Millis, incarnation: &str) {
+        let unresponsive = self.worker.is_none() || now.since(self.listed_at) >= UNRESPONSIVE_MS;
+        let waited =
+            |claim: &Claim| claim.is_of(incarnation) && now.since(claim.since) >= UNRESPONSIVE_MS;
+        if let Some(found) = self.claims.iter().position(waited).filter(|_| unresponsive) {
             self.adopt(now, found);
         }
     }
 
-    /// A life is the worker from now on.
+    /// Makes a claimed incarnation the current one.
     fn adopt(&mut self, now: Millis, found: usize) {
         let registration = self.claims.remove(found).registration;
-        self.new_life(now, &registration.life);
+        self.reset(now, &registration.incarnation);
         self.clock_ms = registration.clock_ms;
         self.worker = Some(registration);
-        self.stop_doubtful(now);
+        self.stop_unresolved(now);
     }
 }
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -1,15 +1,18 @@
-//! The agent's decisions.
+//! Decisions of the agent.
 //!
-//! Four things must not go wrong here. A start without an answer is neither running nor not
-//! running: it is asked for again, and given up only after a confirmed stop and a list that was
-//! asked for after it. An end is forgotten only after control has settled it. The lease is extended
-//! only up to times that control granted. What is sent to one life of the worker may reach the next, which may have
-//! the same id: only a list tells whose it is.
+//! The core maintains four invariants:
+//!
+//! - A start without an answer counts neither as running nor as not running. It is repeated, and
+//!   given up only after a confirmed stop and a list requested after that stop.
+//! - An end is forgotten only after control has committed it.
+//! - The lease is extended only up to times that control granted.
+//! - A call meant for one incarnation of the worker can reach the next, which may have the same ID.
+//!   Only a list identifies its incarnation.
 
 mod answers;
 mod claim;
 mod due;
-mod former;
+mod previous;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,234 +25,245 @@
 use crate::worker::Call;
 
 use claim::Claim;
-use former::Former;
+use previous::PreviousIncarnation;
 
-/// Lives that are over and remembered as such, the newest: their registrations may still come late.
-const OVER_KEPT: usize = 16;
+/// Number of ended incarnations that are remembered, the newest. Their registrations can still
+/// arrive late.
+const MAX_ENDED: usize = 16;
 
-/// A worker's clock may have gone on by this much more than the agent's since it was last read, in
-/// milliseconds: a worker may be late to read it, or its clock fast by a hundredth over a minute or two.
+/// How far the worker's clock may have advanced beyond the agent's since it was last read, in
+/// milliseconds. The worker may be late to read it, or its clock may run fast by 1 % for a minute
+/// or two.
 const CLOCK_SLACK_MS: Span = 5_000;
 
-/// Registrations that an agent may miss between two, as during a cut of a day with one a second.
-const MOST_MISSED: u64 = 100_000;
+/// Number of registrations that an agent may miss in a row, as in a network failure of a day with
+/// one registration per second.
+const MAX_MISSED: u64 = 100_000;
 
-/// A worker that has said that it ends takes no calls after this time, in milliseconds; one that still does has started
-/// again.
-const FAREWELL_MS: Span = 3_000;
+/// A deregistered worker accepts no calls after this time, in milliseconds. One that still does has
+/// restarted.
+const DEREGISTRATION_MS: Span = 3_000;
 
-/// A suspect is started without an answer of its worker after this time, in milliseconds: the worker may be
-/// well and its answers lost.
-const MEET_MS: Span = 300;
+/// A suspect is started without an answer of its worker after this time, in milliseconds. The
+/// worker may be healthy and its answers lost.
+const START_WAIT_MS: Span = 300;
 
-/// What a worker says of itself.
+/// Registration of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Registration {
-    /// The worker. A later life of it may have the same id, and calls name the id alone.
+    /// ID of the worker. A later incarnation may have the same ID, and calls contain only the ID.
     pub id: String,
-    /// This life of it.
-    pub life: String,
-    /// Where it takes calls.
+    /// This incarnation of the worker.
+    pub incarnation: String,
+    /// Address at which it accepts calls.
     pub address: String,
-    /// The pool that it belongs to.
+    /// Its pool.
     pub pool: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Its room.
+    /// Its capacity.
     pub room: Size,
-    /// Its kind and its rack.
+    /// Labels, such as its kind and its rack.
     pub labels: Vec<String>,
-    /// It will leave.
+    /// Whether it is draining.
     pub draining: bool,
-    /// The time that it has left at least, in milliseconds, while it drains.
+    /// Minimum time left while it drains, in milliseconds.
     pub remaining_ms: u64,
     /// Its clock, in milliseconds.
     pub clock_ms: u64,
-    /// Rises with each registration of this life.
+    /// Increases with each registration of this incarnation.
     pub sequence: u64,
 }
 
-/// What of a registration does not fit the life that it names.
+/// Why a registration does not match the incarnation that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// Another pool.
+    /// The pool differs.
     Pool,
-    /// Another address.
+    /// The address differs.
     Address,
-    /// A clock that is too far ahead.
+    /// The clock is too far ahead.
     Clock,
-    /// A number that is too far ahead.
+    /// The sequence number is too far ahead.
     Sequence,
 }
 
-/// What the shell does for the core.
+/// An action for the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Call the worker and hand the answer to [`Core::answer`].
+    /// Call the worker and pass the answer to [`Core::answer`].
     Call {
-        /// Where it takes calls.
+        /// Address of the worker.
         address: String,
-        /// The life that is meant.
-        life: String,
+        /// The intended incarnation.
+        incarnation: String,
         /// The fencing token.
         token: u64,
-        /// Number of the list, if it is one.
-        look: u64,
+        /// ID of the list if the call requests one, otherwise zero.
+        list_id: u64,
         /// The call.
         call: Call,
     },
-    /// Send this to the leader.
+    /// Send a report to the leader.
     Report(Report),
-    /// Write this to the log.
+    /// Log an observation.
     Observed(Observation),
 }
 
-/// Something that an operator may want to know of, and that is not in calls or reports.
+/// An observation for operators that appears in neither calls nor reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// An end was dropped, as its number counts as settled, though its run was there.
+    /// An end was dropped because its number is already committed, although its run was still
+    /// known.
     EndRepeated {
-        /// The life.
-        life: String,
+        /// The incarnation.
+        incarnation: String,
         /// The run.
         run: RunName,
-        /// The number of the end.
+        /// Number of the end.
         number: u64,
-        /// Ends up to this number are settled.
-        settled: u64,
+        /// Ends up to this number are committed.
+        committed: u64,
     },
-    /// A run that was listed is on no list any more, and no end of it is left to settle.
+    /// A listed run is missing from a later list, and no uncommitted end is left.
     RunVanished {
-        /// The life.
-        life: String,
+        /// The incarnation.
+        incarnation: String,
         /// The run.
         run: RunName,
-        /// Ends up to this number are settled.
-        settled: u64,
+        /// Ends up to this number are committed.
+        committed: u64,
     },
 }
 
-/// The agent's state.
+/// State of the agent.
 #[derive(Debug, Default)]
 pub struct Core {
-    /// The life of the worker that has answered a call.
+    /// The incarnation of the worker that has answered a call.
     worker: Option<Registration>,
-    /// Lives before this one, the newest last.
-    formers: VecDeque<Former>,
-    /// Lives that are over.
-    over: VecDeque<String>,
-    /// Lives that have registered and not answered yet.
+    /// Incarnations before this one, the newest last.
+    previous: VecDeque<PreviousIncarnation>,
+    /// Incarnations that have ended.
+    ended: VecDeque<String>,
+    /// Incarnations that have registered but not answered yet.
     claims: Vec<Claim>,
     /// The worker's clock, in milliseconds.
     clock_ms: u64,
-    /// When it was last read.
-    clocked: Millis,
-    /// The highest term of a leader.
+    /// When the worker's clock was last read.
+    clock_read_at: Millis,
+    /// The highest known term of a leader.
     term: u64,
-    /// The highest fencing token that a worker refused as too low; zero for none.
-    fenced: u64,
-    /// The lease that was granted, on the worker's clock in milliseconds.
+    /// The highest fencing token that a worker refused as too low. Zero for none.
+    refused_token: u64,
+    /// End of the granted lease, on the worker's clock in milliseconds.
     lease_end_ms: u64,
-    /// Ends up to this number are in the log.
-    settled: u64,
+    /// Ends up to this number are committed in the log.
+    committed: u64,
     /// Ends up to this number were acknowledged to the worker, which may forget them.
     acknowledged: u64,
-    /// Number of the list that carries an acknowledgement, and the number of the end up to which it goes.
+    /// ID of the list that carries an acknowledgement, and the number up to which it acknowledges
+    /// ends.
     acknowledging: Option<(u64, u64)>,
-    /// Since when an acknowledgement is due.
-    unacknowledged: Millis,
-    /// Lists up to this number prove nothing, as a call after them failed: the worker may have started again.
-    doubted: Option<u64>,
-    /// Number of the list that was asked for because of that.
-    checking: Option<u64>,
-    /// When the worker last said that it ends.
-    farewell: Option<Millis>,
+    /// Since when an acknowledgement has been due.
+    acknowledge_since: Millis,
+    /// Lists up to this ID do not show that the incarnation still runs, because a later call
+    /// failed: the worker may have restarted.
+    distrusted_list: Option<u64>,
+    /// ID of the list requested to find out whether it has.
+    check_list: Option<u64>,
+    /// When the worker last deregistered.
+    deregistered_at: Option<Millis>,
     runs: BTreeMap<RunName, Run>,
     ends: BTreeMap<u64, EndRow>,
     unstarted: BTreeSet<RunName>,
-    looks: u64,
-    /// Number of the list that is waited for.
-    looking: Option<u64>,
-    look_due: Millis,
-    look_fails: u32,
-    /// When this life last listed, or was believed without a list.
-    listed: Millis,
-    /// This life has listed.
-    answered: bool,
-    /// When this life last answered a call.
-    alive: Millis,
-    /// Nobody took the last call at its address.
-    refused: bool,
-    reported: Millis,
-    /// There is something to report at once.
-    news: bool,
+    last_list_id: u64,
+    /// ID of the list whose answer is awaited.
+    pending_list: Option<u64>,
+    list_due: Millis,
+    list_failures: u32,
+    /// When this incarnation last returned a list, or was adopted without one.
+    listed_at: Millis,
+    /// Whether this incarnation has returned a list.
+    has_listed: bool,
+    /// When this incarnation last answered a call.
+    answered_at: Millis,
+    /// Whether nothing accepted the last call at its address.
+    unreachable: bool,
+    reported_at: Millis,
+    /// Whether a report is due at once.
+    report_now: bool,
     pacing: Pacing,
     outputs: Vec<Output>,
 }
 
 impl Core {
-    /// An agent that knows nothing.
+    /// Creates the core of an agent that has no state yet.
     pub fn new() -> Core {
         Core::default()
     }
 
-    /// The life of the worker, if it is known.
-    pub fn life(&self) -> Option<&str> {
-        self.worker.as_ref().map(|worker| worker.life.as_str())
+    /// Returns the incarnation of the worker, if known.
+    pub fn incarnation(&self) -> Option<&str> {
+        self.worker.as_ref().map(|worker| worker.incarnation.as_str())
     }
 
-    /// Whether a registration says something that was not known, besides the time.
-    pub fn news_in(&self, registration: &Registration) -> bool {
+    /// Returns whether a registration changes the incarnation, the draining state or the capacity.
+    pub fn has_changes(&self, registration: &Registration) -> bool {
         let known = self.worker.as_ref();
         known.is_none_or(|known| {
-            known.life != registration.life
+            known.incarnation != registration.incarnation
                 || known.draining != registration.draining
                 || known.room != registration.room
         })
     }
 
-    /// Why a registration that names the known life cannot be its own: a life has one pool and one address, its
-    /// clock goes about as fast as the agent's, and it counts its registrations.
+    /// Returns why a registration that names the known incarnation cannot come from it. An
+    /// incarnation keeps its pool and address, its clock runs at about the agent's speed, and it
+    /// numbers its registrations in order.
     pub fn mismatch(&self, now: Millis, registration: &Registration) -> Option<Mismatch> {
-        let known = self.worker.as_ref().filter(|known| known.life == registration.life)?;
+        let known =
+            self.worker.as_ref().filter(|known| known.incarnation == registration.incarnation)?;
         let ahead_ms = registration.clock_ms.saturating_sub(self.clock_ms);
         if known.pool != registration.pool {
             Some(Mismatch::Pool)
         } else if known.address != registration.address {
             Some(Mismatch::Address)
-        } else if ahead_ms > now.since(self.clocked) + CLOCK_SLACK_MS {
+        } else if ahead_ms > now.since(self.clock_read_at) + CLOCK_SLACK_MS {
             Some(Mismatch::Clock)
-        } else if registration.sequence.saturating_sub(known.sequence) > MOST_MISSED {
+        } else if registration.sequence.saturating_sub(known.sequence) > MAX_MISSED {
             Some(Mismatch::Sequence)
         } else {
             None
         }
     }
 
-    /// The worker says something of itself. From a draining worker's on, nothing is started.
+    /// Handles a registration. Nothing is started after a draining worker has registered.
     pub fn registered(&mut self, now: Millis, registration: Registration) {
-        if self.over.contains(&registration.life) || self.mismatch(now, &registration).is_some() {
+        if self.ended.contains(&registration.incarnation)
+            || self.mismatch(now, &registration).is_some()
+        {
             return;
         }
-        let known = self.worker.as_ref().filter(|worker| worker.life == registration.life);
+        let known =
+            self.worker.as_ref().filter(|worker| worker.incarnation == registration.incarnation);
         match known {
             None => return self.claim(now, registration),
             Some(known) if registration.sequence <= known.sequence => return,
-            // Room that has shrunk is told before the leader counts on it again.
+            // Reported at once, so that the leader does not place runs on capacity that is gone.
             Some(known) => {
-                self.news |= known.draining != registration.draining;
-                self.news |= known.room != registration.room;
+                self.report_now |= known.draining != registration.draining;
+                self.report_now |= known.room != registration.room;
             }
         }
         if registration.draining {
-            self.start_nothing_more(now);
+            self.cancel_starts(now);
         }
-        self.note_clock(now, registration.clock_ms);
+        self.update_clock(now, registration.clock_ms);
         self.worker = Some(registration);
     }
 
-    /// Runs whose start has not been confirmed are given up.
-    fn start_nothing_more(&mut self, now: Millis) {
+    /// Stops all runs whose start has not been confirmed.
+    fn cancel_starts(&mut self, now: Millis) {
         for run in self.runs.values_mut() {
             if matches!(run.phase, Phase::Starting { .. }) {
                 run.stop(now);
@@ -257,78 +271,82 @@
         }
     }
 
-    /// Forgets all of the former life; none is known if `life` is empty.
-    fn new_life(&mut self, now: Millis, life: &str) {
-        if let Some(before) = self.worker.take().filter(|before| before.life != life) {
-            self.keep_former(before);
+    /// Resets all state of the previous incarnation. `incarnation` names the new one, and is empty
+    /// if none is known.
+    fn reset(&mut self, now: Millis, incarnation: &str) {
+        if let Some(before) = self.worker.take().filter(|before| before.incarnation != incarnation)
+        {
+            self.keep_previous(before);
         }
         *self = Core {
-            formers: std::mem::take(&mut self.formers),
-            over: std::mem::take(&mut self.over),
+            previous: std::mem::take(&mut self.previous),
+            ended: std::mem::take(&mut self.ended),
             claims: std::mem::take(&mut self.claims),
             term: self.term,
-            fenced: self.fenced,
-            listed: now,
-            alive: now,
-            clocked: now,
-            looks: self.looks,
+            refused_token: self.refused_token,
+            listed_at: now,
+            answered_at: now,
+            clock_read_at: now,
+            last_list_id: self.last_list_id,
             outputs: std::mem::take(&mut self.outputs),
             ..Core::default()
         };
-        self.news = true;
-        self.report_formers();
+        self.report_now = true;
+        self.report_previous();
     }
 
-    fn remember_over(&mut self, life: String) {
-        self.over.push_back(life);
-        let more = self.over.len().saturating_sub(OVER_KEPT);
-        self.over.drain(..more);
+    fn remember_ended(&mut self, incarnation: String) {
+        self.ended.push_back(incarnation);
+        let excess = self.ended.len().saturating_sub(MAX_ENDED);
+        self.ended.drain(..excess);
     }
 
-    /// Whether calls are of use: a leader is known, and no worker has refused its term as too low.
+    /// Returns whether calls can succeed: a leader is known, and no worker has refused its term as
+    /// too low.
     fn may_call(&self) -> bool {
-        self.term > self.fenced
+        self.term > self.refused_token
     }
 
-    /// The worker of that id says that it ends. The word may come late, when the worker has started again under its id, so
-    /// it is believed once nobody takes calls any more.
-    pub fn leaves(&mut self, now: Millis, id: &str) {
+    /// Handles the deregistration of the worker with this ID. It may arrive late, after the worker
+    /// has restarted under its ID, so it takes effect only once nothing accepts calls at the
+    /// address.
+    pub fn deregistered(&mut self, now: Millis, id: &str) {
         if self.worker.as_ref().is_some_and(|worker| worker.id == id) {
-            self.farewell = Some(now);
-            self.look(0);
+            self.deregistered_at = Some(now);
+            self.request_list(0);
         }
     }
 
-    /// Nobody takes calls at the worker's address: whether it has left, as it had said.
+    /// Returns whether a worker whose address accepts no calls has left after deregistering.
     fn has_left(&mut self, now: Millis) -> bool {
-        let left = self.farewell.is_some_and(|at| now.since(at) < FAREWELL_MS);
+        let left = self.deregistered_at.is_some_and(|at| now.since(at) < DEREGISTRATION_MS);
         if left && let Some(worker) = &mut self.worker {
             worker.draining = true;
         }
         left
     }
 
-    /// What to report of the runs.
+    /// Returns the rows of all runs for a report.
     fn rows(&self) -> Vec<RunRow> {
-        self.runs.values().map(|run| run.row(self.alive)).collect()
+        self.runs.values().map(|run| run.row(self.answered_at)).collect()
     }
 
-    /// There is a link to a leader that may know nothing of this agent.
+    /// Handles a new link to a leader that may know nothing about this agent.
     pub fn leader_up(&mut self, term: u64) {
         self.term = self.term.max(term);
-        self.news = true;
-        self.report_formers();
-        self.ask_claims();
+        self.report_now = true;
+        self.report_previous();
+        self.query_claims();
     }
 
-    /// Control orders something.
+    /// Handles an order from control.
     pub fn order(&mut self, now: Millis, order: Order) {
-        if order.term < self.term || self.life() != Some(order.worker.as_str()) {
+        if order.term < self.term || self.incarnation() != Some(order.worker.as_str()) {
             return;
         }
         self.term = order.term;
         self.lease_end_ms = self.lease_end_ms.max(order.lease_end_ms);
-        self.settle(now, order.settled);
+        self.commit_ends(now, order.settled);
         for run in &order.forget {
             self.unstarted.remove(run);
         }
@@ -345,19 +363,19 @@
         }
     }
 
-    /// Ends up to this number are in the log; once none is left the worker is asked again.
-    fn settle(&mut self, now: Millis, settled: u64) {
-        if settled <= self.settled {
+    /// Records that ends up to this number are committed. If no end is left, a list is requested.
+    fn commit_ends(&mut self, now: Millis, committed: u64) {
+        if committed <= self.committed {
             return;
         }
-        if self.settled == self.acknowledged {
-            self.unacknowledged = now;
+        if self.committed == self.acknowledged {
+            self.acknowledge_since = now;
         }
-        self.settled = settled;
-        self.ends.retain(|number, _| *number > settled);
-        self.settle_doubts();
+        self.committed = committed;
+        self.ends.retain(|number, _| *number > committed);
+        self.report_resolved();
         if self.ends.is_empty() {
-            self.look_due = self.look_due.min(now);
+            self.list_due = self.list_due.min(now);
         }
     }
 
@@ -369,14 +387,15 @@
         }
         let draining = self.worker.as_ref().is_none_or(|worker| worker.draining);
         let watch = Some(order.watch.clone());
-        // Whether a suspect took the worker down can be told only if the worker is known to live when the
-        // suspect starts, and for how long all else has lived there.
-        let careful = order.watch.tell_ms > 0 && !draining;
-        let phase = if draining { Phase::Stopping } else { Phase::Starting { order, tries: 0 } };
+        // It can be decided whether a suspect took the worker down only if the worker is known to
+        // be up when the suspect starts, and if it is known for how long everything else has run
+        // there.
+        let await_answer = order.watch.tell_ms > 0 && !draining;
+        let phase = if draining { Phase::Stopping } else { Phase::Starting { order, attempts: 0 } };
         let mut run = Run::new(name, phase, watch, now);
-        if careful {
-            run.awaits = Some(self.look(0));
-            run.due = now + MEET_MS;
+        if await_answer {
+            run.awaited_list = Some(self.request_list(0));
+            run.due = now + START_WAIT_MS;
         }
         self.runs.insert(name, run);
     }
@@ -387,7 +406,7 @@
         }
         let run =
             self.runs.entry(name).or_insert_with(|| Run::new(name, Phase::Stopping, None, now));
-        if !run.stops() {
+        if !run.is_stopping() {
             run.stop(now);
         }
     }
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -1,5 +1,5 @@
-//! Runs that a worker starts late or that nobody wants any more: how soon the agent tells control
-//! of them, and how soon and how long it calls for their stop.
+//! Runs that start late or are no longer wanted: how soon the agent reports them to control, and
+//! how soon and how long it calls the worker to stop them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,58 +8,58 @@
 use pond_proto::job::{How, RunName, TaskName};
 use pond_proto::{Millis, Size, Span};
 
-const LIFE: &str = "life-1";
+const INCARNATION: &str = "incarnation-1";
 const TERM: u64 = 3;
 
-/// Step of the injected clock, in milliseconds; the bounds below are met to within one.
+/// Step of the simulated clock, in milliseconds. The limits below are met to within one step.
 const STEP_MS: Span = 10;
 
-/// From a start that nobody waits for until control is told, in milliseconds: one list, which waits
-/// for an end and not for a start.
-const TOLD_MS: Span = 1_000;
+/// Time from an unexpected start until it is reported to control, in milliseconds: one list, which
+/// waits for an end and not for a start.
+const REPORTED_WITHIN_MS: Span = 1_000;
 
-/// From an order to stop until the call, in milliseconds.
-const CALLED_MS: Span = 0;
+/// Time from an order to stop until the call, in milliseconds.
+const CALLED_WITHIN_MS: Span = 0;
 
-/// From a call to stop without an answer until the next one, in milliseconds: the time for its
-/// answer and the first wait.
-const FIRST_AGAIN_MS: Span = 1_000;
+/// Time from an unanswered stop call until the next one, in milliseconds: the answer timeout and
+/// the first wait.
+const FIRST_RETRY_MS: Span = 1_000;
 
-/// The same however often there was none: the time for the answer and the longest wait.
-const AGAIN_MS: Span = 2_400;
+/// The same after any number of unanswered calls: the answer timeout and the longest wait.
+const RETRY_MS: Span = 2_400;
 
-/// From a confirmed stop of a run that goes on until the next call, in milliseconds: a stop takes a
-/// fifth of a second, and half a second is given to it; two answers come before.
-const NOT_STOPPED_MS: Span = 520;
+/// Time from a confirmed stop of a run that continues until the next call, in milliseconds. A stop
+/// takes 200 ms and is given 500 ms. Two answers come before it.
+const STOP_REPEATED_WITHIN_MS: Span = 520;
 
 /// The longest lease in these tests, in milliseconds.
-const HOLD_MS: u64 = 6_000;
+const LEASE_MS: u64 = 6_000;
 
 fn run(index: u32) -> RunName {
     RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
 }
 
-/// A call on its way, and when it is answered at the latest.
-struct Flight {
+/// A call in flight, and when it is answered at the latest.
+struct PendingCall {
     token: u64,
-    look: u64,
+    list_id: u64,
     call: Call,
     due: Millis,
     unanswered: bool,
 }
 
-/// A worker on the injected clock: it answers at once, but for the lists that wait, and leaves
-/// calls unanswered as told.
+/// A worker on the simulated clock. It answers at once, except for lists that wait, and can leave
+/// calls unanswered.
 #[derive(Default)]
 struct Worker {
     running: BTreeSet<RunName>,
     ends: Vec<EndRow>,
-    /// Runs that it does not start any more.
-    barred: BTreeSet<RunName>,
-    mute_starts: bool,
-    mute_stops: bool,
-    /// It confirms stops, and the runs go on.
-    deaf: bool,
+    /// Runs that it refuses to start.
+    refused_runs: BTreeSet<RunName>,
+    ignore_starts: bool,
+    ignore_stops: bool,
+    /// It confirms stops, but the runs continue.
+    runs_survive_stop: bool,
     fence: u64,
     lease_end_ms: u64,
 }
@@ -73,22 +73,22 @@
     }
 
     fn stop(&mut self, name: RunName) {
-        self.barred.insert(name);
-        if !self.deaf {
+        self.refused_runs.insert(name);
+        if !self.runs_survive_stop {
             self.end(name, How::Stopped);
         }
     }
 
-    fn is_mute(&self, call: &Call) -> bool {
+    fn ignores(&self, call: &Call) -> bool {
         match call {
-            Call::Start { .. } => self.mute_starts,
-            Call::Stop { .. } => self.mute_stops,
+            Call::Start { .. } => self.ignore_starts,
+            Call::Stop { .. } => self.ignore_stops,
             _ => false,
         }
     }
 
-    fn has_news(&self, settled: u64) -> bool {
-        self.ends.iter().any(|end| end.number > settled)
+    fn has_new_ends(&self, committed: u64) -> bool {
+        self.ends.iter().any(|end| end.number > committed)
     }
 
     fn carry_out(&mut self, token: u64, call: &Call) -> Reply {
@@ -98,7 +98,7 @@
         self.fence = token;
         match call {
             Call::Start { run, lease_end_ms, .. } => {
-                if self.barred.contains(run) {
+                if self.refused_runs.contains(run) {
                     return Reply::Refused(Refusal::Old);
                 }
                 self.lease_end_ms = self.lease_end_ms.max(*lease_end_ms);
@@ -109,10 +109,10 @@
                 self.stop(*run);
                 Reply::Done
             }
-            Call::Look { lease_end_ms, settled, .. } => {
+            Call::List { lease_end_ms, committed, .. } => {
                 self.lease_end_ms = self.lease_end_ms.max(*lease_end_ms);
                 let row = |run: &RunName| RunRow { run: *run, percent: 5, ..RunRow::default() };
-                let ends = self.ends.iter().filter(|end| end.number > *settled).cloned();
+                let ends = self.ends.iter().filter(|end| end.number > *committed).cloned();
                 Reply::Listed { runs: self.running.iter().map(row).collect(), ends: ends.collect() }
             }
             Call::Pace { .. } => Reply::Done,
@@ -120,45 +120,45 @@
     }
 }
 
-/// An agent beside that worker, with everything that it hands out and when.
-struct Bench {
+/// An agent and its worker, with all outputs of the agent and their times.
+struct Harness {
     core: Core,
     now: Millis,
     worker: Worker,
-    flights: Vec<Flight>,
+    pending_calls: Vec<PendingCall>,
     stops: Vec<(Millis, RunName)>,
     starts: Vec<Millis>,
-    looks: usize,
+    lists: usize,
     reports: Vec<(Millis, Report)>,
 }
 
-impl Bench {
-    /// An agent that knows its worker and a leader, half a second into its second list.
-    fn new() -> Bench {
-        let mut bench = Bench::without_leader();
-        bench.core.leader_up(TERM);
-        bench.register(1);
-        bench.pass(1_500);
-        bench
+impl Harness {
+    /// Creates an agent that knows its worker and a leader, half a second into its second list.
+    fn new() -> Harness {
+        let mut harness = Harness::without_leader();
+        harness.core.leader_up(TERM);
+        harness.register(1);
+        harness.advance(1_500);
+        harness
     }
 
-    fn without_leader() -> Bench {
-        Bench {
+    fn without_leader() -> Harness {
+        Harness {
             core: Core::new(),
             now: Millis(10_000),
             worker: Worker::default(),
-            flights: Vec::new(),
+            pending_calls: Vec::new(),
             stops: Vec::new(),
             starts: Vec::new(),
-            looks: 0,
+            lists: 0,
             reports: Vec::new(),
         }
     }
 
     fn register(&mut self, sequence: u64) {
         let registration = Registration {
-            id: LIFE.to_owned(),
-            life: LIFE.to_owned(),
+            id: INCARNATION.to_owned(),
+            incarnation: INCARNATION.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             clock_ms: self.clock_ms(),
@@ -169,10 +169,10 @@
         self.tick();
     }
 
-    /// Another agent takes over, which knows nothing.
+    /// Replaces the agent with a new one that knows nothing.
     fn replace_agent(&mut self) {
         self.core = Core::new();
-        self.flights.clear();
+        self.pending_calls.clear();
     }
 
     fn clock_ms(&self) -> u64 {
@@ -182,52 +182,67 @@
     fn tick(&mut self) {
         for output in self.core.tick(self.now) {
             match output {
-                Output::Call { token, look, call, .. } => self.call(token, look, call),
+                Output::Call { token, list_id, call, .. } => self.call(token, list_id, call),
                 Output::Report(report) => self.reports.push((self.now, report)),
                 Output::Observed(_) => {}
             }
         }
     }
 
-    fn call(&mut self, token: u64, look: u64, call: Call) {
+    fn call(&mut self, token: u64, list_id: u64, call: Call) {
         match &call {
             Call::Stop { run } => self.stops.push((self.now, *run)),
             Call::Start { .. } => self.starts.push(self.now),
-            Call::Look { .. } => self.looks += 1,
+            Call::List { .. } => self.lists += 1,
             Call::Pace { .. } => {}
         }
-        let unanswered = self.worker.is_mute(&call);
+        let unanswered = self.worker.ignores(&call);
         let wait = match &call {
-            _ if unanswered => call.patience_ms(),
-            Call::Look { wait_ms, .. } => *wait_ms,
+            _ if unanswered => call.timeout_ms(),
+            Call::List { wait_ms, .. } => *wait_ms,
             _ => 0,
         };
-        self.flights.push(Flight { token, look, call, due: self.now + wait, unanswered });
+        self.pending_calls.push(PendingCall {
+            token,
+            list_id,
+            call,
+            due: self.now + wait,
+            unanswered,
+        });
     }
 
-    /// Hands over the answers that are due; a list comes early if there is an end to tell.
+    /// Delivers the answers that are due. A list is answered early if there is an end to report.
     fn deliver(&mut self) {
-        let due = |flight: &Flight, worker: &Worker| {
-            let early = match &flight.call {
-                Call::Look { settled, .. } => worker.has_news(*settled),
+        let due = |pending: &PendingCall, worker: &Worker| {
+            let early = match &pending.call {
+                Call::List { committed, .. } => worker.has_new_ends(*committed),
                 _ => false,
             };
-            early || flight.due <= self.now
+            early || pending.due <= self.now
         };
-        while let Some(found) = self.flights.iter().position(|flight| due(flight, &self.worker)) {
-            let flight = self.flights.remove(found);
-            let answer = if flight.unanswered {
+        while let Some(found) =
+            self.pending_calls.iter().position(|pending| due(pending, &self.worker))
+        {
+            let pending = self.pending_calls.remove(found);
+            let answer = if pending.unanswered {
                 Answer { clock_ms: None, reply: Reply::Unknown }
             } else {
-                let reply = self.worker.carry_out(flight.token, &flight.call);
+                let reply = self.worker.carry_out(pending.token, &pending.call);
                 Answer { clock_ms: Some(self.clock_ms()), reply }
             };
-            self.core.answer(self.now, LIFE, flight.token, flight.look, &flight.call, answer);
+            self.core.answer(
+                self.now,
+                INCARNATION,
+                pending.token,
+                pending.list_id,
+                &pending.call,
+                answer,
+            );
         }
     }
 
-    /// Time passes in steps of the clock.
-    fn pass(&mut self, ms: Span) {
+    /// Advances the time in steps of the clock.
+    fn advance(&mut self, ms: Span) {
         let end = self.now + ms;
         while self.now < end {
             self.now = self.now + STEP_MS;
@@ -236,19 +251,20 @@
         }
     }
 
-    /// Time passes until something is so; how long it took, at most `bound` and a step.
-    fn until(&mut self, bound: Span, what: fn(&Bench) -> bool) -> Span {
+    /// Advances the time until `condition` holds. Returns how long it took, at most `bound` and one
+    /// step.
+    fn advance_until(&mut self, bound: Span, condition: fn(&Harness) -> bool) -> Span {
         let since = self.now;
-        while !what(self) {
+        while !condition(self) {
             let took = self.now.since(since);
             assert!(took <= bound, "not within {bound} ms");
-            self.pass(STEP_MS);
+            self.advance(STEP_MS);
         }
         self.now.since(since)
     }
 
     fn order(&mut self, order: Order) {
-        let order = Order { worker: LIFE.to_owned(), term: order.term.max(TERM), ..order };
+        let order = Order { worker: INCARNATION.to_owned(), term: order.term.max(TERM), ..order };
         self.core.order(self.now, order);
         self.tick();
     }
@@ -256,7 +272,7 @@
     fn order_start(&mut self, index: u32) {
         let watch = Watch { run: run(index), ..Watch::default() };
         let start = StartOrder { run: run(index), watch, ..StartOrder::default() };
-        let lease_end_ms = self.clock_ms() + HOLD_MS;
+        let lease_end_ms = self.clock_ms() + LEASE_MS;
         self.order(Order { lease_end_ms, starts: vec![start], ..Order::default() });
     }
 
@@ -264,15 +280,15 @@
         self.order(Order { stops: vec![run(index)], ..Order::default() });
     }
 
-    /// Run 0 gets no answer, is given up and is reported as unstarted.
+    /// Orders run 0, whose start gets no answer, and waits until it is reported as unstarted.
     fn give_up_start(&mut self) {
-        self.worker.mute_starts = true;
+        self.worker.ignore_starts = true;
         self.order_start(0);
-        self.until(4_500, |bench| bench.last().unstarted == [run(0)]);
+        self.advance_until(4_500, |harness| harness.last().unstarted == [run(0)]);
         assert_eq!((self.starts.len(), self.stops.len()), (3, 1));
     }
 
-    /// The worker carries out an earlier start after all.
+    /// Makes the worker carry out an earlier start late.
     fn start_late(&mut self, index: u32) {
         self.worker.running.insert(run(index));
     }
@@ -281,318 +297,324 @@
         &self.reports.last().expect("no report").1
     }
 
-    fn tells_of_run(&self) -> bool {
+    fn reports_run(&self) -> bool {
         self.last().runs.iter().any(|row| row.run == run(0))
     }
 }
 
 #[test]
-fn start_that_was_given_up_and_came_late_is_told_with_the_list_that_shows_it() {
-    let mut bench = Bench::new();
-    bench.give_up_start();
-    bench.order(Order { forget: vec![run(0)], ..Order::default() });
-    // The time between reports must not add to it, whenever the start comes.
+fn late_start_after_giving_up_is_reported_with_the_list_that_shows_it() {
+    let mut harness = Harness::new();
+    harness.give_up_start();
+    harness.order(Order { forget: vec![run(0)], ..Order::default() });
+    // The time between reports must not add to the delay, whenever the start happens.
     for late_ms in [0, 300, 600, 900] {
-        bench.pass(3_000 + late_ms);
-        bench.start_late(0);
-        bench.until(TOLD_MS, Bench::tells_of_run);
-        bench.order_stop(0);
-        bench.until(100, |bench| !bench.last().ends.is_empty());
-        let settled = bench.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        bench.order(Order { settled, ..Order::default() });
-        bench.until(TOLD_MS, |bench| !bench.tells_of_run());
+        harness.advance(3_000 + late_ms);
+        harness.start_late(0);
+        harness.advance_until(REPORTED_WITHIN_MS, Harness::reports_run);
+        harness.order_stop(0);
+        harness.advance_until(100, |harness| !harness.last().ends.is_empty());
+        let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
+        harness.order(Order { settled, ..Order::default() });
+        harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
 
 #[test]
-fn run_that_came_late_is_stopped_with_the_order() {
-    let mut bench = Bench::new();
-    bench.give_up_start();
-    bench.order(Order { forget: vec![run(0)], ..Order::default() });
-    bench.start_late(0);
-    bench.pass(2_000);
-    let before = bench.stops.len();
-    bench.order_stop(0);
-    let took = bench.until(CALLED_MS, |bench| bench.stops.len() > 1);
+fn run_that_started_late_is_stopped_with_the_order() {
+    let mut harness = Harness::new();
+    harness.give_up_start();
+    harness.order(Order { forget: vec![run(0)], ..Order::default() });
+    harness.start_late(0);
+    harness.advance(2_000);
+    let before = harness.stops.len();
+    harness.order_stop(0);
+    let took = harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() > 1);
     assert_eq!((before, took), (1, 0));
-    bench.until(TOLD_MS, |bench| bench.last().ends.iter().any(|end| end.run == run(0)));
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| {
+        harness.last().ends.iter().any(|end| end.run == run(0))
+    });
 }
 
 #[test]
-fn run_that_came_late_is_stopped_though_control_has_not_heard_that_it_was_given_up() {
-    let mut bench = Bench::new();
-    bench.give_up_start();
-    bench.start_late(0);
-    bench.until(TOLD_MS, Bench::tells_of_run);
-    assert!(bench.last().unstarted.is_empty(), "it did start");
-    bench.order_stop(0);
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 2);
+fn run_that_started_late_is_stopped_before_control_hears_that_it_was_given_up() {
+    let mut harness = Harness::new();
+    harness.give_up_start();
+    harness.start_late(0);
+    harness.advance_until(REPORTED_WITHIN_MS, Harness::reports_run);
+    assert!(harness.last().unstarted.is_empty(), "the run has started");
+    harness.order_stop(0);
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 2);
 }
 
 #[test]
-fn run_that_goes_on_after_its_confirmed_stop_is_stopped_again() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    bench.worker.deaf = true;
-    bench.order_stop(0);
+fn run_that_continues_after_its_confirmed_stop_is_stopped_again() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    harness.worker.runs_survive_stop = true;
+    harness.order_stop(0);
     for stops in 2..6 {
-        bench.until(NOT_STOPPED_MS, |bench| bench.stops.len() >= 2);
-        assert_eq!(bench.stops.len(), 2, "round {stops}");
-        bench.stops.remove(0);
+        harness.advance_until(STOP_REPEATED_WITHIN_MS, |harness| harness.stops.len() >= 2);
+        assert_eq!(harness.stops.len(), 2, "round {stops}");
+        harness.stops.remove(0);
     }
-    bench.worker.deaf = false;
-    bench.until(NOT_STOPPED_MS + TOLD_MS, |bench| !bench.last().ends.is_empty());
-    bench.stops.clear();
-    bench.pass(5_000);
-    assert_eq!(bench.stops, []);
+    harness.worker.runs_survive_stop = false;
+    harness.advance_until(STOP_REPEATED_WITHIN_MS + REPORTED_WITHIN_MS, |harness| {
+        !harness.last().ends.is_empty()
+    });
+    harness.stops.clear();
+    harness.advance(5_000);
+    assert_eq!(harness.stops, []);
 }
 
 #[test]
-fn stop_that_takes_its_time_is_called_once() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    bench.worker.deaf = true;
-    bench.order_stop(0);
-    // The list that is asked for after the stop shows the run still at its end.
-    bench.pass(200);
-    bench.worker.end(run(0), How::Stopped);
-    bench.pass(5_000);
-    assert_eq!(bench.stops.len(), 1);
+fn slow_stop_is_called_once() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    harness.worker.runs_survive_stop = true;
+    harness.order_stop(0);
+    // The list requested after the stop still shows the run at its end.
+    harness.advance(200);
+    harness.worker.end(run(0), How::Stopped);
+    harness.advance(5_000);
+    assert_eq!(harness.stops.len(), 1);
 }
 
 #[test]
 fn stop_does_not_wait_for_the_answer_to_a_start() {
-    // Both are on their way; the worker refuses a start that comes after the stop.
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.order_start(0);
-    bench.pass(100);
-    bench.order_stop(0);
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 1);
-    // The start's missing answer changes nothing: it is not made again, and neither is the stop.
-    bench.pass(5_000);
-    assert_eq!((bench.starts.len(), bench.stops.len()), (1, 1));
-    assert_eq!(bench.last().unstarted, [run(0)]);
+    // Both calls are in flight. The worker refuses a start that arrives after the stop.
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.order_start(0);
+    harness.advance(100);
+    harness.order_stop(0);
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
+    // The missing answer to the start has no effect: neither the start nor the stop is repeated.
+    harness.advance(5_000);
+    assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
+    assert_eq!(harness.last().unstarted, [run(0)]);
 }
 
 #[test]
-fn missing_answer_to_a_start_does_not_bring_the_next_stop_forward() {
-    // The worker leaves both unanswered; each stop has its own time for an answer.
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.worker.mute_stops = true;
-    bench.order_start(0);
-    bench.pass(100);
-    bench.order_stop(0);
-    bench.pass(FIRST_AGAIN_MS - STEP_MS);
-    assert_eq!(bench.stops.len(), 1);
-    bench.pass(STEP_MS);
-    assert_eq!((bench.starts.len(), bench.stops.len()), (1, 2));
+fn missing_answer_to_a_start_does_not_advance_the_next_stop() {
+    // The worker answers neither call. Each stop has its own answer timeout.
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.worker.ignore_stops = true;
+    harness.order_start(0);
+    harness.advance(100);
+    harness.order_stop(0);
+    harness.advance(FIRST_RETRY_MS - STEP_MS);
+    assert_eq!(harness.stops.len(), 1);
+    harness.advance(STEP_MS);
+    assert_eq!((harness.starts.len(), harness.stops.len()), (1, 2));
 }
 
 #[test]
-fn start_with_tries_left_is_not_made_again_once_it_should_stop() {
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.order_start(0);
-    // Its first call had no answer, and the next one is not due yet.
-    bench.pass(900);
-    bench.order_stop(0);
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 1);
-    bench.pass(3_000);
-    assert_eq!((bench.starts.len(), bench.stops.len()), (1, 1));
+fn start_with_attempts_left_is_not_repeated_after_an_order_to_stop() {
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.order_start(0);
+    // The first call got no answer, and the next one is not due yet.
+    harness.advance(900);
+    harness.order_stop(0);
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
+    harness.advance(3_000);
+    assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
 }
 
 #[test]
-fn start_of_a_run_that_should_stop_comes_late_and_is_found() {
-    // Even if the worker carries it out after it confirmed the stop.
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.order_start(0);
-    bench.pass(100);
-    bench.order_stop(0);
-    bench.until(TOLD_MS, |bench| !bench.last().unstarted.is_empty());
-    bench.order(Order { forget: vec![run(0)], ..Order::default() });
-    bench.pass(2_000);
-    bench.start_late(0);
-    bench.until(TOLD_MS, Bench::tells_of_run);
-    bench.order_stop(0);
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 2);
+fn late_start_of_a_run_that_should_stop_is_found() {
+    // This holds even if the worker carries out the start after it confirmed the stop.
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.order_start(0);
+    harness.advance(100);
+    harness.order_stop(0);
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.last().unstarted.is_empty());
+    harness.order(Order { forget: vec![run(0)], ..Order::default() });
+    harness.advance(2_000);
+    harness.start_late(0);
+    harness.advance_until(REPORTED_WITHIN_MS, Harness::reports_run);
+    harness.order_stop(0);
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 2);
 }
 
 #[test]
-fn stop_without_an_answer_is_called_again_until_it_is_confirmed() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    bench.worker.mute_stops = true;
-    bench.order_stop(0);
-    bench.until(FIRST_AGAIN_MS, |bench| bench.stops.len() == 2);
+fn stop_without_an_answer_is_repeated_until_confirmed() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    harness.worker.ignore_stops = true;
+    harness.order_stop(0);
+    harness.advance_until(FIRST_RETRY_MS, |harness| harness.stops.len() == 2);
     for _ in 0..5 {
-        bench.stops.clear();
-        bench.until(AGAIN_MS, |bench| bench.stops.len() == 1);
+        harness.stops.clear();
+        harness.advance_until(RETRY_MS, |harness| harness.stops.len() == 1);
     }
-    bench.worker.mute_stops = false;
-    bench.until(2 * AGAIN_MS, |bench| !bench.last().ends.is_empty());
+    harness.worker.ignore_stops = false;
+    harness.advance_until(2 * RETRY_MS, |harness| !harness.last().ends.is_empty());
 }
 
 #[test]
-fn stop_of_a_start_that_was_given_up_is_called_again_as_soon_as_any_other() {
-    // The worker leaves everything about the run unanswered.
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.worker.mute_stops = true;
-    bench.order_start(0);
-    bench.until(4_500, |bench| bench.stops.len() == 1);
-    bench.until(FIRST_AGAIN_MS, |bench| bench.stops.len() == 2);
+fn stop_of_a_start_that_was_given_up_is_repeated_as_soon_as_any_other() {
+    // The worker answers no call about the run.
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.worker.ignore_stops = true;
+    harness.order_start(0);
+    harness.advance_until(4_500, |harness| harness.stops.len() == 1);
+    harness.advance_until(FIRST_RETRY_MS, |harness| harness.stops.len() == 2);
 }
 
 #[test]
 fn stop_that_is_carried_out_late_ends_the_calls() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    bench.worker.mute_stops = true;
-    bench.order_stop(0);
-    bench.pass(2_500);
-    bench.worker.stop(run(0));
-    bench.until(TOLD_MS, |bench| bench.last().ends.len() == 1);
-    bench.order(Order { settled: 1, ..Order::default() });
-    bench.stops.clear();
-    bench.pass(10_000);
-    assert_eq!(bench.stops, []);
-    assert!(bench.last().runs.is_empty());
-    assert!(bench.last().unstarted.is_empty());
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    harness.worker.ignore_stops = true;
+    harness.order_stop(0);
+    harness.advance(2_500);
+    harness.worker.stop(run(0));
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().ends.len() == 1);
+    harness.order(Order { settled: 1, ..Order::default() });
+    harness.stops.clear();
+    harness.advance(10_000);
+    assert_eq!(harness.stops, []);
+    assert!(harness.last().runs.is_empty());
+    assert!(harness.last().unstarted.is_empty());
 }
 
 #[test]
-fn run_that_ends_by_itself_while_its_stop_has_no_answer_counts_as_it_ended() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    bench.worker.mute_stops = true;
-    bench.order_stop(0);
-    bench.pass(1_200);
-    bench.worker.end(run(0), How::Done);
-    bench.until(TOLD_MS, |bench| bench.last().ends.len() == 1);
-    assert_eq!(bench.last().ends[0].how(), How::Done);
-    bench.stops.clear();
-    bench.pass(10_000);
-    assert_eq!(bench.stops, []);
+fn run_that_ends_by_itself_while_its_stop_has_no_answer_keeps_its_outcome() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    harness.worker.ignore_stops = true;
+    harness.order_stop(0);
+    harness.advance(1_200);
+    harness.worker.end(run(0), How::Done);
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().ends.len() == 1);
+    assert_eq!(harness.last().ends[0].how(), How::Done);
+    harness.stops.clear();
+    harness.advance(10_000);
+    assert_eq!(harness.stops, []);
 }
 
 #[test]
-fn fresh_agent_tells_of_a_run_that_was_there_and_stops_it() {
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.order_start(0);
-    bench.pass(100);
-    bench.replace_agent();
-    bench.start_late(0);
-    bench.core.leader_up(TERM);
-    bench.register(9);
-    bench.until(STEP_MS, Bench::tells_of_run);
-    bench.order_stop(0);
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 1);
-    bench.until(TOLD_MS, |bench| !bench.last().ends.is_empty());
+fn new_agent_reports_an_existing_run_and_stops_it() {
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.order_start(0);
+    harness.advance(100);
+    harness.replace_agent();
+    harness.start_late(0);
+    harness.core.leader_up(TERM);
+    harness.register(9);
+    harness.advance_until(STEP_MS, Harness::reports_run);
+    harness.order_stop(0);
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.last().ends.is_empty());
 }
 
 #[test]
-fn fresh_agent_tells_of_a_run_that_its_predecessor_started_and_that_comes_late() {
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.order_start(0);
-    bench.replace_agent();
-    bench.core.leader_up(TERM + 1);
-    bench.register(9);
+fn new_agent_reports_a_late_run_that_its_predecessor_started() {
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.order_start(0);
+    harness.replace_agent();
+    harness.core.leader_up(TERM + 1);
+    harness.register(9);
     for late_ms in [2_000, 2_700, 3_300] {
-        bench.pass(late_ms);
-        bench.start_late(0);
-        bench.until(TOLD_MS, Bench::tells_of_run);
+        harness.advance(late_ms);
+        harness.start_late(0);
+        harness.advance_until(REPORTED_WITHIN_MS, Harness::reports_run);
         let stop = Order { term: TERM + 1, stops: vec![run(0)], ..Order::default() };
-        bench.order(stop);
-        bench.until(100, |bench| !bench.last().ends.is_empty());
-        let settled = bench.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        bench.order(Order { term: TERM + 1, settled, ..Order::default() });
-        bench.until(TOLD_MS, |bench| !bench.tells_of_run());
+        harness.order(stop);
+        harness.advance_until(100, |harness| !harness.last().ends.is_empty());
+        let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
+        harness.order(Order { term: TERM + 1, settled, ..Order::default() });
+        harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
 
 #[test]
-fn fresh_agent_stops_a_run_that_it_has_never_heard_of_before_it_starts() {
-    let mut bench = Bench::new();
-    bench.worker.mute_starts = true;
-    bench.order_start(0);
-    bench.replace_agent();
-    bench.core.leader_up(TERM);
-    bench.register(9);
-    bench.pass(100);
-    bench.order_stop(0);
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 1);
-    bench.until(TOLD_MS, |bench| bench.last().unstarted == [run(0)]);
-    assert!(bench.worker.barred.contains(&run(0)));
+fn new_agent_stops_an_unknown_run_before_it_starts() {
+    let mut harness = Harness::new();
+    harness.worker.ignore_starts = true;
+    harness.order_start(0);
+    harness.replace_agent();
+    harness.core.leader_up(TERM);
+    harness.register(9);
+    harness.advance(100);
+    harness.order_stop(0);
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().unstarted == [run(0)]);
+    assert!(harness.worker.refused_runs.contains(&run(0)));
 }
 
 #[test]
-fn without_a_leader_no_lease_goes_on_beyond_what_was_granted() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    let granted = bench.clock_ms() + HOLD_MS;
-    bench.pass(100);
-    bench.start_late(1);
-    // No leader says anything any more; lists go on, and extend nothing.
-    let looks = bench.looks;
-    bench.pass(2 * HOLD_MS);
-    assert!(bench.looks > looks + 10);
-    assert_eq!(bench.worker.lease_end_ms, granted);
+fn without_a_leader_no_lease_is_extended_beyond_the_granted_time() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    let granted = harness.clock_ms() + LEASE_MS;
+    harness.advance(100);
+    harness.start_late(1);
+    // No leader sends anything any more. Lists continue and extend nothing.
+    let lists = harness.lists;
+    harness.advance(2 * LEASE_MS);
+    assert!(harness.lists > lists + 10);
+    assert_eq!(harness.worker.lease_end_ms, granted);
 }
 
 #[test]
-fn agent_that_knows_no_leader_extends_nothing() {
-    let mut bench = Bench::without_leader();
-    bench.start_late(0);
-    bench.register(1);
-    bench.pass(2 * HOLD_MS);
-    assert_eq!((bench.looks, bench.worker.lease_end_ms), (0, 0));
-    // The first leader that it finds is told at once.
-    bench.core.leader_up(TERM);
-    bench.register(2);
-    bench.until(STEP_MS, Bench::tells_of_run);
+fn agent_without_a_leader_extends_nothing() {
+    let mut harness = Harness::without_leader();
+    harness.start_late(0);
+    harness.register(1);
+    harness.advance(2 * LEASE_MS);
+    assert_eq!((harness.lists, harness.worker.lease_end_ms), (0, 0));
+    // The first leader that is found gets a report at once.
+    harness.core.leader_up(TERM);
+    harness.register(2);
+    harness.advance_until(STEP_MS, Harness::reports_run);
 }
 
 #[test]
-fn agent_whose_token_is_refused_extends_nothing_and_tells_the_next_leader() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    let granted = bench.worker.lease_end_ms;
-    bench.worker.fence = TERM + 2;
-    bench.pass(2 * HOLD_MS);
-    bench.start_late(1);
-    assert_eq!(bench.worker.lease_end_ms, granted);
-    bench.core.leader_up(TERM + 2);
-    bench.until(TOLD_MS, |bench| bench.last().runs.iter().any(|row| row.run == run(1)));
-    bench.order(Order { term: TERM + 2, stops: vec![run(1)], ..Order::default() });
-    bench.until(CALLED_MS, |bench| bench.stops.len() == 1);
+fn agent_with_a_refused_token_extends_nothing_and_reports_to_the_next_leader() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    let granted = harness.worker.lease_end_ms;
+    harness.worker.fence = TERM + 2;
+    harness.advance(2 * LEASE_MS);
+    harness.start_late(1);
+    assert_eq!(harness.worker.lease_end_ms, granted);
+    harness.core.leader_up(TERM + 2);
+    harness.advance_until(REPORTED_WITHIN_MS, |harness| {
+        harness.last().runs.iter().any(|row| row.run == run(1))
+    });
+    harness.order(Order { term: TERM + 2, stops: vec![run(1)], ..Order::default() });
+    harness.advance_until(CALLED_WITHIN_MS, |harness| harness.stops.len() == 1);
 }
 
 #[test]
-fn lease_for_others_leaves_a_run_that_nobody_wants_alive_until_its_stop() {
-    let mut bench = Bench::new();
-    bench.order_start(0);
-    bench.pass(100);
-    bench.start_late(1);
+fn lease_extended_for_other_runs_keeps_an_unwanted_run_alive_until_its_stop() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.advance(100);
+    harness.start_late(1);
     let mut stopped: BTreeMap<RunName, Millis> = BTreeMap::new();
     for _ in 0..10 {
-        let lease_end_ms = bench.clock_ms() + HOLD_MS;
-        let stray = bench.last().runs.iter().any(|row| row.run == run(1));
-        let stops = if stray { vec![run(1)] } else { Vec::new() };
-        bench.order(Order { lease_end_ms, stops, ..Order::default() });
-        bench.pass(500);
-        stopped.extend(bench.stops.iter().map(|(at, run)| (*run, *at)));
+        let lease_end_ms = harness.clock_ms() + LEASE_MS;
+        let unwanted = harness.last().runs.iter().any(|row| row.run == run(1));
+        let stops = if unwanted { vec![run(1)] } else { Vec::new() };
+        harness.order(Order { lease_end_ms, stops, ..Order::default() });
+        harness.advance(500);
+        stopped.extend(harness.stops.iter().map(|(at, run)| (*run, *at)));
     }
     assert_eq!(stopped.keys().copied().collect::<Vec<_>>(), [run(1)]);
-    assert_eq!(bench.worker.running.iter().copied().collect::<Vec<_>>(), [run(0)]);
+    assert_eq!(harness.worker.running.iter().copied().collect::<Vec<_>>(), [run(0)]);
 }
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An agent's core whose worker answers as the test says.
+//! The core of an agent, and a worker whose answers the test defines.
 #![allow(dead_code)]
 
 use pond_agent::{Answer, Call, Core, Observation, Output, Registration, Reply};
@@ -6,18 +6,18 @@
 use pond_proto::job::{How, RunName, TaskName};
 use pond_proto::{Millis, Size};
 
-pub const LIFE: &str = "life-1";
+pub const INCARNATION: &str = "incarnation-1";
 
 pub fn run(index: u32) -> RunName {
     RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
 }
 
-/// An agent with everything that it hands out.
-pub struct Bench {
+/// The core of an agent, with all its outputs.
+pub struct Harness {
     pub core: Core,
     pub now: Millis,
     pub calls: Vec<(u64, Call)>,
-    /// Calls to lives that have registered and not answered.
+    /// Calls to incarnations that have registered but not answered yet.
     pub claims: Vec<(String, u64, Call)>,
     /// Token of the last call.
     pub token: u64,
@@ -27,10 +27,10 @@
     pub acknowledged: Vec<u64>,
 }
 
-impl Bench {
-    /// An agent that knows neither a leader nor a worker.
-    pub fn without_leader() -> Bench {
-        Bench {
+impl Harness {
+    /// Creates an agent that knows neither a leader nor a worker.
+    pub fn without_leader() -> Harness {
+        Harness {
             core: Core::new(),
             now: Millis(1_000),
             calls: vec![],
@@ -42,33 +42,33 @@
         }
     }
 
-    pub fn new() -> Bench {
-        let mut bench = Bench::without_leader();
-        bench.core.leader_up(3);
-        bench.register(LIFE, false, 1);
-        bench
+    pub fn new() -> Harness {
+        let mut harness = Harness::without_leader();
+        harness.core.leader_up(3);
+        harness.register(INCARNATION, false, 1);
+        harness
     }
 
-    /// A life registers and answers the call that asks whether it is there, if there is one.
-    pub fn register(&mut self, life: &str, draining: bool, sequence: u64) {
-        self.claim(life, draining, sequence);
-        self.answer_claim(life, Reply::Listed { runs: vec![], ends: vec![] });
+    /// Registers an incarnation and answers the call that this causes, if any.
+    pub fn register(&mut self, incarnation: &str, draining: bool, sequence: u64) {
+        self.claim(incarnation, draining, sequence);
+        self.answer_claim(incarnation, Reply::Listed { runs: vec![], ends: vec![] });
     }
 
-    /// A registration comes of a worker whose id is the name of its life.
-    pub fn claim(&mut self, life: &str, draining: bool, sequence: u64) {
-        self.registration(life, life, draining, sequence);
+    /// Registers a worker whose ID is the name of its incarnation.
+    pub fn claim(&mut self, incarnation: &str, draining: bool, sequence: u64) {
+        self.registration(incarnation, incarnation, draining, sequence);
     }
 
-    /// The same of the worker of that id.
-    pub fn claim_as(&mut self, id: &str, life: &str, sequence: u64) {
-        self.registration(id, life, false, sequence);
+    /// Registers an incarnation of the worker with this ID.
+    pub fn claim_as(&mut self, id: &str, incarnation: &str, sequence: u64) {
+        self.registration(id, incarnation, false, sequence);
     }
 
-    fn registration(&mut self, id: &str, life: &str, draining: bool, sequence: u64) {
+    fn registration(&mut self, id: &str, incarnation: &str, draining: bool, sequence: u64) {
         let registration = Registration {
             id: id.to_owned(),
-            life: life.to_owned(),
+            incarnation: incarnation.to_owned(),
             address: "127.0.0.1:1".to_owned(),
             room: Size::new(4_000, 1_000, 0),
             draining,
@@ -83,15 +83,17 @@
     pub fn tick(&mut self) {
         for output in self.core.tick(self.now) {
             match output {
-                Output::Call { life, look, call, .. } if self.core.life() != Some(&life) => {
-                    self.claims.push((life, look, call));
+                Output::Call { incarnation, list_id, call, .. }
+                    if self.core.incarnation() != Some(&incarnation) =>
+                {
+                    self.claims.push((incarnation, list_id, call));
                 }
-                Output::Call { token, look, call, .. } => {
-                    if let Call::Look { settled, .. } = call {
-                        self.acknowledged.extend((settled > 0).then_some(settled));
+                Output::Call { token, list_id, call, .. } => {
+                    if let Call::List { committed, .. } = call {
+                        self.acknowledged.extend((committed > 0).then_some(committed));
                     }
                     self.token = token;
-                    self.calls.push((look, call));
+                    self.calls.push((list_id, call));
                 }
                 Output::Report(report) => self.reports.push(report),
                 Output::Observed(observation) => self.observed.push(observation),
@@ -100,7 +102,7 @@
     }
 
     pub fn order(&mut self, order: Order) {
-        let order = Order { worker: LIFE.to_owned(), term: order.term.max(3), ..order };
+        let order = Order { worker: INCARNATION.to_owned(), term: order.term.max(3), ..order };
         self.core.order(self.now, order);
         self.tick();
     }
@@ -111,7 +113,7 @@
         self.order(Order { lease_end_ms: 56_000, starts: vec![start], ..Order::default() });
     }
 
-    /// Starts a run for each watch; the worker confirms all of them.
+    /// Starts a run for each watch. The worker confirms all of them.
     pub fn run_all(&mut self, watches: Vec<Watch>) {
         let confirmed = watches.len();
         let start = |watch: Watch| StartOrder { run: watch.run, watch, ..StartOrder::default() };
@@ -122,21 +124,21 @@
         }
     }
 
-    /// The worker lists the serving run 0 at work with that tail, and the filling runs 1 to `fillers`.
-    pub fn list_tail(&mut self, tail_ms: u32, fillers: u32) {
+    /// Lists the serving run 0 with this tail latency, and the best-effort runs 1 to `best_effort`.
+    pub fn list_tail(&mut self, tail_ms: u32, best_effort: u32) {
         let row = |index: u32, percent: u32, figure: u32| RunRow {
             run: run(index),
             percent,
             figure,
             ..RunRow::default()
         };
-        let fill = (1..=fillers).map(|index| row(index, 10, 900));
+        let fill = (1..=best_effort).map(|index| row(index, 10, 900));
         let runs = std::iter::once(row(0, 100, tail_ms)).chain(fill).collect();
-        self.answer(is_look, Reply::Listed { runs, ends: vec![] });
+        self.answer(is_list, Reply::Listed { runs, ends: vec![] });
     }
 
-    /// The worker does as told about paces; the paces by the index of the run.
-    pub fn obey_paces(&mut self) -> Vec<(u32, u32)> {
+    /// Confirms all pace calls and returns the paces by the index of the run.
+    pub fn confirm_paces(&mut self) -> Vec<(u32, u32)> {
         let mut paces = Vec::new();
         while self.count(is_pace) > 0 {
             let found = self.calls.iter().find(|(_, call)| is_pace(call));
@@ -148,26 +150,28 @@
         paces
     }
 
-    /// Answers the oldest call of that kind that was not answered yet.
+    /// Answers the oldest unanswered call of this kind.
     pub fn answer(&mut self, wanted: fn(&Call) -> bool, reply: Reply) {
-        self.answer_as(LIFE, wanted, reply);
+        self.answer_as(INCARNATION, wanted, reply);
     }
 
-    /// The same with a call to that life.
-    pub fn answer_as(&mut self, life: &str, wanted: fn(&Call) -> bool, reply: Reply) {
+    /// The same for a call to this incarnation.
+    pub fn answer_as(&mut self, incarnation: &str, wanted: fn(&Call) -> bool, reply: Reply) {
         let found = self.calls.iter().position(|(_, call)| wanted(call)).expect("no such call");
-        let (look, call) = self.calls.remove(found);
+        let (list_id, call) = self.calls.remove(found);
         let answer = Answer { clock_ms: Some(51_000), reply };
-        self.core.answer(self.now, life, self.token, look, &call, answer);
+        self.core.answer(self.now, incarnation, self.token, list_id, &call, answer);
         self.tick();
     }
 
-    /// Answers the call that asks a life whether it is there.
-    pub fn answer_claim(&mut self, life: &str, reply: Reply) {
-        let Some(found) = self.claims.iter().position(|(claim, ..)| claim == life) else { return };
-        let (life, look, call) = self.claims.remove(found);
+    /// Answers the call to an incarnation that has only registered.
+    pub fn answer_claim(&mut self, incarnation: &str, reply: Reply) {
+        let Some(found) = self.claims.iter().position(|(claim, ..)| claim == incarnation) else {
+            return;
+        };
+        let (incarnation, list_id, call) = self.claims.remove(found);
         let answer = Answer { clock_ms: Some(50_000), reply };
-        self.core.answer(self.now, &life, self.token, look, &call, answer);
+        self.core.answer(self.now, &incarnation, self.token, list_id, &call, answer);
         self.tick();
     }
 
@@ -181,27 +185,27 @@
         };
         let runs = running.iter().map(row).collect();
         let ends = ended.iter().map(end).collect();
-        self.answer(is_look, Reply::Listed { runs, ends });
+        self.answer(is_list, Reply::Listed { runs, ends });
     }
 
-    /// Answers all lists that were asked for, and those that this brings about.
+    /// Answers all requested lists, and those requested as a result.
     pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
-        while self.count(is_look) > 0 {
+        while self.count(is_list) > 0 {
             self.list(running, ended);
-            if self.count(is_look) == 1 && self.core_waits() {
+            if self.count(is_list) == 1 && self.list_waits() {
                 return;
             }
         }
     }
 
-    /// The list that is asked for waits for an end.
-    fn core_waits(&self) -> bool {
+    /// Returns whether a list that waits for an end is in flight.
+    fn list_waits(&self) -> bool {
         self.calls
             .iter()
-            .any(|(_, call)| matches!(call, Call::Look { wait_ms, .. } if *wait_ms > 0))
+            .any(|(_, call)| matches!(call, Call::List { wait_ms, .. } if *wait_ms > 0))
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now = self.now + ms;
         self.tick();
     }
@@ -210,9 +214,9 @@
         self.calls.iter().filter(|(_, call)| wanted(call)).count()
     }
 
-    /// The newest report that a life is over.
+    /// Returns the newest report that an incarnation has ended.
     pub fn gone(&self) -> &Report {
-        self.reports.iter().rev().find(|report| report.gone).expect("no life is over")
+        self.reports.iter().rev().find(|report| report.gone).expect("no incarnation has ended")
     }
 
     pub fn last(&self) -> &Report {
@@ -228,8 +232,8 @@
     matches!(call, Call::Stop { .. })
 }
 
-pub fn is_look(call: &Call) -> bool {
-    matches!(call, Call::Look { .. })
+pub fn is_list(call: &Call) -> bool {
+    matches!(call, Call::List { .. })
 }
 
 pub fn is_pace(call: &Call) -> bool {
@@ -240,7 +244,7 @@
     Watch { run: run(index), tail_target_ms, ..Watch::default() }
 }
 
-pub fn filling(index: u32, image: &str, blame_permille: u32) -> Watch {
+pub fn best_effort(index: u32, image: &str, blame_permille: u32) -> Watch {
     let image = image.to_owned();
     Watch { run: run(index), fills: true, image, blame_permille, ..Watch::default() }
 }
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -1,7 +1,7 @@
-//! One link to the control replica that leads, found through any replica.
+//! Link to the leading control replica, which is found through any replica.
 //!
-//! A process starts from a few addresses. Each replica tells who leads and where all replicas are; see
-//! [`Search`] for how the leader is found, and found again.
+//! A process starts from a few addresses. Each replica names the leader and the addresses of all
+//! replicas. [`Search`] decides how the leader is found, and found again after a loss.
 
 mod search;
 
@@ -19,31 +19,31 @@
 
 pub use search::{Output, Search};
 
-/// Time between heartbeats on a link to control, so that silence is noticed within a second.
-pub const BEAT: Duration = Duration::from_millis(250);
+/// Time between heartbeats on a link to control. Silence is noticed within a second.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Silence after which a link to control is lost: three heartbeats.
-pub const SILENCE: Duration = Duration::from_millis(800);
+/// Silence after which a link to control counts as lost: three heartbeats.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What the owner of the link is told.
+/// A notification for the owner of the link.
 #[derive(Debug)]
-pub enum Told {
-    /// The link leads to the leader now, or the leader says something new about itself.
+pub enum Notification {
+    /// A link to the leader was established, or the leader sent new information about itself.
     Leader {
-        /// Its term.
+        /// The leader's term.
         term: u64,
-        /// Whether it holds a configuration.
+        /// Whether the leader has a configuration.
         configured: bool,
-        /// Whether the link was elsewhere before; then the leader knows nothing of this process.
+        /// Whether this link to a leader is new. The leader then knows nothing about this process.
         new: bool,
     },
     /// There is no link to a leader any more.
     Lost,
-    /// The leader sent this.
+    /// A message from the leader.
     Frame(Body),
 }
 
-/// The link.
+/// The link of a process to the leading control replica.
 pub struct Uplink {
     search: Search,
     /// Links that are open or being opened.
@@ -60,7 +60,7 @@
 }
 
 impl Uplink {
-    /// Starts to look for the leader, on the current runtime.
+    /// Starts to search for the leader on the current runtime.
     pub fn start(
         addresses: Vec<String>,
         terms: Terms,
@@ -68,77 +68,82 @@
         log: Logger,
         now: Millis,
     ) -> Uplink {
-        let terms = Arc::new(terms.with_times(BEAT, SILENCE));
+        let terms = Arc::new(terms.with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
         let search = Search::new(addresses, terms.hello.life, now);
         let mut uplink = Uplink { search, links: BTreeMap::new(), terms, events, log };
-        uplink.carry_out();
+        uplink.execute();
         uplink
     }
 
-    /// Whether there is a link to a leader.
-    pub fn leads(&self) -> bool {
+    /// Returns whether there is a link to a leader.
+    pub fn has_leader(&self) -> bool {
         self.search.leader().is_some()
     }
 
-    /// Further addresses of replicas, as from changed settings.
-    pub fn learn(&mut self, addresses: &[String]) {
-        self.search.learn(addresses);
+    /// Adds addresses of replicas, such as those in changed settings.
+    pub fn add_addresses(&mut self, addresses: &[String]) {
+        self.search.add_addresses(addresses);
     }
 
-    /// Sends to the leader; false if there is none or its link is full.
+    /// Sends a message to the leader. Returns false if there is no leader or its link is full.
     pub fn send(&self, body: Body) -> bool {
         let link = self.search.leader().and_then(|leader| self.links.get(&leader));
         link.and_then(|link| link.sender.as_ref()).is_some_and(|sender| sender.send(body))
     }
 
-    /// Takes in an event of a link.
-    pub fn event(&mut self, now: Millis, event: Event) -> Option<Told> {
-        let led = self.search.leader();
+    /// Handles an event of a link.
+    pub fn event(&mut self, now: Millis, event: Event) -> Option<Notification> {
+        let leader = self.search.leader();
         let link = event.link;
         if !self.links.contains_key(&link) {
             return None;
         }
-        let told = match event.kind {
+        let notification = match event.kind {
             EventKind::Up { sender, .. } => {
-                self.search.up(now, link);
+                self.search.link_up(now, link);
                 if let Some(link) = self.links.get_mut(&link) {
                     link.sender = Some(sender);
                 }
                 None
             }
-            EventKind::Down(error) => self.down(now, link, &error),
-            EventKind::Frame(Body::Lead(lead)) => self.lead(now, link, &lead),
-            EventKind::Frame(body) => (led == Some(link)).then_some(Told::Frame(body)),
+            EventKind::Down(error) => self.handle_down(now, link, &error),
+            EventKind::Frame(Body::Lead(lead)) => self.handle_lead(now, link, &lead),
+            EventKind::Frame(body) => (leader == Some(link)).then_some(Notification::Frame(body)),
         };
-        self.carry_out();
-        told
+        self.execute();
+        notification
     }
 
-    /// Goes on with the search when it is time.
+    /// Continues the search if it is due.
     pub fn tick(&mut self, now: Millis) {
         self.search.tick(now);
-        self.carry_out();
+        self.execute();
     }
 
-    /// When [`Uplink::tick`] has something to do.
+    /// Returns when [`Uplink::tick`] is due.
     pub fn due(&self) -> Option<Millis> {
         self.search.due()
     }
 
-    fn down(&mut self, now: Millis, link: LinkKey, error: &pond_link::Error) -> Option<Told> {
-        let led = self.search.leader() == Some(link);
+    fn handle_down(
+        &mut self,
+        now: Millis,
+        link: LinkKey,
+        error: &pond_link::Error,
+    ) -> Option<Notification> {
+        let was_leader = self.search.leader() == Some(link);
         let address = self.search.address(link).to_owned();
         let opened = self.links.get(&link).is_some_and(|link| link.sender.is_some());
         if opened {
             event!(self.log, LINK_DOWN, "peer" => address.clone(), "why" => error.to_string());
         }
-        self.search.down(now, link);
-        led.then(|| self.lost(&address))
+        self.search.link_down(now, link);
+        was_leader.then(|| self.lost(&address))
     }
 
-    fn lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Told> {
+    fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Notification> {
         let before = self.search.leader();
-        self.search.told(now, link, lead);
+        self.search.handle_lead(now, link, lead);
         let after = self.search.leader();
         if after == Some(link) {
             let new = before != after;
@@ -146,17 +151,21 @@
                 event!(self.log, LEADER_FOUND, "leader" => self.search.address(link),
                     "term" => lead.term);
             }
-            return Some(Told::Leader { term: lead.term, configured: lead.configured, new });
+            return Some(Notification::Leader {
+                term: lead.term,
+                configured: lead.configured,
+                new,
+            });
         }
         (before == Some(link)).then(|| self.lost(self.search.address(link)))
     }
 
-    fn lost(&self, address: &str) -> Told {
+    fn lost(&self, address: &str) -> Notification {
         event!(self.log, LEADER_LOST, "leader" => address.to_owned());
-        Told::Lost
+        Notification::Lost
     }
 
-    fn carry_out(&mut self) {
+    fn execute(&mut self) {
         for output in self.search.outputs() {
             match output {
                 Output::Dial { link, address } => self.dial(link, &address),
@@ -171,7 +180,7 @@
 
     fn dial(&mut self, link: LinkKey, address: &str) {
         let Ok(parsed) = address.parse() else {
-            event!(self.log, LINK_REFUSED, "why" => format!("{address} is no address"));
+            event!(self.log, LINK_REFUSED, "why" => format!("invalid address: {address}"));
             return;
         };
         let task = tokio::spawn(dial(parsed, link, self.terms.clone(), self.events.clone()));
--- a/crates/pond-uplink/src/search.rs
+++ b/crates/pond-uplink/src/search.rs
@@ -1,11 +1,13 @@
-//! The search for the replica that leads: whom to ask, when, how many at once, and what to believe.
+//! Search for the leading replica: which replicas to dial, when, how many at once, and which
+//! replies to trust.
 //!
-//! Replicas that do not lead are asked too, and stay linked while the search goes on: each of them
-//! tells at once when it hears of a leader, so a new leader is found within some round trips of its
-//! election. Several are asked at once, as those that were cut off with the former leader know
-//! nothing.
+//! Replicas that do not lead are dialled too, and their links stay open during the search. Each of
+//! them reports a new leader as soon as it hears of it, so a new leader is found within a few round
+//! trips of its election. Several replicas are dialled at once, because those that were cut off
+//! together with the previous leader know nothing.
 //!
-//! Pure: time and events go in, dials and closes come out.
+//! The search does no I/O: it takes the time and link events, and returns links to dial and to
+//! close.
 
 use std::collections::BTreeMap;
 
@@ -15,65 +17,66 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Replicas that are asked at once when a leader is lost: with any minority cut off, three drawn
-/// at random are all in it less than one time in eight.
-const AT_ONCE: usize = 3;
+/// Number of replicas that are dialled at once when a leader is lost. With any minority cut off,
+/// three random replicas all belong to it with a probability below 1/8.
+const PARALLEL_DIALS: usize = 3;
 
-/// Links that are held while there is no leader: those that are asked at once, one to a leader that
-/// leads no more, and one so that another replica can be asked while these hang.
-const MOST: usize = AT_ONCE + 2;
+/// Maximum number of links while there is no leader: those that are dialled at once, one to a
+/// previous leader, and one for another replica while the others hang.
+const MAX_LINKS: usize = PARALLEL_DIALS + 2;
 
-/// The first wait before one more replica is asked, in milliseconds: a dial and the answer take a
-/// few, so whoever has not answered by then is slow, cut off or gone.
-const FIRST_WAIT_MS: Span = 60;
+/// First wait before one more replica is dialled, in milliseconds. A dial and its answer take a few
+/// milliseconds, so a replica that has not answered by then is slow, cut off or gone.
+const FIRST_DIAL_WAIT_MS: Span = 60;
 
-/// The longest wait before one more replica is asked, in milliseconds. It bounds the dials of a
-/// process that finds nobody to five a second.
-const LONGEST_WAIT_MS: Span = 400;
+/// Longest wait before one more replica is dialled, in milliseconds. It limits a process that finds
+/// no replica to five dials per second.
+const MAX_DIAL_WAIT_MS: Span = 400;
 
-/// A link that has led to no leader for this long makes room for another replica, in milliseconds:
-/// about an election.
+/// A link that has led to no leader for this long may be closed in favour of another replica, in
+/// milliseconds. This is about the time of an election.
 const LEADERLESS_MS: Span = 600;
 
-/// Processes that hear of a new leader dial it within this time, in milliseconds, each at a moment of its
-/// own. All at once they would overflow what its system queues: of 291 dials within 10 ms, while it saved
-/// a snapshot, 125 were answered only when they were given up after 0.8 s.
-const SPREAD_MS: Span = 100;
+/// Each process dials a new leader after a random delay up to this, in milliseconds. Simultaneous
+/// dials would overflow the leader's accept queue: of 291 dials within 10 ms, while the leader
+/// wrote a snapshot, 125 timed out after 0.8 s.
+const LEADER_DIAL_SPREAD_MS: Span = 100;
 
-/// The replica that others name is dialled anew if the link is not open after this time, in milliseconds:
-/// far more than a dial takes, far less than links wait in silence.
-const NAMED_AGAIN_MS: Span = 250;
+/// Time after which the replica named as the leader is dialled again if the link is not open, in
+/// milliseconds. This is much longer than a dial takes and much shorter than the silence timeout of
+/// links.
+const LEADER_REDIAL_MS: Span = 250;
 
-/// What the owner of the links does.
+/// An action for the owner of the links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Open a link.
     Dial {
-        /// Its key.
+        /// Key of the link.
         link: LinkKey,
-        /// The replica's address.
+        /// Address of the replica.
         address: String,
     },
-    /// Close a link, or give up to open it.
+    /// Close a link or stop opening it.
     Close(LinkKey),
 }
 
-/// A replica that may be asked.
+/// A known replica.
 #[derive(Debug)]
 struct Replica {
     address: String,
     /// When it was last dialled.
     dialled: Option<Millis>,
-    /// The last dial came to nothing.
+    /// Whether the last dial failed.
     failed: bool,
-    /// The last word on the lead named it among the replicas.
+    /// Whether the latest message about the leader listed this replica.
     listed: bool,
 }
 
 impl Replica {
-    /// Who is asked first: replicas that others name as such, then any other address, then those
-    /// that could not be reached when they were last asked; among equals the one that was not asked
-    /// for longest.
+    /// Returns the rank of the replica in the order of dialling: listed replicas first, then other
+    /// addresses, then those whose last dial failed. Among equals, the one dialled least recently
+    /// comes first.
     fn rank(&self) -> (bool, bool, Option<Millis>) {
         (self.failed, !self.failed && !self.listed, self.dialled)
     }
@@ -81,36 +84,36 @@
 
 /// A link that is open or being opened.
 #[derive(Debug)]
-struct Try {
-    /// The place among the replicas.
+struct Link {
+    /// Index of the replica.
     replica: usize,
     since: Millis,
     up: bool,
-    /// The term that the replica told last.
+    /// The latest term that the replica reported.
     term: u64,
 }
 
-/// A replica that others take for the leader.
+/// A replica that others name as the leader.
 #[derive(Clone, Copy, Debug)]
-struct Named {
-    /// The place among the replicas.
+struct NamedLeader {
+    /// Index of the replica.
     replica: usize,
     /// When it is dialled, or dialled again.
     due: Millis,
 }
 
-/// The search.
+/// State of the search.
 #[derive(Debug)]
 pub struct Search {
     replicas: Vec<Replica>,
-    tries: BTreeMap<LinkKey, Try>,
+    links: BTreeMap<LinkKey, Link>,
     leader: Option<LinkKey>,
-    /// The highest term that any replica told of.
+    /// The highest term that any replica reported.
     term: u64,
-    /// The replica that leads in that term, as others say.
-    named: Option<Named>,
-    newest: LinkKey,
-    /// When one more replica is asked.
+    /// The leader of that term, as named by other replicas.
+    named: Option<NamedLeader>,
+    last_link: LinkKey,
+    /// When one more replica is dialled.
     due: Millis,
     wait_ms: Span,
     rng: SmallRng,
@@ -118,37 +121,37 @@
 }
 
 impl Search {
-    /// Starts to look. The seed spreads the processes over the replicas.
+    /// Starts a search. The seed spreads the processes over the replicas.
     pub fn new(addresses: Vec<String>, seed: u64, now: Millis) -> Search {
         let mut search = Search {
             replicas: Vec::new(),
-            tries: BTreeMap::new(),
+            links: BTreeMap::new(),
             leader: None,
             term: 0,
             named: None,
-            newest: LinkKey(0),
+            last_link: LinkKey(0),
             due: now,
-            wait_ms: FIRST_WAIT_MS,
+            wait_ms: FIRST_DIAL_WAIT_MS,
             rng: SmallRng::seed_from_u64(seed),
             outputs: Vec::new(),
         };
-        search.learn(&addresses);
-        search.ask_some(now, AT_ONCE);
+        search.add_addresses(&addresses);
+        search.dial_up_to(now, PARALLEL_DIALS);
         search
     }
 
-    /// The link to the leader.
+    /// Returns the link to the leader.
     pub fn leader(&self) -> Option<LinkKey> {
         self.leader
     }
 
-    /// The address of the replica at the other end of a link.
+    /// Returns the address of the replica at the other end of a link.
     pub fn address(&self, link: LinkKey) -> &str {
-        self.tries.get(&link).map_or("", |found| &self.replicas[found.replica].address)
+        self.links.get(&link).map_or("", |found| &self.replicas[found.replica].address)
     }
 
-    /// Further addresses of replicas.
-    pub fn learn(&mut self, addresses: &[String]) {
+    /// Adds addresses of replicas.
+    pub fn add_addresses(&mut self, addresses: &[String]) {
         for address in addresses {
             if !self.replicas.iter().any(|known| known.address == *address) {
                 let address = address.clone();
@@ -158,54 +161,55 @@
         }
     }
 
-    /// Another replica says which ones there are.
-    fn list(&mut self, addresses: &[String]) {
-        self.learn(addresses);
+    /// Records which replicas exist according to another replica.
+    fn update_listed(&mut self, addresses: &[String]) {
+        self.add_addresses(addresses);
         for replica in &mut self.replicas {
             replica.listed = addresses.contains(&replica.address);
         }
     }
 
-    /// A link is open.
-    pub fn up(&mut self, now: Millis, link: LinkKey) {
-        if let Some(found) = self.tries.get_mut(&link) {
+    /// Records that a link is open.
+    pub fn link_up(&mut self, now: Millis, link: LinkKey) {
+        if let Some(found) = self.links.get_mut(&link) {
             found.up = true;
             found.since = now;
             self.replicas[found.replica].failed = false;
         }
     }
 
-    /// A link is lost or could not be opened. If only the link to the leader is lost, the others
-    /// still name it, so it is asked again within some milliseconds.
-    pub fn down(&mut self, now: Millis, link: LinkKey) {
-        let Some(lost) = self.tries.remove(&link) else { return };
+    /// Records that a link was lost or could not be opened. If only the link to the leader was
+    /// lost, the other replicas still name it, so it is dialled again within a few milliseconds.
+    pub fn link_down(&mut self, now: Millis, link: LinkKey) {
+        let Some(lost) = self.links.remove(&link) else { return };
         self.replicas[lost.replica].failed = !lost.up;
         self.outputs.push(Output::Close(link));
         if self.leader == Some(link) {
             self.leader = None;
-            self.ask_some(now, AT_ONCE);
+            self.dial_up_to(now, PARALLEL_DIALS);
         }
     }
 
-    /// What a replica says of the lead.
-    pub fn told(&mut self, now: Millis, link: LinkKey, lead: &Lead) {
-        let Some(found) = self.tries.get_mut(&link) else { return };
+    /// Handles a replica's message about the leader.
+    pub fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) {
+        let Some(found) = self.links.get_mut(&link) else { return };
         found.term = lead.term;
-        self.list(&lead.replicas);
-        self.believe(now, lead);
+        self.update_listed(&lead.replicas);
+        self.update_named(now, lead);
         if lead.leads {
             self.follow(link);
             return;
         }
         if self.leader == Some(link) {
-            // It may still be the first to tell of the next one, so its link stays.
+            // The link stays open, as this replica may be the first to report the next leader.
             self.leader = None;
-            self.ask_some(now, AT_ONCE + 1);
+            self.dial_up_to(now, PARALLEL_DIALS + 1);
         }
     }
 
-    /// The highest term is believed: who is cut off goes on naming a former leader.
-    fn believe(&mut self, now: Millis, lead: &Lead) {
+    /// Updates the named leader from the highest term. Replicas that are cut off continue to name a
+    /// previous leader.
+    fn update_named(&mut self, now: Millis, lead: &Lead) {
         if lead.term > self.term {
             self.term = lead.term;
             self.named = None;
@@ -213,37 +217,37 @@
         if lead.term < self.term || lead.leader.is_empty() {
             return;
         }
-        self.learn(std::slice::from_ref(&lead.leader));
+        self.add_addresses(std::slice::from_ref(&lead.leader));
         let found = self.replicas.iter().position(|known| known.address == lead.leader);
         let Some(replica) = found else { return };
         if self.named.is_none_or(|named| named.replica != replica) {
-            let due = now + self.rng.random_range(0..SPREAD_MS);
-            self.named = Some(Named { replica, due });
+            let due = now + self.rng.random_range(0..LEADER_DIAL_SPREAD_MS);
+            self.named = Some(NamedLeader { replica, due });
         }
     }
 
-    /// Asks one more replica when it is time.
+    /// Dials one more replica if it is due.
     pub fn tick(&mut self, now: Millis) {
         if self.leader.is_some() {
             return;
         }
         if let Some(named) = self.named.filter(|named| now >= named.due) {
-            self.ask_named(now, named.replica);
+            self.dial_named(now, named.replica);
         }
         if now >= self.due {
-            self.ask_next(now);
-            self.wait(now);
+            self.dial_next(now);
+            self.schedule_next(now);
         }
     }
 
-    /// When [`Search::tick`] has something to do.
+    /// Returns when [`Search::tick`] is due.
     pub fn due(&self) -> Option<Millis> {
         let named = self.named.map(|named| named.due);
         let due = named.map_or(self.due, |named| named.min(self.due));
         self.leader.is_none().then_some(due)
     }
 
-    /// What must be done, in order.
+    /// Returns the pending actions in order.
     pub fn outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -251,93 +255,95 @@
     fn follow(&mut self, leader: LinkKey) {
         self.leader = Some(leader);
         let others: Vec<LinkKey> =
-            self.tries.keys().copied().filter(|link| *link != leader).collect();
+            self.links.keys().copied().filter(|link| *link != leader).collect();
         for link in others {
             self.close(link);
         }
     }
 
-    /// Asks replicas until so many links are held.
-    fn ask_some(&mut self, now: Millis, links: usize) {
-        self.wait_ms = FIRST_WAIT_MS;
-        while self.tries.len() < links && self.ask_next(now) {}
-        self.wait(now);
+    /// Dials replicas until there are `count` links.
+    fn dial_up_to(&mut self, now: Millis, count: usize) {
+        self.wait_ms = FIRST_DIAL_WAIT_MS;
+        while self.links.len() < count && self.dial_next(now) {}
+        self.schedule_next(now);
     }
 
-    /// Sets when one more is asked. Processes that lost the same leader spread out.
-    fn wait(&mut self, now: Millis) {
+    /// Schedules the next dial. The random delay spreads processes that lost the same leader.
+    fn schedule_next(&mut self, now: Millis) {
         self.due = now + self.rng.random_range(self.wait_ms / 2..=self.wait_ms);
-        self.wait_ms = (self.wait_ms * 2).min(LONGEST_WAIT_MS);
+        self.wait_ms = (self.wait_ms * 2).min(MAX_DIAL_WAIT_MS);
     }
 
-    /// Asks the replica that comes first, one of several by chance; false if there is none to ask or no
-    /// room.
-    fn ask_next(&mut self, now: Millis) -> bool {
-        let asked = |place: &usize| self.tries.values().any(|found| found.replica == *place);
-        let free: Vec<usize> = (0..self.replicas.len()).filter(|place| !asked(place)).collect();
-        let Some(first) = free.iter().map(|place| self.replicas[*place].rank()).min() else {
+    /// Dials the replica with the lowest rank, chosen at random among equals. Returns false if
+    /// there is no such replica or no link is free.
+    fn dial_next(&mut self, now: Millis) -> bool {
+        let is_linked = |index: &usize| self.links.values().any(|found| found.replica == *index);
+        let free: Vec<usize> = (0..self.replicas.len()).filter(|index| !is_linked(index)).collect();
+        let Some(first) = free.iter().map(|index| self.replicas[*index].rank()).min() else {
             return false;
         };
-        let alike: Vec<usize> =
-            free.into_iter().filter(|place| self.replicas[*place].rank() == first).collect();
+        let candidates: Vec<usize> =
+            free.into_iter().filter(|index| self.replicas[*index].rank() == first).collect();
         if !self.make_room(now) {
             return false;
         }
-        let place = alike[self.rng.random_range(0..alike.len())];
-        self.dial(now, place);
+        let index = candidates[self.rng.random_range(0..candidates.len())];
+        self.dial(now, index);
         true
     }
 
-    /// Asks the replica that others take for the leader, again if it did not answer. While a link to it
-    /// is open it tells of itself.
-    fn ask_named(&mut self, now: Millis, replica: usize) {
+    /// Dials the replica that others name as the leader, again if it did not answer. If a link to
+    /// it is open, the replica itself reports whether it leads.
+    fn dial_named(&mut self, now: Millis, replica: usize) {
         let since = self.replicas[replica].dialled.unwrap_or_default();
-        let found = self.tries.iter().find(|(_, found)| found.replica == replica);
+        let found = self.links.iter().find(|(_, found)| found.replica == replica);
         let found = found.map(|(link, found)| (*link, found.up));
-        let waits = now.since(since) < NAMED_AGAIN_MS;
-        let due = if waits && found.is_some() { since } else { now } + NAMED_AGAIN_MS;
-        self.named = Some(Named { replica, due });
+        let waits = now.since(since) < LEADER_REDIAL_MS;
+        let due = if waits && found.is_some() { since } else { now } + LEADER_REDIAL_MS;
+        self.named = Some(NamedLeader { replica, due });
         match found {
             Some((_, up)) if up || waits => return,
             Some((link, _)) => drop(self.close(link)),
-            None if self.tries.len() >= MOST => drop(self.close_one(now, 0)),
+            None if self.links.len() >= MAX_LINKS => drop(self.close_least_useful(now, 0)),
             None => {}
         }
         self.dial(now, replica);
     }
 
-    /// Whether one more link may be held, if need be in the place of one that leads nowhere.
+    /// Returns whether one more link may be opened, if necessary after closing one that led
+    /// nowhere.
     fn make_room(&mut self, now: Millis) -> bool {
-        self.tries.len() < MOST || self.close_one(now, LEADERLESS_MS)
+        self.links.len() < MAX_LINKS || self.close_least_useful(now, LEADERLESS_MS)
     }
 
-    /// Closes a link: one that should be open by now, unless it is to the replica that others name, or else
-    /// one to a replica that knows less than others, or else one that has led to no leader for that
-    /// long; the oldest of its sort.
-    fn close_one(&mut self, now: Millis, leaderless_ms: Span) -> bool {
-        let named = |found: &Try| self.named.is_some_and(|named| named.replica == found.replica);
-        let useless = |found: &Try| match found.up {
-            false => now.since(found.since) >= FIRST_WAIT_MS && !named(found),
+    /// Closes one link and returns whether there was one to close. Links that should be open by now
+    /// come first, except the one to the named leader. Then follow links to replicas whose term is
+    /// out of date, and links that have led to no leader for `leaderless_ms`. The oldest of each
+    /// kind is closed first.
+    fn close_least_useful(&mut self, now: Millis, leaderless_ms: Span) -> bool {
+        let named = |found: &Link| self.named.is_some_and(|named| named.replica == found.replica);
+        let useless = |found: &Link| match found.up {
+            false => now.since(found.since) >= FIRST_DIAL_WAIT_MS && !named(found),
             true => found.term < self.term || now.since(found.since) >= leaderless_ms,
         };
-        let found = self.tries.iter().filter(|(_, found)| useless(found));
+        let found = self.links.iter().filter(|(_, found)| useless(found));
         let first = found.min_by_key(|(_, found)| (found.up, found.term, found.since));
         let Some(first) = first.map(|(link, _)| *link) else { return false };
-        let replica = &mut self.replicas[self.tries[&first].replica];
-        replica.failed = !self.tries[&first].up;
+        let replica = &mut self.replicas[self.links[&first].replica];
+        replica.failed = !self.links[&first].up;
         self.close(first)
     }
 
     fn close(&mut self, link: LinkKey) -> bool {
         self.outputs.push(Output::Close(link));
-        self.tries.remove(&link).is_some()
+        self.links.remove(&link).is_some()
     }
 
     fn dial(&mut self, now: Millis, replica: usize) {
-        self.newest = LinkKey(self.newest.0 + 1);
-        let link = self.newest;
+        self.last_link = LinkKey(self.last_link.0 + 1);
+        let link = self.last_link;
         self.replicas[replica].dialled = Some(now);
-        self.tries.insert(link, Try { replica, since: now, up: false, term: 0 });
+        self.links.insert(link, Link { replica, since: now, up: false, term: 0 });
         let address = self.replicas[replica].address.clone();
         self.outputs.push(Output::Dial { link, address });
     }
