--- a/crates/pond-job/tests/bound.rs
+++ b/crates/pond-job/tests/bound.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn nothing_waits_beyond_the_bound_once_faults_are_over() {
+fn no_job_waits_beyond_the_bound_after_the_last_fault() {
     let mut causes: BTreeMap<&str, usize> = BTreeMap::new();
     let mut waits: BTreeMap<&str, Vec<Span>> = BTreeMap::new();
     let mut red = Vec::new();
--- a/crates/pond-job/tests/crashes.rs
+++ b/crates/pond-job/tests/crashes.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn only_what_has_just_begun_is_suspected() {
+fn only_recently_started_runs_are_suspected() {
     let mut pool = Pool::new(1);
     pool.bench.submit(1, vec![Step { lasting: true, ..step(2, 1_000) }]);
     pool.pass(5_000);
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn gang_with_a_member_there_is_taken_back_whole() {
+fn gang_with_a_member_in_an_evacuated_data_centre_is_stopped_completely() {
     let mut bench = two();
     bench.submit(1, vec![Step { gang: true, ..step(2, 6_000) }]);
     bench.settle();
--- a/crates/pond-job/tests/harm.rs
+++ b/crates/pond-job/tests/harm.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn filling_run_that_disturbs_is_stopped() {
+fn interfering_best_effort_run_is_stopped() {
     let mut bench = beside(&["loud"]);
     disturb(&mut bench);
     assert_eq!(moved(&bench), [2]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn job_that_only_a_guess_keeps_waiting_is_tried_after_a_while() {
+fn job_held_back_only_by_estimated_interference_is_force_placed() {
     let (mut bench, _) = known_as_loud();
     show(&mut bench, "a", &[(1, 6)]);
     bench.submit_batch(9, vec![filling("loud", 1)]);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn run_that_was_tried_is_not_moved() {
+fn force_placed_run_is_not_moved() {
     let (mut bench, run) = known_as_loud();
     for _ in 0..6 {
         show(&mut bench, "a", &[(1, 6)]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn new_leader_knows_what_the_former_one_learned_of_harm() {
+fn new_leader_keeps_interference_estimates() {
     let (mut bench, run) = known_as_loud();
     for _ in 0..5 {
         show(&mut bench, "a", &[(1, 6)]);
--- a/crates/pond-job/tests/leases.rs
+++ b/crates/pond-job/tests/leases.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn silent_worker_keeps_its_runs_until_its_lease_is_surely_over() {
+fn silent_worker_keeps_its_runs_until_its_lease_has_expired() {
     let mut bench = one_run_on_a();
     bench.pass(6, &["b"]);
     assert_eq!(bench.place_of(task(1, 0, 0)).as_deref(), Some("a"));
--- a/crates/pond-job/tests/order.rs
+++ b/crates/pond-job/tests/order.rs
@@ -6,7 +6,7 @@
 use support::{Bench, step, task};
 
 #[test]
-fn job_that_can_be_in_time_goes_before_one_that_is_late() {
+fn job_that_can_meet_its_target_is_placed_before_a_late_one() {
     let mut bench = Bench::new();
     bench.submit_batch(1, vec![step(1, 800)]);
     bench.pass(3, &[]);
@@ -87,7 +87,7 @@
 /// Pattern: estimates that are off by a factor, the same for all jobs of a queue. Grounds: tasks took 1.5 times what was
 /// estimated at the median, and from a quarter to six times that.
 #[test]
-fn aims_follow_what_tasks_took() {
+fn time_targets_follow_measured_durations() {
     let mut bench = Bench::new().with_vm("a", 1_000);
     for id in 1..30 {
         bench.submit_batch(id, vec![step(1, 800)]);
--- a/crates/pond-job/tests/placement.rs
+++ b/crates/pond-job/tests/placement.rs
@@ -150,7 +150,7 @@
 /// After a restart of everything serving tasks wait until all workers are known, to be packed image by
 /// image. Filling tasks that took the workers meanwhile would be moved within a second.
 #[test]
-fn filling_tasks_do_not_go_before_the_serving_ones_that_are_being_gathered() {
+fn best_effort_tasks_wait_until_a_new_leader_has_placed_serving_ones() {
     let mut bench = Bench::new().with_vm("a", 32_000);
     bench.submit(SERVING, vec![serving()]);
     bench.submit_batch(2, vec![filling("any", 8)]);
--- a/crates/pond-job/tests/suspects.rs
+++ b/crates/pond-job/tests/suspects.rs
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn nothing_waits_for_long_once_all_is_over() {
+fn no_job_waits_for_long_after_the_last_fault() {
     let mut waits = 0;
     for outcome in OUTCOMES.iter() {
         outcome.waits.iter().for_each(|text| println!("seed {}: {text}", outcome.seed));
@@ -289,7 +289,7 @@
 
 /// Guards against a job that is given up for workers that others took down.
 #[test]
-fn no_bystander_is_given_up_with_the_seeds_in_which_one_was() {
+fn no_innocent_task_is_given_up_with_the_seeds_in_which_one_was() {
     let mut outcomes = Vec::from(BYSTANDER_SEEDS.map(play));
     outcomes.extend(UNSEEN_BYSTANDER_SEEDS.map(play_unseen));
     let innocent: Vec<(u64, &Vec<TaskName>)> = outcomes
@@ -303,7 +303,7 @@
 /// Guards against jobs that stand still beside room for them twice over: held back by a run on a worker that is down, with a
 /// wait that each loss begins anew, moved again and again, or kept from workers that rest.
 #[test]
-fn nothing_waits_for_long_with_the_seeds_in_which_something_did() {
+fn no_job_waits_for_long_with_the_seeds_in_which_one_did() {
     let outcomes = WAITING_SEEDS.map(play);
     let waits = |outcome: &Outcome| (outcome.seed, outcome.waits.clone());
     let red: Vec<(u64, Vec<String>)> =
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn task_is_given_up_by_what_its_losses_prove() {
+fn task_is_given_up_by_the_verdicts_on_its_losses() {
     use Verdict::{Beside, Proven, Suspected};
     let cases: [(&[Verdict], Phase); 9] = [
         (&[Proven, Beside, Beside, Beside, Beside], Phase::Failed),
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn worker_that_may_have_been_down_before_the_run_began_is_no_proof() {
+fn loss_of_a_worker_possibly_down_before_the_run_is_not_conclusive() {
     let (mut bench, life, run) = just_begun();
     gone(&mut bench, &life, &[(run, 0)], false, false);
     assert_eq!(verdicts(&bench), [Verdict::Suspected]);
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn workers_that_go_down_together_prove_nothing() {
+fn simultaneous_losses_are_not_conclusive() {
     let mut bench = Bench::new();
     for life in ["a", "b", "c"] {
         bench.add_vm(life, 4_000);
@@ -387,7 +387,7 @@
 /// Seen in the soak: a bystander of one loss joined what was likely the cause of two, again and again, until it was
 /// given up for five losses.
 #[test]
-fn nobody_joins_what_is_likely_the_cause_of_several_losses() {
+fn likely_cause_of_several_losses_is_isolated() {
     use Verdict::Suspected;
     assert_eq!(begin_after(&[(1, Suspected, 2), (2, Suspected, 1)]), [1]);
 }
--- a/crates/pond-job/tests/unsound.rs
+++ b/crates/pond-job/tests/unsound.rs
@@ -138,7 +138,7 @@
 /// A worker that went down is back after some three seconds as another life, and well. What it ran has not
 /// stood still meanwhile: nothing was known of it.
 #[test]
-fn worker_that_is_down_for_a_while_does_not_rest() {
+fn worker_that_is_down_briefly_gets_no_backoff() {
     let mut bench = standing_still(false, 4);
     assert!(!rests(&bench));
     // Nor does it once it answers again, before its runs can show progress.
