--- a/crates/pond-job/tests/bound.rs
+++ b/crates/pond-job/tests/bound.rs
@@ -4,8 +4,8 @@
 //! Each seed gives a pool, its jobs and its faults. `BOUND_SEEDS=first..end` runs other seeds than
 //! those of CI, as in `BOUND_SEEDS=100..1100 cargo test -p pond-job --test bound -- --nocapture`.
 
+mod simulation;
 mod support;
-mod world;
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -13,9 +13,9 @@
 
 use pond_proto::{Millis, Span};
 use rand::Rng;
-use world::cases::outcomes;
-use world::fault::Fault;
-use world::{STEP_MS, World};
+use simulation::cases::outcomes;
+use simulation::fault::Fault;
+use simulation::{STEP_MS, World};
 
 /// The longest that a job may wait with nothing running, in milliseconds: what users bear.
 const WAIT_BOUND_MS: Span = 3_000;
--- a/crates/pond-job/tests/evacuations.rs
+++ b/crates/pond-job/tests/evacuations.rs
@@ -6,18 +6,18 @@
 //! `EVACUATION_SEEDS=first..end` runs other seeds than those of CI, as in
 //! `EVACUATION_SEEDS=100..1100 cargo test -p pond-job --test evacuations -- --nocapture`.
 
+mod simulation;
 mod support;
-mod world;
 
 use std::ops::Range;
 use std::sync::LazyLock;
 
 use pond_proto::{Millis, Span};
 use rand::Rng;
-use world::World;
-use world::cases::outcomes;
-use world::evacuation::DATA_CENTRES;
-use world::fault::Fault;
+use simulation::World;
+use simulation::cases::outcomes;
+use simulation::evacuation::DATA_CENTRES;
+use simulation::fault::Fault;
 
 /// The longest that a job may wait with nothing running once all is taken back, in milliseconds: what users
 /// bear.
--- a/crates/pond-job/tests/lasting.rs
+++ b/crates/pond-job/tests/long_running.rs
@@ -3,18 +3,18 @@
 //!
 //! Most of the pool serves, the rest is filled, tasks crash their workers, leaders change and everything loses its power.
 //! After that the pool is watched. `LASTING_SEEDS=first..end` runs other seeds than those of CI, as in
-//! `LASTING_SEEDS=100..1100 cargo test -p pond-job --test lasting -- --nocapture`.
+//! `LASTING_SEEDS=100..1100 cargo test -p pond-job --test long_running -- --nocapture`.
 
+mod simulation;
 mod support;
-mod world;
 
 use std::ops::Range;
 
 use pond_proto::Span;
 use rand::Rng;
-use world::cases::outcomes;
-use world::fault::Fault;
-use world::{World, book};
+use simulation::cases::outcomes;
+use simulation::fault::Fault;
+use simulation::{World, workload};
 
 /// The longest that a lasting task may wait for a place, in milliseconds, beyond the six seconds after its last run: what
 /// users bear.
@@ -60,7 +60,7 @@
             world.begin(Fault::Leader, faults_until);
         }
         if world.rng.random_bool(CRASHING_A_STEP) {
-            let work = book::crashing(&mut world.rng);
+            let work = workload::crashing(&mut world.rng);
             world.submit(work);
         }
         world.pass();
--- a/crates/pond-job/tests/moves.rs
+++ b/crates/pond-job/tests/moves.rs
@@ -3,8 +3,8 @@
 //! A run that is moved is lost but for its saves, and where it begins next it may disturb as much: the guess that lets it
 //! start and the figures that move it differ each time. `MOVE_SEEDS=first..end` runs other seeds than those of CI.
 
+mod simulation;
 mod support;
-mod world;
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -12,8 +12,8 @@
 use pond_job::Decision;
 use pond_proto::Span;
 use pond_proto::job::TaskName;
-use world::World;
-use world::cases::outcomes;
+use simulation::World;
+use simulation::cases::outcomes;
 
 /// Moves of a task at most, while one replica leads.
 const MOST_MOVES: usize = 2;
--- a/crates/pond-job/tests/restarts.rs
+++ b/crates/pond-job/tests/restarts.rs
@@ -4,16 +4,16 @@
 //! No task runs twice, no worker holds more than its room, and nothing waits for long once the faults are over.
 //! `RESTART_SEEDS=first..end` runs other seeds than those of CI.
 
+mod simulation;
 mod support;
-mod world;
 
 use std::sync::LazyLock;
 
 use pond_proto::{Millis, Span};
 use rand::Rng;
-use world::World;
-use world::cases::outcomes;
-use world::fault::Fault;
+use simulation::World;
+use simulation::cases::outcomes;
+use simulation::fault::Fault;
 
 /// The longest that a job may wait with nothing running once faults are over, in milliseconds: what users bear.
 const WAIT_BOUND_MS: Span = 3_000;
--- a/crates/pond-job/tests/world/fault.rs
+++ b/crates/pond-job/tests/simulation/fault.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::worker::Ill;
-use super::{Fate, World, book};
+use super::{Fate, World, workload};
 
 /// Something that goes wrong with the machine of that place, or with all.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -114,7 +114,7 @@
     /// Half of the jobs that end by themselves are cancelled.
     pub fn cancel_many(&mut self) {
         let open =
-            |(id, work): (&u64, &book::Work)| (!work.cancelled && !work.lasts()).then_some(*id);
+            |(id, work): (&u64, &workload::Work)| (!work.cancelled && !work.lasts()).then_some(*id);
         let ids: Vec<u64> = self.book.jobs.iter().filter_map(open).collect();
         for id in ids {
             if self.rng.random_bool(0.5) {
--- a/crates/pond-job/tests/world/machine.rs
+++ b/crates/pond-job/tests/simulation/machine.rs
@@ -5,8 +5,8 @@
 use pond_proto::job::TaskName;
 use pond_proto::{Millis, Size, Span};
 
-use super::book::Book;
 use super::worker::{Ill, Whole, Worker};
+use super::workload::Book;
 
 /// Time between registrations of a worker, in milliseconds.
 const REGISTER_MS: Span = 1_000;
--- a/crates/pond-job/tests/world/mod.rs
+++ b/crates/pond-job/tests/simulation/mod.rs
@@ -2,13 +2,13 @@
 //! virtual time and drawn from one seed.
 #![allow(dead_code)]
 
-pub mod book;
 pub mod cases;
 pub mod evacuation;
 pub mod fault;
 pub mod machine;
-pub mod watch;
+pub mod monitor;
 pub mod worker;
+pub mod workload;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,12 +19,12 @@
 use rand::{Rng, SeedableRng};
 
 use crate::support::{ADVISED, BATCH, HOST, PATH, configuration, terms};
-use book::{Book, RACKS, SPECIAL, Work};
 use evacuation::{DATA_CENTRES, Evacuations};
 use fault::Fault;
 use machine::Machine;
-use watch::Watch;
+use monitor::Watch;
 use worker::{Whole, gang_of};
+use workload::{Book, RACKS, SPECIAL, Work};
 
 /// Time passes in steps of this, in milliseconds.
 pub const STEP_MS: Span = 50;
@@ -150,7 +150,7 @@
         let jobs = self.rng.random_range(1..=6);
         let each = (f64::from(processors) * part) as u32 / jobs;
         for _ in 0..jobs {
-            let work = book::serving(&mut self.rng, each);
+            let work = workload::serving(&mut self.rng, each);
             self.submit(work);
         }
     }
@@ -192,7 +192,7 @@
 
     pub fn submit_passing(&mut self) {
         let (hopeless, advised) = (self.hopeless, self.advised);
-        let work = book::passing(&mut self.rng, hopeless, advised);
+        let work = workload::passing(&mut self.rng, hopeless, advised);
         self.submit(work);
     }
 
@@ -203,7 +203,7 @@
         let (id, step) = (*id, &work.spec.steps[0]);
         let milli_cpu = step.milli_cpu * step.tasks;
         self.cancel(id);
-        let work = book::serving(&mut self.rng, milli_cpu);
+        let work = workload::serving(&mut self.rng, milli_cpu);
         self.submit(work);
     }
 
--- a/crates/pond-job/tests/world/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -7,7 +7,7 @@
 use pond_proto::job::{How, RunName, Step, TaskName};
 use pond_proto::{Millis, Size, Span};
 
-use super::book::Book;
+use super::workload::Book;
 
 /// A serving run is at work after this time, in milliseconds.
 const WARM_MS: Span = 400;
--- a/crates/pond-job/tests/suspects.rs
+++ b/crates/pond-job/tests/suspects.rs
@@ -15,8 +15,8 @@
 //! `SUSPECT_SEEDS=first..end` runs other seeds than those of CI, as in
 //! `SUSPECT_SEEDS=100..1100 cargo test -p pond-job --test suspects -- --nocapture`.
 
+mod simulation;
 mod support;
-mod world;
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -26,9 +26,9 @@
 use pond_proto::job::TaskName;
 use pond_proto::{Millis, Span};
 use rand::Rng;
-use world::cases::outcomes;
-use world::fault::Fault;
-use world::{World, book};
+use simulation::cases::outcomes;
+use simulation::fault::Fault;
+use simulation::{World, workload};
 
 /// Workers that may go down under a task that takes them down at once.
 const MOST_FALLS: usize = 5;
@@ -134,7 +134,7 @@
         }
         if left > 0 && world.rng.random_bool(CRASHING_A_STEP) {
             left -= 1;
-            let work = book::crashing(&mut world.rng);
+            let work = workload::crashing(&mut world.rng);
             world.submit(work);
         }
         world.pass();
