--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -1,4 +1,5 @@
-//! What the replicated state remembers of workers that were lost under a task.
+//! What the replicated state records about losses of workers under a task, and the verdicts on
+//! them.
 
 mod support;
 
@@ -6,7 +7,7 @@
 use pond_proto::fleet::{Report, RunRow};
 use pond_proto::job::{How, Phase, RunName, Step};
 use pond_proto::{Millis, Span};
-use support::{Bench, HOST, PATH, configuration, spec, step, task};
+use support::{HOST, Harness, PATH, configuration, spec, step, task};
 
 fn state(steps: Vec<Step>) -> State {
     let mut state = State::new();
@@ -26,7 +27,7 @@
 }
 
 fn loss(number: u32, verdict: Verdict) -> Change {
-    // What only stood beside a loss had worked for a while.
+    // A run that was only co-located with the cause of a loss had run for a while.
     let lived_ms = if verdict == Verdict::Beside { 3_000 } else { 0 };
     loss_after(number, verdict, lived_ms)
 }
@@ -37,7 +38,7 @@
     Change::WorkerLost { worker, saves: vec![], over: true, blame }
 }
 
-/// The task is started and its worker is lost, for each verdict.
+/// Starts the task and loses its worker, once for each verdict.
 fn lose(state: &mut State, verdicts: &[Verdict]) {
     for (before, verdict) in verdicts.iter().enumerate() {
         let number = before as u32 + 1;
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn task_that_never_lives_on_is_given_up_whatever_else_its_losses_tell() {
+fn task_that_never_survives_its_start_is_given_up_whatever_the_verdicts() {
     let mut state = state(vec![step(1, 100)]);
     for number in 1..=5 {
         assert_eq!(phase(&state), if number == 1 { Phase::Queued } else { Phase::Running });
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn task_is_given_up_for_two_losses_that_are_next_to_certainly_its_doing_and_never_for_one() {
+fn task_is_given_up_for_two_nearly_certain_losses_and_never_for_one() {
     let lost = |probabilities: &[f64]| {
         let mut state = state(vec![step(1, 100)]);
         for (number, probability) in (1..).zip(probabilities) {
@@ -104,10 +105,11 @@
     assert_eq!(lost(&[0.6, 0.98]), Phase::Failed);
 }
 
-/// Guards against a bystander that is given up for the number of its losses, although their odds say that others took down
-/// its workers: one that lasts is beside many losses before it has lived for long enough to be cleared.
+/// Guards against an innocent task being given up for the number of its losses although their
+/// probabilities point to other tasks. A long-running task is co-located with many losses before it
+/// has run long enough to be cleared.
 #[test]
-fn task_is_not_given_up_by_the_number_of_its_losses_against_their_odds() {
+fn task_is_not_given_up_for_the_number_of_its_losses_against_their_probabilities() {
     let lost = |probability: f64| {
         let mut state = state(vec![step(1, 100)]);
         lose(&mut state, &[Verdict::Beside, Verdict::Beside, Verdict::Beside]);
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn lasting_task_is_given_up_as_well() {
+fn long_running_task_is_given_up_as_well() {
     let mut state = state(vec![Step { lasting: true, ..step(1, 100) }]);
     lose(&mut state, &[Verdict::Suspected, Verdict::Proven, Verdict::Proven]);
     assert_eq!(phase(&state), Phase::Failed);
@@ -149,7 +151,7 @@
 }
 
 #[test]
-fn run_that_lives_on_or_is_done_clears_its_task() {
+fn run_that_survives_or_is_done_clears_its_task() {
     let mut state = state(vec![step(1, 100), step(1, 100)]);
     lose(&mut state, &[Verdict::Suspected]);
     start(&mut state, 2);
@@ -164,11 +166,11 @@
     assert_eq!(suspicion(&state), None);
 }
 
-/// Found by reading: a task was started more often than is borne. How it came about: four workers went down under
-/// it, then one that fails whatever it starts ended it as failed, and four more went down. Cause: any end of
-/// its own cleared a task, though a failure tells nothing of what it does to workers.
+/// Guards against more starts of a crashing task than the accepted limit: four workers crash under
+/// it, then a worker on which everything fails ends it as failed, and four more crash. A failure
+/// shows nothing about what the task does to workers, so it must not clear the task.
 #[test]
-fn run_that_fails_clears_nothing_and_is_a_start_that_users_bear() {
+fn run_that_fails_clears_nothing_and_counts_as_a_start() {
     use Verdict::{Proven, Suspected};
     let mut state = state(vec![step(1, 100)]);
     lose(&mut state, &[Suspected, Suspected, Proven]);
@@ -190,29 +192,29 @@
     assert_eq!(suspicion(&state).map(|suspicion| suspicion.proven), Some(1));
 }
 
-/// A lost worker as versions wrote it that kept nothing of losses.
+/// The change for a lost worker as written by versions that recorded nothing about losses.
 #[derive(serde::Serialize)]
-enum FormerChange {
+enum OldChange {
     WorkerLost { worker: String, saves: Vec<(RunName, String)>, over: bool },
 }
 
 #[test]
-fn what_former_versions_wrote_is_read_with_nothing_held_against_anybody() {
-    let former = (3u32, Some("a"), 1u32, false, "save");
-    let bytes = rmp_serde::to_vec(&former).unwrap();
+fn data_of_earlier_versions_is_read_without_suspicions() {
+    let old = (3u32, Some("a"), 1u32, false, "save");
+    let bytes = rmp_serde::to_vec(&old).unwrap();
     let task: Task = rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!((task.run, task.failed, task.save.as_str()), (3, 1, "save"));
     assert_eq!(task.suspicion, None);
 
     let worker = "a".to_owned();
-    let former = FormerChange::WorkerLost { worker: worker.clone(), saves: vec![], over: true };
-    let bytes = rmp_serde::to_vec(&former).unwrap();
+    let old = OldChange::WorkerLost { worker: worker.clone(), saves: vec![], over: true };
+    let bytes = rmp_serde::to_vec(&old).unwrap();
     let lost = Change::WorkerLost { worker, saves: vec![], over: true, blame: vec![] };
     assert_eq!(Change::decode(&bytes), Ok(lost));
 
     let agents = vec!["a".to_owned()];
-    let former = (4u32, 2u32, 1u32, true, 7u64, agents.clone());
-    let bytes = rmp_serde::to_vec(&former).unwrap();
+    let old = (4u32, 2u32, 1u32, true, 7u64, agents.clone());
+    let bytes = rmp_serde::to_vec(&old).unwrap();
     let suspicion: Suspicion = rmp_serde::from_slice(&bytes).unwrap();
     let wanted = Suspicion {
         losses: 4,
@@ -227,8 +229,15 @@
     assert_eq!(suspicion, wanted);
 }
 
-/// A life is over; it had these runs at last, and had lived on with each for so long.
-fn gone(bench: &mut Bench, life: &str, runs: &[(RunName, u32)], met: bool, left: bool) {
+/// Reports that an incarnation has ended, with its last runs and how long each had run, in
+/// milliseconds.
+fn end_incarnation(
+    harness: &mut Harness,
+    incarnation: &str,
+    runs: &[(RunName, u32)],
+    met: bool,
+    left: bool,
+) {
     let row = |(run, lived_ms): &(RunName, u32)| RunRow {
         run: *run,
         lived_ms: *lived_ms,
@@ -236,24 +245,26 @@
         ..RunRow::default()
     };
     let runs = runs.iter().map(row).collect();
-    let report = Report { worker: life.to_owned(), gone: true, left, runs, ..Report::default() };
-    let (link, agent) = (bench.vms[life].link, bench.vms[life].agent.clone());
-    bench.leader.report(&bench.state, bench.now, link, &agent, report);
-    bench.settle();
-}
-
-/// Two workers without serving work, with a job of one task that was just given to the first of them.
-fn just_begun() -> (Bench, String, RunName) {
-    let mut bench = Bench::new().with_vm("a", 4_000).with_vm("b", 4_000);
-    bench.submit(1, vec![step(1, 1_000)]);
-    bench.settle();
-    let life = bench.place_of(task(1, 0, 0)).expect("a place");
-    let run = bench.started(&life)[0];
-    (bench, life, run)
-}
-
-fn verdicts(bench: &Bench) -> Vec<Verdict> {
-    let lost = bench.proposed.iter().filter_map(|change| match change {
+    let report =
+        Report { worker: incarnation.to_owned(), gone: true, left, runs, ..Report::default() };
+    let (link, agent) = (harness.vms[incarnation].link, harness.vms[incarnation].agent.clone());
+    harness.leader.report(&harness.state, harness.now, link, &agent, report);
+    harness.run_until_idle();
+}
+
+/// Two workers without serving work, and a job of one task that was just placed on one of them.
+/// Returns that worker's incarnation and the run.
+fn just_started() -> (Harness, String, RunName) {
+    let mut harness = Harness::new().with_vm("a", 4_000).with_vm("b", 4_000);
+    harness.submit(1, vec![step(1, 1_000)]);
+    harness.run_until_idle();
+    let incarnation = harness.worker_of(task(1, 0, 0)).expect("a place");
+    let run = harness.started(&incarnation)[0];
+    (harness, incarnation, run)
+}
+
+fn verdicts(harness: &Harness) -> Vec<Verdict> {
+    let lost = harness.proposals.iter().filter_map(|change| match change {
         Change::WorkerLost { blame, .. } => Some(blame.iter().map(|blame| blame.verdict)),
         _ => None,
     });
@@ -261,142 +272,148 @@
 }
 
 #[test]
-fn worker_that_lived_when_the_only_new_run_began_is_a_proof() {
-    let (mut bench, life, run) = just_begun();
-    gone(&mut bench, &life, &[(run, 0)], true, false);
-    assert_eq!(verdicts(&bench), [Verdict::Proven]);
+fn loss_of_a_worker_that_was_up_when_its_only_new_run_began_is_conclusive() {
+    let (mut harness, incarnation, run) = just_started();
+    end_incarnation(&mut harness, &incarnation, &[(run, 0)], true, false);
+    assert_eq!(verdicts(&harness), [Verdict::Proven]);
 }
 
 #[test]
 fn loss_of_a_worker_possibly_down_before_the_run_is_not_conclusive() {
-    let (mut bench, life, run) = just_begun();
-    gone(&mut bench, &life, &[(run, 0)], false, false);
-    assert_eq!(verdicts(&bench), [Verdict::Suspected]);
+    let (mut harness, incarnation, run) = just_started();
+    end_incarnation(&mut harness, &incarnation, &[(run, 0)], false, false);
+    assert_eq!(verdicts(&harness), [Verdict::Suspected]);
 }
 
 #[test]
-fn run_that_cannot_have_begun_and_worker_that_left_are_evidence_of_nothing() {
-    let (mut bench, life, _) = just_begun();
-    gone(&mut bench, &life, &[], true, false);
-    assert!(verdicts(&bench).is_empty());
-    let (mut bench, life, run) = just_begun();
-    gone(&mut bench, &life, &[(run, 0)], true, true);
-    assert!(verdicts(&bench).is_empty());
-}
-
-/// Seen in random histories: a crash of five was missing from the count. How it came about: an agent asks its
-/// worker for a sign of life before it starts a suspect, and reports meanwhile that the run is not sent yet; it
-/// then starts it, goes down with the worker and tells no more. Cause: that report was taken for the last word,
-/// by which the run cannot have begun. Proved by: `609` names the run without a time, and the loss has no `623`.
+fn unstarted_run_and_worker_that_left_cause_no_verdict() {
+    let (mut harness, incarnation, _) = just_started();
+    end_incarnation(&mut harness, &incarnation, &[], true, false);
+    assert!(verdicts(&harness).is_empty());
+    let (mut harness, incarnation, run) = just_started();
+    end_incarnation(&mut harness, &incarnation, &[(run, 0)], true, true);
+    assert!(verdicts(&harness).is_empty());
+}
+
+/// Guards against a crash that is missing from the count. An agent checks that its worker responds
+/// before it starts a suspect, and meanwhile reports that the run has not been sent. It then starts
+/// the run and crashes with the worker before the next report. The earlier report must not be read
+/// as proof that the run never began. In the log, event `609` then names the run without a time and
+/// no `623` follows for the loss.
 #[test]
-fn run_that_was_not_sent_by_a_former_report_may_have_begun_since() {
-    let (mut bench, life, run) = just_begun();
+fn run_that_an_earlier_report_calls_unsent_may_have_begun_since() {
+    let (mut harness, incarnation, run) = just_started();
     let waits = RunRow { run, unlisted: true, unsent: true, ..RunRow::default() };
-    bench.vms.get_mut(&life).expect("a life").runs.insert(run, waits);
-    bench.report(&life);
-    let agent = bench.vms[&life].agent.clone();
-    bench.add_life(&agent, "next-life", 4_000);
-    bench.settle();
-    assert_eq!(verdicts(&bench).len(), 1);
+    harness.vms.get_mut(&incarnation).expect("a life").runs.insert(run, waits);
+    harness.report(&incarnation);
+    let agent = harness.vms[&incarnation].agent.clone();
+    harness.add_incarnation(&agent, "next-life", 4_000);
+    harness.run_until_idle();
+    assert_eq!(verdicts(&harness).len(), 1);
 }
 
-/// Guards against a bystander that is proven to have taken down its worker, as the task that did was cancelled before the
-/// loss was told.
+/// Guards against a conclusive verdict on an innocent task when the culprit was cancelled before
+/// the loss was reported.
 #[test]
-fn cancelled_job_may_be_the_cause_of_a_loss_all_the_same() {
-    let mut bench = Bench::new().with_vm("a", 4_000);
-    bench.submit(1, vec![step(1, 1_000)]);
-    bench.submit(2, vec![step(1, 1_000)]);
-    bench.settle();
-    let runs: Vec<(RunName, u32)> = bench.started("a").into_iter().map(|run| (run, 0)).collect();
+fn cancelled_job_may_still_be_the_cause_of_a_loss() {
+    let mut harness = Harness::new().with_vm("a", 4_000);
+    harness.submit(1, vec![step(1, 1_000)]);
+    harness.submit(2, vec![step(1, 1_000)]);
+    harness.run_until_idle();
+    let runs: Vec<(RunName, u32)> = harness.started("a").into_iter().map(|run| (run, 0)).collect();
     assert_eq!(runs.len(), 2);
-    bench.cancel(2);
-    gone(&mut bench, "a", &runs, true, false);
-    assert_eq!(verdicts(&bench), [Verdict::Suspected]);
+    harness.cancel(2);
+    end_incarnation(&mut harness, "a", &runs, true, false);
+    assert_eq!(verdicts(&harness), [Verdict::Suspected]);
 }
 
 #[test]
-fn operators_are_told_of_each_loss_of_what_had_just_begun() {
-    let told = |verdict, lived_ms| Blame::new(run(1), verdict, lived_ms).is_news();
-    assert!(told(Verdict::Beside, 99) && told(Verdict::Suspected, 5_000));
-    assert!(!told(Verdict::Beside, 100));
+fn each_loss_of_a_run_that_had_just_begun_is_reported_to_operators() {
+    let is_reported = |verdict, lived_ms| Blame::new(run(1), verdict, lived_ms).is_news();
+    assert!(is_reported(Verdict::Beside, 99) && is_reported(Verdict::Suspected, 5_000));
+    assert!(!is_reported(Verdict::Beside, 100));
 }
 
 #[test]
 fn simultaneous_losses_are_not_conclusive() {
-    let mut bench = Bench::new();
-    for life in ["a", "b", "c"] {
-        bench.add_vm(life, 4_000);
+    let mut harness = Harness::new();
+    for incarnation in ["a", "b", "c"] {
+        harness.add_vm(incarnation, 4_000);
     }
-    bench.submit(2, vec![step(3, 4_000)]);
-    bench.settle();
-    let of = |bench: &Bench, life: &str| bench.started(life)[0];
-    let runs = ["a", "b", "c"].map(|life| of(&bench, life));
-    gone(&mut bench, "a", &[(runs[0], 3_000)], true, false);
-    gone(&mut bench, "b", &[(runs[1], 3_000)], true, false);
-    gone(&mut bench, "c", &[(runs[2], 0)], true, false);
-    assert_eq!(verdicts(&bench), [Verdict::Beside, Verdict::Beside, Verdict::Beside]);
+    harness.submit(2, vec![step(3, 4_000)]);
+    harness.run_until_idle();
+    let of = |harness: &Harness, incarnation: &str| harness.started(incarnation)[0];
+    let runs = ["a", "b", "c"].map(|incarnation| of(&harness, incarnation));
+    end_incarnation(&mut harness, "a", &[(runs[0], 3_000)], true, false);
+    end_incarnation(&mut harness, "b", &[(runs[1], 3_000)], true, false);
+    end_incarnation(&mut harness, "c", &[(runs[2], 0)], true, false);
+    assert_eq!(verdicts(&harness), [Verdict::Beside, Verdict::Beside, Verdict::Beside]);
 }
 
-/// All power is lost: agents come back with their workers and know nothing of what ran there.
+/// After a power loss, agents come back with their workers and know nothing about the former runs.
 #[test]
-fn nothing_is_suspected_on_workers_of_which_nothing_is_told() {
-    let mut bench = Bench::new();
-    for life in ["a", "b", "c"] {
-        bench.add_vm(life, 4_000);
+fn nothing_is_suspected_on_workers_without_reports_about_their_runs() {
+    let mut harness = Harness::new();
+    for incarnation in ["a", "b", "c"] {
+        harness.add_vm(incarnation, 4_000);
     }
-    bench.submit(2, vec![step(3, 4_000)]);
-    bench.settle();
-    bench.replace_leader();
-    for life in ["a", "b", "c"] {
-        bench.add_life(&format!("agent-of-{life}"), &format!("{life}-2"), 4_000);
+    harness.submit(2, vec![step(3, 4_000)]);
+    harness.run_until_idle();
+    harness.replace_leader();
+    for incarnation in ["a", "b", "c"] {
+        harness.add_incarnation(
+            &format!("agent-of-{incarnation}"),
+            &format!("{incarnation}-2"),
+            4_000,
+        );
     }
-    bench.pass(1, &[]);
-    let verdicts = verdicts(&bench);
+    harness.advance(1, &[]);
+    let verdicts = verdicts(&harness);
     assert!(!verdicts.is_empty() && verdicts.iter().all(|verdict| *verdict == Verdict::Beside));
-    let job = bench.state.job(2).expect("a job");
+    let job = harness.state.job(2).expect("a job");
     assert!(!job.times[0][0].iter().any(Task::suspect));
 }
 
-/// The jobs of one task each that begin on a single worker within some seconds, where these were lost so often
-/// before, each time just begun.
-fn begin_after(losses: &[(u64, Verdict, u32)]) -> Vec<u64> {
-    let mut bench = Bench::new();
+/// Returns the jobs that are started on a single worker within a few seconds. Each job has one
+/// task, which was lost this often with this verdict before, each time just after its start.
+fn started_after(losses: &[(u64, Verdict, u32)]) -> Vec<u64> {
+    let mut harness = Harness::new();
     for (id, verdict, times) in losses {
-        bench.submit(*id, vec![step(1, 1_000)]);
+        harness.submit(*id, vec![step(1, 1_000)]);
         for number in 1..=*times {
             let run = RunName { task: task(*id, 0, 0), number };
             let (worker, agent) = (format!("former-{id}-{number}"), "agent".to_owned());
-            bench.apply(Change::Start(vec![Start { run, worker: worker.clone(), agent }]));
+            harness.apply(Change::Start(vec![Start { run, worker: worker.clone(), agent }]));
             let blame = vec![Blame::new(run, *verdict, 0)];
-            bench.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
+            harness.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
         }
     }
-    bench.pass(2, &[]);
-    bench.add_vm("a", 8_000);
-    bench.settle();
-    bench.started("a").iter().map(|run| run.task.job).collect()
+    harness.advance(2, &[]);
+    harness.add_vm("a", 8_000);
+    harness.run_until_idle();
+    harness.started("a").iter().map(|run| run.task.job).collect()
 }
 
-/// Guards against work that is lost with a suspect and would share the blame.
+/// Guards against other work that is lost together with a suspect and then shares the blame.
 #[test]
-fn other_work_waits_until_a_suspect_has_lived_on() {
-    assert_eq!(begin_after(&[(1, Verdict::Suspected, 2), (2, Verdict::Suspected, 0)]), [1]);
+fn other_work_waits_until_a_suspect_has_survived() {
+    assert_eq!(started_after(&[(1, Verdict::Suspected, 2), (2, Verdict::Suspected, 0)]), [1]);
 }
 
-/// Seen in the soak: a bystander of one loss joined what was likely the cause of two, again and again, until it was
-/// given up for five losses.
+/// Guards against an innocent task that is co-located again and again with the likely cause of two
+/// losses, until it is given up after five losses of its own.
 #[test]
 fn likely_cause_of_several_losses_is_isolated() {
     use Verdict::Suspected;
-    assert_eq!(begin_after(&[(1, Suspected, 2), (2, Suspected, 1)]), [1]);
+    assert_eq!(started_after(&[(1, Suspected, 2), (2, Suspected, 1)]), [1]);
 }
 
-/// Seen in random histories in which nothing is told of lost workers: bystanders joined a task that never had
-/// a likely loss, though it had just begun at each, and were given up with it.
+/// Guards against innocent tasks being placed with a task that had just begun at each of several
+/// losses but has no likely loss, and being given up with it. This happens where nothing is
+/// reported about lost workers.
 #[test]
-fn what_had_just_begun_at_several_losses_begins_with_nobody() {
+fn task_that_had_just_begun_at_several_losses_is_isolated() {
     use Verdict::{Beside, Suspected};
-    assert_eq!(begin_after(&[(1, Beside, 2), (2, Suspected, 1)]), [2]);
-    assert_eq!(begin_after(&[(1, Beside, 3)]), [1]);
+    assert_eq!(started_after(&[(1, Beside, 2), (2, Suspected, 1)]), [2]);
+    assert_eq!(started_after(&[(1, Beside, 3)]), [1]);
 }
--- a/crates/pond-job/tests/waiting.rs
+++ b/crates/pond-job/tests/waiting.rs
@@ -1,76 +1,78 @@
 //! How many jobs of a queue wait with no task begun.
 //!
-//! Seen: one job was said to wait while five had waited for five seconds. How it came about: they were given to a
-//! worker that another task took down in the same moment, and once its loss was known to another such one.
-//! Cause: a job counted as begun once its tasks had a place. Proved by: the log of their starts, each on a
-//! life that went down a few milliseconds later; in these tests nothing ever begins.
+//! Guards against waiting jobs that are not counted: one job was reported as waiting while five had
+//! waited for 5 s. They were placed on a worker that another task crashed in the same moment, and
+//! once its loss was known on another such worker. A job must not count as begun as soon as its
+//! tasks are placed. In the log, each of their starts was on an incarnation that crashed a few
+//! milliseconds later; in these tests nothing ever begins.
 
 mod support;
 
 use pond_proto::fleet::RunRow;
-use support::{Bench, step, task};
+use support::{Harness, step, task};
 
-/// The jobs that are handed in.
+/// The number of submitted jobs.
 const JOBS: u64 = 5;
 
-/// Jobs of one task each that were given to the only worker, which has listed none of them.
-fn placed() -> Bench {
-    let mut bench = Bench::new().with_vm("a", 8_000);
+/// Returns a pool in which jobs of one task each are placed on the only worker, which has listed
+/// none of them.
+fn placed() -> Harness {
+    let mut harness = Harness::new().with_vm("a", 8_000);
     for id in 1..=JOBS {
-        bench.submit(id, vec![step(1, 1_000)]);
+        harness.submit(id, vec![step(1, 1_000)]);
     }
-    bench.settle();
-    assert!((1..=JOBS).all(|id| bench.place_of(task(id, 0, 0)).is_some()));
-    bench
+    harness.run_until_idle();
+    assert!((1..=JOBS).all(|id| harness.worker_of(task(id, 0, 0)).is_some()));
+    harness
 }
 
-fn waiting(bench: &Bench) -> u64 {
-    bench.leader.waiting(&bench.state, "quick")
+fn waiting(harness: &Harness) -> u64 {
+    harness.leader.waiting(&harness.state, "quick")
 }
 
-/// The worker lists all that it was told to start.
-fn list(bench: &mut Bench, life: &str) {
-    let runs = bench.started(life);
-    let vm = bench.vms.get_mut(life).expect("a life");
+/// Reports all runs that the worker was ordered to start.
+fn list(harness: &mut Harness, incarnation: &str) {
+    let runs = harness.started(incarnation);
+    let vm = harness.vms.get_mut(incarnation).expect("a life");
     vm.runs.extend(runs.into_iter().map(|run| (run, RunRow { run, ..RunRow::default() })));
-    bench.report(life);
-    bench.settle();
+    harness.report(incarnation);
+    harness.run_until_idle();
 }
 
 #[test]
-fn what_was_given_to_a_worker_waits_until_it_is_listed_there() {
-    let mut bench = placed();
-    assert_eq!(waiting(&bench), JOBS);
-    list(&mut bench, "a");
-    assert_eq!(waiting(&bench), 0);
+fn placed_jobs_wait_until_their_worker_lists_them() {
+    let mut harness = placed();
+    assert_eq!(waiting(&harness), JOBS);
+    list(&mut harness, "a");
+    assert_eq!(waiting(&harness), 0);
 }
 
 #[test]
-fn what_never_began_on_a_lost_worker_waits() {
-    let mut bench = placed();
-    bench.add_life("agent-of-a", "next", 500);
-    bench.settle();
-    assert!(bench.place_of(task(1, 0, 0)).is_none());
-    assert_eq!(waiting(&bench), JOBS);
+fn jobs_that_never_began_on_a_lost_worker_wait() {
+    let mut harness = placed();
+    harness.add_incarnation("agent-of-a", "next", 500);
+    harness.run_until_idle();
+    assert!(harness.worker_of(task(1, 0, 0)).is_none());
+    assert_eq!(waiting(&harness), JOBS);
 }
 
 #[test]
-fn what_began_once_waits_no_more() {
-    let mut bench = placed();
-    list(&mut bench, "a");
-    bench.add_life("agent-of-a", "next", 500);
-    bench.settle();
-    assert!(bench.place_of(task(1, 0, 0)).is_none());
-    assert_eq!(waiting(&bench), 0);
+fn jobs_that_have_begun_once_no_longer_wait() {
+    let mut harness = placed();
+    list(&mut harness, "a");
+    harness.add_incarnation("agent-of-a", "next", 500);
+    harness.run_until_idle();
+    assert!(harness.worker_of(task(1, 0, 0)).is_none());
+    assert_eq!(waiting(&harness), 0);
 }
 
-/// A new leader takes what it has not heard of yet for begun.
+/// A new leader assumes that runs have begun on workers that have not reported to it yet.
 #[test]
 fn runs_on_workers_that_a_new_leader_does_not_know_have_begun() {
-    let mut bench = placed();
-    list(&mut bench, "a");
-    bench.replace_leader();
-    assert_eq!(waiting(&bench), 0);
-    bench.report("a");
-    assert_eq!(waiting(&bench), 0);
+    let mut harness = placed();
+    list(&mut harness, "a");
+    harness.replace_leader();
+    assert_eq!(waiting(&harness), 0);
+    harness.report("a");
+    assert_eq!(waiting(&harness), 0);
 }
