--- a/crates/pond-job/tests/crashes.rs
+++ b/crates/pond-job/tests/crashes.rs
@@ -3,9 +3,9 @@
 //! Guards against a crashing task that is started without limit: two tasks were started 34 and 35
 //! times in two minutes, and each time a worker crashed 10 ms later with all its runs. A crashed
 //! worker lists no ends. When its next incarnation registers, its runs are removed and may be
-//! placed again, immediately and with their old urgency. The replicated state therefore counts such
-//! losses; only ends of kind `failed` used to count against a task, and what a leader learns about
-//! workers depends on ends, too. In the log lines of lost incarnations, the same task then appears
+//! placed again, immediately and with their old urgency. Ends of kind `failed` and what a leader
+//! learns about workers do not cover such losses, because both depend on listed ends; the
+//! replicated state must count them. In the log lines of lost incarnations, the same task appears
 //! loss after loss with no time run. These tests fail without the count.
 
 mod support;
@@ -69,7 +69,7 @@
     pool.harness.submit(2, vec![step(1, 1_000)]);
     pool.advance(5_000);
     let suspect = |id, index| {
-        let job = pool.harness.state.job(id).expect("a job");
+        let job = pool.harness.state.job(id).expect("the job exists");
         job.task(task(id, 0, index)).is_some_and(Task::suspect)
     };
     assert!(pool.crashes > 0 && suspect(2, 0));
@@ -81,7 +81,7 @@
 /// 2 s. While other workers crashed on their own, each loss counted as one at which the task was
 /// only co-located, however often it had just begun there.
 #[test]
-fn task_is_given_up_though_other_workers_go_down_by_themselves() {
+fn task_is_given_up_although_other_workers_crash_on_their_own() {
     let mut pool = Pool::new(6).with_back_ms(100);
     let one_each = Step { lasting: true, most_per_worker: 1, ..step(6, 1_000) };
     pool.harness.submit(1, vec![one_each]);
@@ -118,8 +118,8 @@
 #[test]
 fn two_crashes_are_not_enough_where_workers_crash_on_their_own() {
     let mut pool = Pool::new(8);
-    for place in (0..8).cycle().take(24) {
-        pool.crash(place);
+    for index in (0..8).cycle().take(24) {
+        pool.crash(index);
         pool.advance(1_000);
     }
     pool.advance(6_000);
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn end_that_comes_again_counts_once() {
+fn repeated_end_counts_once() {
     let mut state = state(vec![step(1, 100)]);
     start(&mut state, run(0, 0, 1), "a");
     end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
