--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -38,7 +38,7 @@
     harness.submit(SERVING, vec![serving()]);
     harness.run_until_idle();
     advance(&mut harness, &["a"], 6, 0);
-    harness.submit_batch(2, vec![best_effort("loud", 1)]);
+    harness.submit_batch(2, vec![best_effort("noisy", 1)]);
     harness.run_until_idle();
     advance(&mut harness, &["a"], 9, 1_600);
     advance(&mut harness, &["a"], 60, 3_200);
@@ -87,7 +87,7 @@
 #[test]
 fn time_of_a_force_placed_run_does_not_count_as_starved() {
     let mut harness = with_known_interference();
-    let first = Step { milli_cpu: 9_600, ..best_effort("loud", 1) };
+    let first = Step { milli_cpu: 9_600, ..best_effort("noisy", 1) };
     let second = Step { after: vec![0], ..first.clone() };
     harness.submit_batch(9, vec![first, second]);
     advance_until_placed(&mut harness, 9);
@@ -109,7 +109,7 @@
     let mut harness = with_known_interference();
     harness.submit(3, vec![Step { estimate_ms: 60_000, ..step(1, 1_000) }]);
     harness.run_until_idle();
-    harness.submit_batch(9, vec![Step { milli_cpu: 9_600, ..best_effort("loud", 1) }]);
+    harness.submit_batch(9, vec![Step { milli_cpu: 9_600, ..best_effort("noisy", 1) }]);
     advance_until_placed(&mut harness, 9);
     assert_eq!(starved_ms(&harness, 9).len(), 1);
     for _ in 0..60 {
@@ -228,7 +228,7 @@
     for job in 100..900 {
         harness.submit_batch(
             job,
-            vec![Step { milli_cpu: 1_600, memory_mib: 10, ..best_effort("loud", 1) }],
+            vec![Step { milli_cpu: 1_600, memory_mib: 10, ..best_effort("noisy", 1) }],
         );
     }
     let incarnations: Vec<&str> = incarnations.iter().map(String::as_str).chain(["a"]).collect();
@@ -249,7 +249,7 @@
 #[test]
 fn job_whose_only_placed_run_is_on_a_silent_worker_counts_as_starved() {
     let mut harness = with_known_interference().with_vm("b", 3_200);
-    harness.submit_batch(9, vec![best_effort("loud", 2)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 2)]);
     harness.run_until_idle();
     let placed =
         |harness: &Harness| (0..2).filter_map(|i| harness.worker_of(task(9, 0, i))).collect();
@@ -264,22 +264,22 @@
     }
     let places: Vec<String> = placed(&harness);
     assert_eq!(places.len(), 2, "{places:?}");
-    assert!(places.contains(&"b".to_owned()), "the lease of the silent worker is over already");
+    assert!(places.contains(&"b".to_owned()), "the lease of the silent worker has already expired");
 }
 
 /// Guards against a job that is starved for as long as a worker is down although it has other tasks
 /// to start: an agent keeps reporting the runs of a worker that does not answer it.
 #[test]
-fn job_whose_only_placed_run_is_on_a_worker_that_does_not_answer_stands_still() {
+fn job_whose_only_placed_run_is_on_an_unresponsive_worker_counts_as_starved() {
     let mut harness = with_known_interference().with_vm("b", 3_200);
-    harness.submit_batch(9, vec![best_effort("loud", 2)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 2)]);
     harness.run_until_idle();
     for _ in 0..6 {
         advance(&mut harness, &["a", "b"], 6, 0);
     }
     assert!(starved_ms(&harness, 9).is_empty(), "force-placed while its other task runs");
     let down = harness.now;
-    harness.vms.get_mut("b").expect("a worker").answers = false;
+    harness.vms.get_mut("b").expect("the worker exists").answers = false;
     let places =
         |harness: &Harness| (0..2).filter(|i| harness.worker_of(task(9, 0, *i)).is_some()).count();
     while places(&harness) < 2 && harness.now.since(down) < 10_000 {
@@ -288,7 +288,7 @@
     }
     assert!(
         harness.now.since(down) <= MAX_WAIT_MS,
-        "it was starved for {} ms",
+        "the job was starved for {} ms",
         harness.now.since(down)
     );
 }
@@ -296,9 +296,9 @@
 /// Guards against a job that is lost with its worker and then waits for the full maximum wait
 /// again: it has been starved since the worker crashed.
 #[test]
-fn job_whose_runs_are_lost_has_stood_still_since_its_worker_went_down() {
+fn job_whose_runs_are_lost_counts_as_starved_since_its_worker_crashed() {
     let mut harness = with_known_interference().with_vm("b", 3_200);
-    harness.submit_batch(9, vec![best_effort("loud", 1)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 1)]);
     harness.run_until_idle();
     for _ in 0..6 {
         advance(&mut harness, &["a", "b"], 6, 0);
@@ -315,7 +315,7 @@
     }
     assert!(
         harness.now.since(down) <= MAX_WAIT_MS,
-        "it was starved for {} ms",
+        "the job was starved for {} ms",
         harness.now.since(down)
     );
 }
@@ -325,7 +325,7 @@
 #[test]
 fn task_that_has_not_failed_is_force_placed_before_one_that_has() {
     let mut harness = with_known_interference();
-    harness.submit_batch(9, vec![Step { milli_cpu: 9_600, ..best_effort("loud", 2) }]);
+    harness.submit_batch(9, vec![Step { milli_cpu: 9_600, ..best_effort("noisy", 2) }]);
     let first = Start { run: run(9, 0, 1), worker: "a".into(), agent: "agent-of-a".into() };
     harness.apply(Change::Start(vec![first]));
     advance(&mut harness, &["a"], 6, 0);
--- a/crates/pond-job/tests/bound.rs
+++ b/crates/pond-job/tests/bound.rs
@@ -2,8 +2,8 @@
 //! twice over. At no time does a task run twice or does a worker hold more than its room.
 //!
 //! Each seed determines a pool, its jobs and its faults. `BOUND_SEEDS=first..end` runs other seeds
-//! than those of CI, as in `BOUND_SEEDS=100..1100 cargo test -p pond-job --test bound --
-//! --nocapture`.
+//! than those of CI, as in
+//! `BOUND_SEEDS=100..1100 cargo test -p pond-job --test bound -- --nocapture`.
 
 mod simulation;
 mod support;
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -227,7 +227,7 @@
         wait(&mut harness, 2_000);
         harness.cancel(1);
         wait(&mut harness, 5_000);
-        assert_eq!(harness.state.placed("a").count(), 0, "its lease has run out");
+        assert_eq!(harness.state.placed("a").count(), 0, "its lease has expired");
         wait(&mut harness, if dropped { 70_000 } else { 100 });
         assert_eq!(harness.state.job(1).is_none(), dropped);
         harness.vms.get_mut("a").unwrap().orders.clear();
@@ -256,7 +256,7 @@
     harness.report("a");
     harness.run_until_idle();
     assert_eq!(harness.stopped("a"), []);
-    harness.apply(loss.expect("no loss"));
+    harness.apply(loss.expect("the loss is proposed"));
     harness.run_until_idle();
     assert_eq!(harness.stopped("a"), [run]);
 }
@@ -293,7 +293,7 @@
         Output::Propose(change @ Change::Start(_)) => Some(change),
         _ => None,
     });
-    harness.apply(starts.expect("no start"));
+    harness.apply(starts.expect("the start is proposed"));
     harness.cancel(1);
     harness.run_until_idle();
     assert_eq!(harness.started("a"), []);
@@ -311,7 +311,7 @@
         _ => None,
     });
     harness.cancel(1);
-    assert_eq!(harness.apply(starts.expect("no start")), Reply::Started(Vec::new()));
+    assert_eq!(harness.apply(starts.expect("the start is proposed")), Reply::Started(Vec::new()));
     harness.run_until_idle();
     assert_eq!(harness.started("a"), []);
     assert_eq!(harness.state.placed("a").count(), 0);
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -39,7 +39,7 @@
 #[test]
 fn work_that_waits_only_for_an_evacuated_data_centre_says_so_and_starts_when_it_is_readmitted() {
     let mut harness = two_data_centres();
-    harness.vms.get_mut("a").expect("a worker").labels = vec!["gpu".to_owned()];
+    harness.vms.get_mut("a").expect("the worker exists").labels = vec!["gpu".to_owned()];
     harness.report("a");
     harness.evacuate("north");
     harness.submit(1, vec![Step { required_label: "gpu".to_owned(), ..step(1, 1_000) }]);
@@ -66,7 +66,7 @@
     harness.evacuate(&data_centre);
     harness.run_until_idle();
     assert_eq!(harness.stopped(ordered), [run(1, 0)]);
-    harness.vms.get_mut(ordered).expect("a worker").unstarted = vec![run(1, 0)];
+    harness.vms.get_mut(ordered).expect("the worker exists").unstarted = vec![run(1, 0)];
     harness.report(ordered);
     harness.run_until_idle();
     let again = RunName { number: 2, ..run(1, 0) };
@@ -99,10 +99,10 @@
     let north = harness.started("a");
     harness.start_ordered("b");
     harness.evacuate("north");
-    let state = harness.state.encode().expect("a state");
-    harness.state = State::decode(&state).expect("a state");
+    let state = harness.state.encode().expect("the state can be encoded");
+    harness.state = State::decode(&state).expect("an encoded state can be decoded");
     harness.replace_leader();
-    harness.vms.get_mut("a").expect("a worker").orders.clear();
+    harness.vms.get_mut("a").expect("the worker exists").orders.clear();
     harness.advance(3, &["a", "b"]);
     assert!(harness.started("a").is_empty());
     assert_eq!(harness.stopped("a")[..1], north[..]);
@@ -115,18 +115,18 @@
     harness.submit(1, vec![step(1, 6_000)]);
     harness.submit(2, vec![step(1, 6_000)]);
     harness.run_until_idle();
-    let there = harness.started("a");
+    let runs = harness.started("a");
     harness.evacuate("north");
     harness.replace_leader();
-    let vm = harness.vms.get_mut("a").expect("a worker");
+    let vm = harness.vms.get_mut("a").expect("the worker exists");
     vm.answers = false;
     vm.orders.clear();
     harness.advance(3, &["a", "b"]);
     assert!(harness.started("a").is_empty() && harness.stopped("a").is_empty());
     // It lists the runs that began before.
-    let vm = harness.vms.get_mut("a").expect("a worker");
+    let vm = harness.vms.get_mut("a").expect("the worker exists");
     vm.answers = true;
-    for run in there {
+    for run in runs {
         let row = pond_proto::fleet::RunRow { run, percent: 10, ..Default::default() };
         vm.runs.insert(run, row);
     }
@@ -187,13 +187,13 @@
 #[test]
 fn snapshots_keep_evacuations_and_older_ones_have_none() {
     let mut state = State::new();
-    let bytes = state.encode().expect("a state");
+    let bytes = state.encode().expect("the state can be encoded");
     // Snapshots of earlier versions lack the last field of the state, which is empty here.
     let (head, fields) = (bytes[0], &bytes[1..bytes.len() - 1]);
     assert_eq!((head, bytes[bytes.len() - 1]), (0x98, 0x80));
     let older = [&[head - 1], fields].concat();
     assert_eq!(State::decode(&older), Ok(state.clone()));
     state.apply(Change::Evacuate { data_centre: "north".to_owned(), at: Millis(5) });
-    let bytes = state.encode().expect("a state");
+    let bytes = state.encode().expect("the state can be encoded");
     assert_eq!(State::decode(&bytes), Ok(state));
 }
--- a/crates/pond-job/tests/interference.rs
+++ b/crates/pond-job/tests/interference.rs
@@ -43,7 +43,7 @@
 
 /// Returns a worker on which the run of job 2 interfered and was stopped, and that run.
 fn with_known_interference() -> (Harness, RunName) {
-    let mut harness = colocated(&["loud"]);
+    let mut harness = colocated(&["noisy"]);
     interfere(&mut harness);
     let run = harness.stopped("a")[0];
     harness.end("a", run, How::Stopped);
@@ -60,7 +60,7 @@
 
 #[test]
 fn interfering_best_effort_run_is_stopped() {
-    let mut harness = colocated(&["loud"]);
+    let mut harness = colocated(&["noisy"]);
     interfere(&mut harness);
     assert_eq!(moved(&harness), [2]);
     let jobs: Vec<u64> = harness.stopped("a").iter().map(|run: &RunName| run.task.job).collect();
@@ -69,7 +69,7 @@
 
 #[test]
 fn interfering_best_effort_run_that_is_nearly_done_is_left_to_end() {
-    let mut harness = colocated(&["loud"]);
+    let mut harness = colocated(&["noisy"]);
     report_figures(&mut harness, "a", &[(1, 9), (2, 1_600)]);
     let row = harness.vms.get_mut("a").unwrap().runs.values_mut().find(|row| row.run.task.job == 2);
     row.unwrap().percent = 80;
@@ -84,7 +84,7 @@
 
 #[test]
 fn best_effort_run_without_interference_stays() {
-    let mut harness = colocated(&["still"]);
+    let mut harness = colocated(&["quiet"]);
     for tail in [6, 7, 8, 9, 10, 11, 10, 9, 8, 7, 6, 6] {
         report_figures(&mut harness, "a", &[(1, tail), (2, 3_200)]);
     }
@@ -93,11 +93,11 @@
 
 #[test]
 fn interfering_image_is_distinguished_from_a_harmless_one() {
-    let mut harness = colocated(&["still"]);
+    let mut harness = colocated(&["quiet"]);
     for _ in 0..8 {
         report_figures(&mut harness, "a", &[(1, 6), (2, 3_200)]);
     }
-    harness.submit_batch(3, vec![best_effort("loud", 1)]);
+    harness.submit_batch(3, vec![best_effort("noisy", 1)]);
     harness.run_until_idle();
     harness.start_ordered("a");
     report_figures(&mut harness, "a", &[(1, 80), (2, 3_200), (3, 3_200)]);
@@ -106,7 +106,7 @@
 
 #[test]
 fn moved_run_is_placed_where_it_does_not_interfere() {
-    let mut harness = colocated(&["loud"]);
+    let mut harness = colocated(&["noisy"]);
     interfere(&mut harness);
     let run = harness.stopped("a")[0];
     harness.add_vm("b", 32_000);
@@ -118,7 +118,7 @@
 fn image_with_known_interference_is_not_placed_there_again() {
     let (mut harness, _) = with_known_interference();
     report_figures(&mut harness, "a", &[(1, 6)]);
-    harness.submit_batch(9, vec![best_effort("loud", 1)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 1)]);
     harness.run_until_idle();
     assert_eq!(harness.worker_of(task(9, 0, 0)), None);
 }
@@ -134,16 +134,16 @@
     harness.submit(3, vec![of("desk")]);
     harness.submit(4, vec![of("till")]);
     harness.advance(1, &["a", "b", "c"]);
-    let place = |job| harness.worker_of(task(job, 0, 0));
-    assert_eq!((place(3), place(4)), (place(2), place(1)));
-    assert_ne!(place(1), place(2));
+    let worker_of_job = |job| harness.worker_of(task(job, 0, 0));
+    assert_eq!((worker_of_job(3), worker_of_job(4)), (worker_of_job(2), worker_of_job(1)));
+    assert_ne!(worker_of_job(1), worker_of_job(2));
 }
 
 #[test]
 fn job_held_back_only_by_estimated_interference_is_force_placed() {
     let (mut harness, _) = with_known_interference();
     report_figures(&mut harness, "a", &[(1, 6)]);
-    harness.submit_batch(9, vec![best_effort("loud", 1)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 1)]);
     for _ in 0..3 {
         report_figures(&mut harness, "a", &[(1, 6)]);
     }
@@ -164,7 +164,7 @@
 fn two_tasks_are_force_placed_on_a_worker_until_jobs_have_been_starved_for_too_long() {
     let (mut harness, _) = with_known_interference();
     for job in 9..12 {
-        harness.submit_batch(job, vec![Step { tasks: 4, ..best_effort("loud", 1) }]);
+        harness.submit_batch(job, vec![Step { tasks: 4, ..best_effort("noisy", 1) }]);
     }
     // Job 2, whose run was moved, waits to be placed like the others.
     for _ in 0..3 {
@@ -203,7 +203,7 @@
     harness.cancel(run.task.job);
     harness.replace_leader();
     report_figures(&mut harness, "a", &[(1, 6)]);
-    harness.submit_batch(9, vec![best_effort("loud", 1)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 1)]);
     harness.submit_batch(10, vec![best_effort("other", 1)]);
     report_figures(&mut harness, "a", &[(1, 6)]);
     let placed = [9, 10].map(|job| harness.worker_of(task(job, 0, 0)).is_some());
--- a/crates/pond-job/tests/order.rs
+++ b/crates/pond-job/tests/order.rs
@@ -94,10 +94,10 @@
         harness.run_until_idle();
         harness.start_ordered("a");
         harness.advance(2, &["a"]);
-        let run = *harness.started("a").last().expect("it runs");
+        let run = *harness.started("a").last().expect("a run was ordered");
         harness.end("a", run, How::Done);
     }
-    harness.vms.get_mut("a").expect("a worker").draining = true;
+    harness.vms.get_mut("a").expect("the worker exists").draining = true;
     harness.report("a");
     harness.submit_batch(40, vec![step(1, 800)]);
     // By its estimate of 1 s it is late now; by the measured durations of the others it may still
--- a/crates/pond-job/tests/simulation/evacuation.rs
+++ b/crates/pond-job/tests/simulation/evacuation.rs
@@ -119,8 +119,8 @@
             *evacuate && self.now.since(*at) > STARTS_STOP_MS && !orders.contains_key(name)
         });
         // Some of these times are in the future.
-        let in_touch = disturbed.get(&i).is_none_or(|at| self.now.0 > at.0 + REACHABLE_MS);
-        closed && in_touch
+        let reachable = disturbed.get(&i).is_none_or(|at| self.now.0 > at.0 + REACHABLE_MS);
+        closed && reachable
     }
 
     /// Returns the data centres whose last acknowledged order is not in force although no later
--- a/crates/pond-job/tests/simulation/fault.rs
+++ b/crates/pond-job/tests/simulation/fault.rs
@@ -30,7 +30,7 @@
         let fault = match self.rng.random_range(0..24) {
             0..4 => Fault::Crash(i),
             4..7 => Fault::Cut(i),
-            7..9 => Fault::Unhealthy(i, Health::Fails),
+            7..9 => Fault::Unhealthy(i, Health::Failing),
             9..11 => Fault::Unhealthy(i, Health::Stalled),
             11..13 => {
                 Fault::Unhealthy(i, Health::Unresponsive(self.rng.random_range(2_000..12_000)))
@@ -102,8 +102,8 @@
 
     /// Restores the replicated state from a snapshot, as on another replica.
     fn restore(&mut self) {
-        let bytes = self.state.encode().expect("the state can be written down");
-        self.state = State::decode(&bytes).expect("what was written down can be read");
+        let bytes = self.state.encode().expect("the state can be encoded");
+        self.state = State::decode(&bytes).expect("an encoded state can be decoded");
         self.remove_leader(300);
     }
 
--- a/crates/pond-job/tests/simulation/mod.rs
+++ b/crates/pond-job/tests/simulation/mod.rs
@@ -165,10 +165,10 @@
         self.start_leader();
         self.send_due_orders();
         self.advise();
-        let whole = self.complete_gangs();
+        let gangs = self.complete_gangs();
         for i in 0..self.machines.len() {
             self.connect_agent(i);
-            let reports = self.machines[i].advance(self.now, STEP_MS, &self.workload, &whole);
+            let reports = self.machines[i].advance(self.now, STEP_MS, &self.workload, &gangs);
             self.record_crash(i);
             let (Some(link), Some(leader)) = (self.machines[i].link, &mut self.leader) else {
                 continue;
@@ -397,13 +397,13 @@
     fn complete_gangs(&self) -> CompleteGangs {
         let mut members: BTreeMap<(TaskName, u32), (u32, u32)> = BTreeMap::new();
         for (_, name, run) in self.runs().filter(|(_, _, run)| run.step.gang) {
-            let (member_count, of) = members.entry(gang_of(name)).or_insert((0, run.step.tasks));
+            let (member_count, total) = members.entry(gang_of(name)).or_insert((0, run.step.tasks));
             *member_count += 1;
-            *of = run.step.tasks;
+            *total = run.step.tasks;
         }
         members
             .into_iter()
-            .filter(|(_, (member_count, of))| member_count >= of)
+            .filter(|(_, (member_count, total))| member_count >= total)
             .map(|(gang, _)| gang)
             .collect()
     }
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -29,7 +29,7 @@
 /// for each job.
 const RECENT_MS: Span = 1_200;
 
-/// Above this share of free processors the leader counts room as plentiful, in percent.
+/// Above this share of free processors the leader considers room plentiful, in percent.
 const PLENTY_PERCENT: u32 = 40;
 
 /// The obstacles on workers that may run a task.
@@ -195,11 +195,11 @@
         if !long_running_only && !self.half_free() {
             return waiting;
         }
-        let at_work: BTreeSet<TaskName> = self.runs().map(|(_, run, _)| run.task).collect();
-        let busy: BTreeSet<u64> = at_work.iter().map(|task| task.job).collect();
+        let running: BTreeSet<TaskName> = self.runs().map(|(_, run, _)| run.task).collect();
+        let jobs_running: BTreeSet<u64> = running.iter().map(|task| task.job).collect();
         for (id, job) in self.state.active().filter(|(_, job)| !job.phase.ended()) {
             for (step_index, step) in job.spec.steps.iter().enumerate() {
-                let idle = !long_running_only && !busy.contains(&id);
+                let idle = !long_running_only && !jobs_running.contains(&id);
                 if !(idle || step.lasting) || !job.turn(0, step_index) || !self.fits_twice(id, step)
                 {
                     continue;
@@ -211,7 +211,7 @@
                     if idle {
                         waiting.push(Waiter::Job(id));
                     }
-                    if step.lasting && !at_work.contains(&task) && self.absent_long(task) {
+                    if step.lasting && !running.contains(&task) && self.is_overdue(task) {
                         waiting.push(Waiter::Task(task));
                     }
                 }
@@ -241,7 +241,7 @@
             && places.all(|(_, incarnation)| down.iter().any(|name| incarnation.starts_with(name)))
     }
 
-    fn absent_long(&self, task: TaskName) -> bool {
+    fn is_overdue(&self, task: TaskName) -> bool {
         let last_ran = self.monitor.last_ran.get(&task);
         last_ran.is_none_or(|at| self.now.since(*at) >= LONG_RUNNING_AFTER_MS)
     }
@@ -260,10 +260,10 @@
 
     /// Whether there is room twice over for a task of a step, or for all tasks of a gang.
     fn fits_twice(&self, id: u64, step: &Step) -> bool {
-        let need = if step.gang { step.tasks } else { 1 };
+        let needed = if step.gang { step.tasks } else { 1 };
         let allowed = self.workers().filter(|worker| self.workload.allows(id, &worker.incarnation));
         let places: u32 = allowed.map(|worker| places(worker, id, step)).sum();
-        places >= 2 * need
+        places >= 2 * needed
     }
 
     /// Explains why something waits, as far as that is visible from outside.
@@ -272,9 +272,9 @@
             Waiter::Job(id) => id,
             Waiter::Task(task) => task.job,
         };
-        let about: Vec<&(Millis, Decision)> =
+        let job_decisions: Vec<&(Millis, Decision)> =
             self.decision_log.iter().filter(|(_, decision)| concerns(decision, id)).collect();
-        let cause = self.cause(id, &about);
+        let cause = self.cause(id, &job_decisions);
         let mut text = format!("{waiter:?} at {} waits: {cause}", self.now.0);
         if let Some(job) = self.state.job(id) {
             let steps: Vec<String> = job.spec.steps.iter().map(Step::to_string).collect();
@@ -288,7 +288,9 @@
             let suspicion = self.state.job(id).and_then(|job| job.task(task)?.suspicion.as_deref());
             text += &format!("\n  suspicion: {suspicion:?}");
         }
-        for (at, decision) in about.iter().skip(about.len().saturating_sub(MAX_SHOWN_DECISIONS)) {
+        for (at, decision) in
+            job_decisions.iter().skip(job_decisions.len().saturating_sub(MAX_SHOWN_DECISIONS))
+        {
             text += &format!("\n  {} {decision:?}", at.0);
         }
         Finding { cause, text }
@@ -308,9 +310,9 @@
     }
 
     /// Returns a short text that names the obstacles for a job.
-    fn cause(&self, id: u64, about: &[&(Millis, Decision)]) -> String {
-        let Some(job) = self.state.job(id) else { return "no such job".to_owned() };
-        let last = about.iter().rev().find(|(_, decision)| {
+    fn cause(&self, id: u64, job_decisions: &[&(Millis, Decision)]) -> String {
+        let Some(job) = self.state.job(id) else { return "unknown job".to_owned() };
+        let last = job_decisions.iter().rev().find(|(_, decision)| {
             matches!(decision, Decision::Waiting { .. } | Decision::Tried { .. })
         });
         if job.placed > 0 {
@@ -318,13 +320,12 @@
             let cause = if recent { "a start was late" } else { "placed runs do not run" };
             return cause.to_owned();
         }
-        let waiting = about.iter().rev().find_map(|(at, decision)| match decision {
+        let waiting = job_decisions.iter().rev().find_map(|(at, decision)| match decision {
             Decision::Waiting { obstacles, since_ms, .. } => Some((*at, obstacles, *since_ms)),
             _ => None,
         });
         let Some((at, obstacles, since_ms)) = waiting else { return "no plan".to_owned() };
-        let obstacles_found =
-            OBSTACLES.iter().filter(|obstacles_found| obstacles.count(**obstacles_found) > 0);
+        let obstacles_found = OBSTACLES.iter().filter(|obstacle| obstacles.count(**obstacle) > 0);
         let mut cause = format!("{:?}", obstacles_found.collect::<Vec<_>>());
         if job.spec.steps.iter().any(|step| step.gang) {
             cause += " gang";
@@ -333,7 +334,7 @@
             cause += " advised";
         }
         if since_ms + self.now.since(at) < self.monitor.max_wait_ms {
-            cause += " measured again";
+            cause += " wait restarted";
         }
         if self.free_percent() <= PLENTY_PERCENT {
             cause += " scarce";
@@ -365,8 +366,8 @@
         return 0;
     }
     let free = worker.room.minus(worker.used());
-    let (size, most) = (step.size(), u32::MAX / 64);
-    let capacity = |free: u32, need: u32| free.checked_div(need).unwrap_or(most);
+    let (size, unlimited) = (step.size(), u32::MAX / 64);
+    let capacity = |free: u32, needed: u32| free.checked_div(needed).unwrap_or(unlimited);
     let room =
         capacity(free.milli_cpu, size.milli_cpu).min(capacity(free.memory_mib, size.memory_mib));
     if step.most_per_worker == 0 {
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -27,7 +27,7 @@
     #[default]
     Healthy,
     /// All its runs fail.
-    Fails,
+    Failing,
     /// Its runs make no progress.
     Stalled,
     /// Starts get no answer and are carried out after this time, in milliseconds.
@@ -46,7 +46,7 @@
     pub step: Step,
     pub began: Millis,
     always_fails: bool,
-    work_ms: f64,
+    total_ms: f64,
     worked_ms: f64,
     pace: f64,
     /// Whether its gang has been complete.
@@ -159,23 +159,23 @@
         if self.clock_ms(now) >= self.lease_end_ms {
             return Reply::Refused(Refusal::Late);
         }
-        let (Some(step), Some(work)) =
+        let (Some(step), Some(submission)) =
             (workload.step(run.task).cloned(), workload.jobs.get(&run.task.job))
         else {
             return Reply::Refused(Refusal::Other);
         };
         // A ticket holds the time until which it is valid.
-        if work.advised && !ticket.parse::<u64>().is_ok_and(|until| now.0 < until) {
+        if submission.advised && !ticket.parse::<u64>().is_ok_and(|until| now.0 < until) {
             return Reply::Refused(Refusal::NoTicket);
         }
-        let work_ms = workload.work_ms(*run, &step);
+        let total_ms = workload.work_ms(*run, &step);
         // A checkpoint holds the work done, in thousandths.
-        let resumed = save.parse::<f64>().map_or(0.0, |part| work_ms * part / 1_000.0);
+        let resumed = save.parse::<f64>().map_or(0.0, |part| total_ms * part / 1_000.0);
         let new = Run {
             step,
             began: now,
-            always_fails: work.always_fails,
-            work_ms,
+            always_fails: submission.always_fails,
+            total_ms,
             worked_ms: resumed,
             pace: 1.0,
             gang_complete: false,
@@ -220,7 +220,7 @@
             self.start(now, workload, &call);
         }
         let rate = self.best_effort_rate(workload, now);
-        let lapsed = self.clock_ms(now) >= self.lease_end_ms;
+        let lease_expired = self.clock_ms(now) >= self.lease_end_ms;
         let mut ends = Vec::new();
         for (name, run) in &mut self.runs {
             if self.health != Health::Stalled {
@@ -228,7 +228,7 @@
             }
             if let Some(how) = run.end_reason(*name, now, complete_gangs, self.health) {
                 ends.push((*name, how));
-            } else if lapsed {
+            } else if lease_expired {
                 ends.push((*name, How::Lapsed));
             }
         }
@@ -333,15 +333,15 @@
     ) -> Option<How> {
         let age = now.since(self.began);
         let gang = self.step.gang;
-        if health == Health::Fails && age >= FAILURE_MS {
+        if health == Health::Failing && age >= FAILURE_MS {
             Some(How::Failed)
         } else if gang && self.gang_complete && !complete_gangs.contains(&gang_of(name)) {
             Some(How::Broken)
         } else if gang && !self.gang_complete && age >= GANG_TIMEOUT_MS {
             Some(How::Alone)
-        } else if self.always_fails && self.worked_ms * 2.0 >= self.work_ms {
+        } else if self.always_fails && self.worked_ms * 2.0 >= self.total_ms {
             Some(How::Failed)
-        } else if !self.step.lasting && self.worked_ms >= self.work_ms {
+        } else if !self.step.lasting && self.worked_ms >= self.total_ms {
             Some(How::Done)
         } else {
             None
@@ -353,11 +353,11 @@
             let warm = now.since(self.began) >= WARM_UP_MS && health != Health::Stalled;
             return if warm { 100 } else { 0 };
         }
-        (self.worked_ms * 100.0 / self.work_ms).min(100.0) as u32
+        (self.worked_ms * 100.0 / self.total_ms).min(100.0) as u32
     }
 
     fn checkpoint(&self) -> String {
-        let part = (self.worked_ms * 1_000.0 / self.work_ms).min(1_000.0) as u32;
+        let part = (self.worked_ms * 1_000.0 / self.total_ms).min(1_000.0) as u32;
         if self.step.saves && !self.step.lasting { part.to_string() } else { String::new() }
     }
 }
--- a/crates/pond-job/tests/simulation/workload.rs
+++ b/crates/pond-job/tests/simulation/workload.rs
@@ -60,15 +60,15 @@
 
     /// Whether the adviser allows a job on an incarnation of a worker.
     pub fn allows(&self, id: u64, incarnation: &str) -> bool {
-        let advised = self.jobs.get(&id).is_some_and(|work| work.advised);
+        let advised = self.jobs.get(&id).is_some_and(|submission| submission.advised);
         !advised || self.hash_fraction(&[id, hash(id_of(incarnation))]) < ALLOWED_SHARE
     }
 
     /// Returns how long after its start a run crashes its worker, in milliseconds, or `None` if it
     /// does not.
     pub fn crashes_ms(&self, run: RunName) -> Option<Span> {
-        let work = self.jobs.get(&run.task.job)?;
-        work.crashes_ms.filter(|_| run.task.step == 0 && run.task.index == 0)
+        let submission = self.jobs.get(&run.task.job)?;
+        submission.crashes_ms.filter(|_| run.task.step == 0 && run.task.index == 0)
     }
 
     /// Returns how long a run works, in milliseconds. The members of a gang all take the same time.
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -1,20 +1,16 @@
 //! Work that is held back only by an interference estimate starts within a bound.
 //!
-//! Guards against jobs that are starved although most of the workers' room is free. Two accepted
-//! jobs had tasks that were ready and nothing running when the traffic ended. All machines had lost
-//! power shortly before, and the jobs were submitted, or were still waiting, while everything
-//! restarted.
+//! Guards against jobs with ready tasks that are starved although most of the workers' room is
+//! free. After all machines lost power, two jobs whose images were estimated to interfere with the
+//! serving tasks on every worker never started. A task that is not placed gives no measurements, so
+//! the estimate is never tested.
 //!
-//! Their images were estimated to interfere with the serving tasks on every worker. A task that is
-//! not placed gives no measurements, so the estimate was never tested and held the jobs back
-//! forever. Forced placements bounded this for some jobs only: they were given in order of urgency,
-//! with two slots per worker. After each task of a started job the same job came first again, so a
-//! job at the end of that order got none while others got twenty.
-//!
-//! In the log of such a day, the starved job had no worker for 30 s; seven to nine of ten workers
-//! were refused for interference and none for lack of room, while 46 other jobs had 234 forced
-//! placements. All tests below fail without forced placements, the last one without their order,
-//! the others also with a limit on their number.
+//! Forced placements in order of urgency, with two slots per worker, are not enough: after each
+//! task of a started job the same job comes first again, so a job at the end of that order got none
+//! while others got twenty. The log showed a job without a worker for 30 s, with seven to nine of
+//! ten workers refused for interference and none for lack of room, while 46 other jobs had 234
+//! forced placements. All tests below fail without forced placements, the last one without their
+//! order, the others also with a limit on their number.
 
 mod support;
 
@@ -61,7 +57,7 @@
     harness.submit(SERVING, vec![serving()]);
     harness.run_until_idle();
     advance(&mut harness, IDLE);
-    harness.submit_batch(2, vec![best_effort("loud", 1)]);
+    harness.submit_batch(2, vec![best_effort("noisy", 1)]);
     harness.run_until_idle();
     advance(&mut harness, Figures { tail_ms: 9, milli_cpu: 1_600 });
     advance(&mut harness, Figures { tail_ms: 60, milli_cpu: 3_200 });
@@ -109,7 +105,7 @@
 #[test]
 fn job_whose_image_is_estimated_to_interfere_everywhere_is_started() {
     let mut harness = with_known_interference();
-    harness.submit_batch(9, vec![best_effort("loud", 23)]);
+    harness.submit_batch(9, vec![best_effort("noisy", 23)]);
     assert!(starved_ms(&mut harness, 9, RunEnd::Never) <= MAX_WAIT_MS);
 }
 
@@ -117,7 +113,7 @@
 fn last_job_in_order_is_not_starved_by_those_before_it() {
     let mut harness = with_known_interference();
     for job in 3..10 {
-        harness.submit_batch(job, vec![best_effort("loud", 40)]);
+        harness.submit_batch(job, vec![best_effort("noisy", 40)]);
     }
     assert!(starved_ms(&mut harness, 9, RunEnd::Done) <= MAX_WAIT_MS);
     // Each of them is starved no longer than that again, whichever is done meanwhile.
@@ -130,7 +126,7 @@
 fn job_is_started_although_all_slots_for_forced_placements_are_taken() {
     let mut harness = with_known_interference();
     for job in 3..10 {
-        harness.submit_batch(job, vec![best_effort("loud", 4)]);
+        harness.submit_batch(job, vec![best_effort("noisy", 4)]);
     }
     assert!(starved_ms(&mut harness, 9, RunEnd::Never) <= MAX_WAIT_MS);
 }
@@ -142,7 +138,7 @@
     harness.submit(2_000, vec![Step { lasting: true, ..step(2, 8_000) }]);
     advance(&mut harness, IDLE);
     for job in 3..10 {
-        harness.submit_batch(job, vec![best_effort("loud", 40)]);
+        harness.submit_batch(job, vec![best_effort("noisy", 40)]);
     }
     let mut waited: Vec<u64> =
         (3..10).map(|job| starved_ms(&mut harness, job, RunEnd::Done)).collect();
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -35,8 +35,8 @@
 }
 
 impl Machine {
-    fn incarnation(&self, place: usize) -> String {
-        format!("life-{place}-{}", self.incarnations)
+    fn incarnation(&self, index: usize) -> String {
+        format!("worker-{index}-{}", self.incarnations)
     }
 }
 
@@ -67,8 +67,8 @@
             agent_restarted: false,
         };
         let machines: Vec<Machine> = (0..machines).map(|_| new()).collect();
-        for (place, machine) in machines.iter().enumerate() {
-            harness.add_incarnation(&agent(place), &machine.incarnation(place), 32_000);
+        for (index, machine) in machines.iter().enumerate() {
+            harness.add_incarnation(&agent(index), &machine.incarnation(index), 32_000);
         }
         let (culprits, starts) = (BTreeSet::new(), BTreeMap::new());
         let ended = BTreeMap::new();
@@ -92,8 +92,8 @@
     pub fn advance(&mut self, span: Span) {
         for _ in 0..span / STEP_MS {
             self.harness.now = self.harness.now + STEP_MS;
-            for place in 0..self.machines.len() {
-                self.step(place);
+            for index in 0..self.machines.len() {
+                self.step(index);
             }
             self.harness.run_until_idle();
             self.record_ended();
@@ -106,44 +106,45 @@
         self.ended.extend(state.ended().filter_map(phase));
     }
 
-    fn step(&mut self, place: usize) {
+    fn step(&mut self, index: usize) {
         let now = self.harness.now;
-        match self.machines[place].down {
+        match self.machines[index].down {
             Some((_, back)) if now < back => return,
-            Some(_) => self.restart(place),
+            Some(_) => self.restart(index),
             None => {}
         }
-        self.start_orders(place);
-        if self.machines[place].down.is_none() && now.0.is_multiple_of(REPORT_MS) {
-            self.report(place);
+        self.start_orders(index);
+        if self.machines[index].down.is_none() && now.0.is_multiple_of(REPORT_MS) {
+            self.report(index);
         }
     }
 
     /// Starts what the worker was ordered to start, and crashes it if that includes a culprit.
-    fn start_orders(&mut self, place: usize) {
-        let (incarnation, now) = (self.machines[place].incarnation(place), self.harness.now);
-        let orders =
-            std::mem::take(&mut self.harness.vms.get_mut(&incarnation).expect("a life").orders);
+    fn start_orders(&mut self, index: usize) {
+        let (incarnation, now) = (self.machines[index].incarnation(index), self.harness.now);
+        let orders = std::mem::take(
+            &mut self.harness.vms.get_mut(&incarnation).expect("the incarnation exists").orders,
+        );
         let mut down = false;
         for order in orders {
             for start in order.starts {
-                if self.machines[place].runs.insert(start.run, now).is_none() {
+                if self.machines[index].runs.insert(start.run, now).is_none() {
                     *self.starts.entry(start.run.task).or_default() += 1;
                     down |= self.culprits.contains(&start.run.task);
                 }
             }
-            self.machines[place].runs.retain(|run, _| !order.stops.contains(run));
+            self.machines[index].runs.retain(|run, _| !order.stops.contains(run));
         }
         if down {
-            self.crash(place);
+            self.crash(index);
         }
     }
 
     /// Crashes a worker with all its runs.
-    pub fn crash(&mut self, place: usize) {
+    pub fn crash(&mut self, index: usize) {
         self.crashes += 1;
-        self.machines[place].down = Some((self.harness.now, self.harness.now + self.back_ms));
-        self.machines[place].agent_restarted |= self.agents_crash;
+        self.machines[index].down = Some((self.harness.now, self.harness.now + self.back_ms));
+        self.machines[index].agent_restarted |= self.agents_crash;
     }
 
     /// Whether a crashed worker will be back within this time.
@@ -155,58 +156,59 @@
 
     /// Crashes every worker.
     pub fn crash_all(&mut self) {
-        (0..self.machines.len()).for_each(|place| self.crash(place));
+        (0..self.machines.len()).for_each(|index| self.crash(index));
     }
 
     /// Crashes all workers, their agents and the leader.
     pub fn kill_all(&mut self) {
-        (0..self.machines.len()).for_each(|place| self.crash_with_agent(place));
+        (0..self.machines.len()).for_each(|index| self.crash_with_agent(index));
         self.replace_leader();
     }
 
     /// Crashes a worker with its agent, which reports nothing about it afterwards.
-    pub fn crash_with_agent(&mut self, place: usize) {
-        self.crash(place);
-        self.machines[place].agent_restarted = true;
+    pub fn crash_with_agent(&mut self, index: usize) {
+        self.crash(index);
+        self.machines[index].agent_restarted = true;
     }
 
     /// Restarts a worker as a new incarnation; its agent reports the end of the previous one.
-    fn restart(&mut self, place: usize) {
-        let (now, former) = (self.harness.now, self.machines[place].incarnation(place));
-        let link = self.harness.vms[&former].link;
-        let runs = self.rows(place);
-        if !std::mem::take(&mut self.machines[place].agent_restarted) {
-            let gone = Report { worker: former, gone: true, runs, ..Report::default() };
-            self.harness.leader.report(&self.harness.state, now, link, &agent(place), gone);
+    fn restart(&mut self, index: usize) {
+        let (now, previous) = (self.harness.now, self.machines[index].incarnation(index));
+        let link = self.harness.vms[&previous].link;
+        let runs = self.rows(index);
+        if !std::mem::take(&mut self.machines[index].agent_restarted) {
+            let report = Report { worker: previous, gone: true, runs, ..Report::default() };
+            self.harness.leader.report(&self.harness.state, now, link, &agent(index), report);
         }
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[index];
         machine.down = None;
         machine.incarnations += 1;
         machine.runs.clear();
-        let incarnation = machine.incarnation(place);
-        self.harness.add_incarnation(&agent(place), &incarnation, 32_000);
+        let incarnation = machine.incarnation(index);
+        self.harness.add_incarnation(&agent(index), &incarnation, 32_000);
     }
 
-    fn rows(&self, place: usize) -> Vec<RunRow> {
-        let machine = &self.machines[place];
-        let alive = machine.down.map_or(self.harness.now, |(since, _)| since);
+    fn rows(&self, index: usize) -> Vec<RunRow> {
+        let machine = &self.machines[index];
+        let end = machine.down.map_or(self.harness.now, |(since, _)| since);
         let row = |(run, began): (&RunName, &Millis)| {
-            let lived_ms = alive.since(*began) as u32;
+            let lived_ms = end.since(*began) as u32;
             RunRow { run: *run, percent: 10, lived_ms, met: true, ..RunRow::default() }
         };
         machine.runs.iter().map(row).collect()
     }
 
     /// Sends a worker's report; tasks that have run long enough are done.
-    fn report(&mut self, place: usize) {
-        let (incarnation, now) = (self.machines[place].incarnation(place), self.harness.now);
+    fn report(&mut self, index: usize) {
+        let (incarnation, now) = (self.machines[index].incarnation(index), self.harness.now);
         let state = &self.harness.state;
-        let lasting = |run: &RunName| state.step(run.task).is_some_and(|step| step.lasting);
-        let done =
-            |run: &RunName, began: &mut Millis| now.since(*began) >= WORK_MS && !lasting(run);
+        let is_long_running = |run: &RunName| state.step(run.task).is_some_and(|step| step.lasting);
+        let done = |run: &RunName, began: &mut Millis| {
+            now.since(*began) >= WORK_MS && !is_long_running(run)
+        };
         let over: Vec<RunName> =
-            self.machines[place].runs.extract_if(.., done).map(|(run, _)| run).collect();
-        let rows = self.rows(place);
+            self.machines[index].runs.extract_if(.., done).map(|(run, _)| run).collect();
+        let rows = self.rows(index);
         let Some(vm) = self.harness.vms.get_mut(&incarnation) else { return };
         vm.clock_ms += REPORT_MS;
         for run in over {
@@ -220,17 +222,17 @@
     /// Replaces the leader by another replica with a state from a snapshot, to which all agents
     /// connect.
     pub fn replace_leader(&mut self) {
-        let bytes = self.harness.state.encode().expect("the state can be written down");
-        self.harness.state = State::decode(&bytes).expect("what was written down can be read");
+        let bytes = self.harness.state.encode().expect("the state can be encoded");
+        self.harness.state = State::decode(&bytes).expect("an encoded state can be decoded");
         self.harness.replace_leader();
-        for place in 0..self.machines.len() {
-            if self.machines[place].down.is_none() {
-                self.report(place);
+        for index in 0..self.machines.len() {
+            if self.machines[index].down.is_none() {
+                self.report(index);
             }
         }
     }
 }
 
-fn agent(place: usize) -> String {
-    format!("agent-{place}")
+fn agent(index: usize) -> String {
+    format!("agent-{index}")
 }
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -119,7 +119,8 @@
     /// Adds a worker in a data centre.
     pub fn with_vm_in(mut self, data_centre: &str, incarnation: &str, room: u32) -> Harness {
         self.add_vm(incarnation, room);
-        self.vms.get_mut(incarnation).expect("a worker").data_centre = data_centre.to_owned();
+        self.vms.get_mut(incarnation).expect("the worker exists").data_centre =
+            data_centre.to_owned();
         self.report(incarnation);
         self
     }
--- a/crates/pond-job/tests/suspects.rs
+++ b/crates/pond-job/tests/suspects.rs
@@ -13,8 +13,8 @@
 //! agent crashes with its worker, or a new leader has just taken over when the worker is back, or
 //! the worker stays away for longer than its lease.
 //!
-//! `SUSPECT_SEEDS=first..end` runs other seeds than those of CI, as in `SUSPECT_SEEDS=100..1100
-//! cargo test -p pond-job --test suspects -- --nocapture`.
+//! `SUSPECT_SEEDS=first..end` runs other seeds than those of CI, as in
+//! `SUSPECT_SEEDS=100..1100 cargo test -p pond-job --test suspects -- --nocapture`.
 
 mod simulation;
 mod support;
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -22,7 +22,7 @@
 }
 
 fn start(state: &mut State, number: u32) {
-    let (worker, agent) = (format!("life-{number}"), format!("agent-{number}"));
+    let (worker, agent) = (format!("worker-{number}"), format!("agent-{number}"));
     state.apply(Change::Start(vec![Start { run: run(number), worker, agent }]));
 }
 
@@ -34,7 +34,7 @@
 
 fn loss_after(number: u32, verdict: Verdict, lived_ms: Span) -> Change {
     let blame = vec![Blame::new(run(number), verdict, lived_ms)];
-    let worker = format!("life-{number}");
+    let worker = format!("worker-{number}");
     Change::WorkerLost { worker, saves: vec![], over: true, blame }
 }
 
@@ -95,7 +95,7 @@
             start(&mut state, number);
             let blame = Blame::new(run(number), Verdict::Suspected, 0);
             let blame = vec![blame.with_probability(*probability)];
-            let worker = format!("life-{number}");
+            let worker = format!("worker-{number}");
             state.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
         }
         phase(&state)
@@ -117,7 +117,7 @@
             start(&mut state, number);
             let blame = Blame::new(run(number), Verdict::Suspected, 3_000);
             let blame = vec![blame.with_probability(probability)];
-            let worker = format!("life-{number}");
+            let worker = format!("worker-{number}");
             state.apply(Change::WorkerLost { worker, saves: vec![], over: true, blame });
         }
         phase(&state)
@@ -146,7 +146,7 @@
 
 fn end(state: &mut State, number: u32, how: How) {
     let end = End { number: 1, run: run(number), how, save: String::new() };
-    let worker = format!("life-{number}");
+    let worker = format!("worker-{number}");
     state.apply(Change::Ended { worker, ends: vec![end], unstarted: vec![] });
 }
 
@@ -176,7 +176,10 @@
     lose(&mut state, &[Suspected, Suspected, Proven]);
     start(&mut state, 4);
     end(&mut state, 4, How::Failed);
-    assert_eq!(suspicion(&state).map(|held| (held.losses, held.begun)), Some((3, 4)));
+    assert_eq!(
+        suspicion(&state).map(|suspicion| (suspicion.losses, suspicion.begun)),
+        Some((3, 4))
+    );
     assert_eq!(phase(&state), Phase::Running);
     start(&mut state, 5);
     state.apply(loss(5, Suspected));
@@ -258,7 +261,7 @@
     let mut harness = Harness::new().with_vm("a", 4_000).with_vm("b", 4_000);
     harness.submit(1, vec![step(1, 1_000)]);
     harness.run_until_idle();
-    let incarnation = harness.worker_of(task(1, 0, 0)).expect("a place");
+    let incarnation = harness.worker_of(task(1, 0, 0)).expect("the task is placed");
     let run = harness.started(&incarnation)[0];
     (harness, incarnation, run)
 }
@@ -304,10 +307,10 @@
 fn run_that_an_earlier_report_calls_unsent_may_have_begun_since() {
     let (mut harness, incarnation, run) = just_started();
     let waits = RunRow { run, unlisted: true, unsent: true, ..RunRow::default() };
-    harness.vms.get_mut(&incarnation).expect("a life").runs.insert(run, waits);
+    harness.vms.get_mut(&incarnation).expect("the incarnation exists").runs.insert(run, waits);
     harness.report(&incarnation);
     let agent = harness.vms[&incarnation].agent.clone();
-    harness.add_incarnation(&agent, "next-life", 4_000);
+    harness.add_incarnation(&agent, "next", 4_000);
     harness.run_until_idle();
     assert_eq!(verdicts(&harness).len(), 1);
 }
@@ -370,7 +373,7 @@
     harness.advance(1, &[]);
     let verdicts = verdicts(&harness);
     assert!(!verdicts.is_empty() && verdicts.iter().all(|verdict| *verdict == Verdict::Beside));
-    let job = harness.state.job(2).expect("a job");
+    let job = harness.state.job(2).expect("the job exists");
     assert!(!job.times[0][0].iter().any(Task::suspect));
 }
 
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn run_that_is_not_listed_is_ordered_each_second_for_as_long() {
+fn unlisted_run_is_ordered_each_second() {
     let mut harness = ordered();
     harness.advance(60, &["a"]);
     assert!((50..=61).contains(&orders(&harness, "a")), "{}", orders(&harness, "a"));
@@ -195,7 +195,7 @@
 #[test]
 fn lost_end_counts_although_higher_ones_are_committed_first() {
     // Guards against an end that is never committed because its proposal was lost and a higher one
-    // was committed: the worker is told to drop it, and its task runs again. This happens if only
+    // was committed: the worker is ordered to drop it, and its task runs again. This happens if only
     // ends above the proposed ones are proposed while the state takes all ends up to the highest
     // committed one as known.
     let mut harness = Harness::new().with_vm("a", 1_000);
@@ -239,13 +239,13 @@
 }
 
 #[test]
-fn lost_loss_of_a_worker_is_proposed_again_every_three_seconds() {
+fn lost_proposal_of_a_worker_loss_is_repeated_every_three_seconds() {
     let mut harness = running();
     harness.add_vm("b", 1_000);
     let lease_over_ms = terms().surely_over_ms();
     let lost = |change: &Change| matches!(change, Change::WorkerLost { .. });
-    let proposals = |harness: &Harness| harness.proposals.iter().any(lost);
-    let took = wait_until(&mut harness, 20_000, &["b"], lost, proposals);
+    let proposed = |harness: &Harness| harness.proposals.iter().any(lost);
+    let took = wait_until(&mut harness, 20_000, &["b"], lost, proposed);
     assert!(took.is_some_and(|took| took <= lease_over_ms + 100), "{took:?}");
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
@@ -279,11 +279,11 @@
 
 #[test]
 fn long_running_task_that_fits_nowhere_holds_no_other_back() {
-    let lasting = |milli_cpu| Step { lasting: true, tail_target_ms: 50, ..step(1, milli_cpu) };
+    let long_running = |milli_cpu| Step { lasting: true, tail_target_ms: 50, ..step(1, milli_cpu) };
     let mut harness = Harness::new().with_vm("a", 1_000);
-    harness.submit(1, vec![lasting(5_000)]);
+    harness.submit(1, vec![long_running(5_000)]);
     harness.advance(3, &["a"]);
-    harness.submit(2, vec![lasting(100)]);
+    harness.submit(2, vec![long_running(100)]);
     harness.submit(3, vec![step(1, 100)]);
     harness.run_until_idle();
     assert_eq!([2, 3].map(|job| harness.worker_of(task(job, 0, 0)).is_some()), [true, true]);
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn run_that_is_not_listed_gets_a_line_after_two_seconds_and_one_a_second() {
+fn unlisted_run_gets_a_line_after_two_seconds_and_one_a_second() {
     let mut harness = ordered();
     wait_until(&mut harness, 1_950, &["a"], drop_nothing, |_| false);
     assert!(absences(&harness).is_empty());
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn many_runs_that_are_not_listed_get_four_lines_per_tick() {
+fn many_unlisted_runs_get_four_lines_per_tick() {
     let mut harness = Harness::new().with_vm("a", 100_000);
     harness.submit(1, vec![step(100, 100)]);
     harness.run_until_idle();
--- a/crates/pond-job/tests/waiting.rs
+++ b/crates/pond-job/tests/waiting.rs
@@ -33,7 +33,7 @@
 /// Reports all runs that the worker was ordered to start.
 fn list(harness: &mut Harness, incarnation: &str) {
     let runs = harness.started(incarnation);
-    let vm = harness.vms.get_mut(incarnation).expect("a life");
+    let vm = harness.vms.get_mut(incarnation).expect("the incarnation exists");
     vm.runs.extend(runs.into_iter().map(|run| (run, RunRow { run, ..RunRow::default() })));
     harness.report(incarnation);
     harness.run_until_idle();
