--- a/crates/pond-job/tests/bound.rs
+++ b/crates/pond-job/tests/bound.rs
@@ -1,5 +1,5 @@
-//! After the last fault no job waits for long with nothing of it running while there is room for it
-//! twice over. At no time does a task run twice or does a worker hold more than its room.
+//! After the last fault no job waits for long with nothing of it running while twice the room that
+//! it needs is free. At no time does a task run twice or a worker hold more than its room.
 //!
 //! Each seed determines a pool, its jobs and its faults. `BOUND_SEEDS=first..end` runs other seeds
 //! than those of CI, as in
--- a/crates/pond-job/tests/long_running.rs
+++ b/crates/pond-job/tests/long_running.rs
@@ -1,8 +1,9 @@
-//! A long-running task that was lost is placed again within seconds wherever there is room for it
-//! twice over, however full the pool is.
+//! A long-running task that was lost is placed again within seconds wherever twice the room that it
+//! needs is free, however full the pool is.
 //!
 //! Serving work takes most of the pool and best-effort work the rest; tasks crash their workers,
 //! leaders change and everything loses power. The pool is observed after that.
+//!
 //! `LASTING_SEEDS=first..end` runs other seeds than those of CI, as in
 //! `LASTING_SEEDS=100..1100 cargo test -p pond-job --test long_running -- --nocapture`.
 
--- a/crates/pond-job/tests/simulation/fault.rs
+++ b/crates/pond-job/tests/simulation/fault.rs
@@ -80,8 +80,8 @@
     /// Ends the faults whose time is over.
     pub fn repair(&mut self) {
         let now = self.now;
-        let over: Vec<_> = self.repairs.extract_if(.., |(at, _)| *at <= now).collect();
-        for (_, fault) in over {
+        let ended: Vec<_> = self.repairs.extract_if(.., |(at, _)| *at <= now).collect();
+        for (_, fault) in ended {
             match fault {
                 Fault::Crash(i) if self.machines[i].worker.is_none() => self.restart_worker(i),
                 Fault::Cut(i) => {
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -188,7 +188,7 @@
         runs.filter(done).collect()
     }
 
-    /// Returns what waits although there is room for it twice over.
+    /// Returns what waits although twice the room that it needs is free.
     fn waiting(&self) -> Vec<Waiter> {
         let mut waiting = Vec::new();
         let long_running_only = self.monitor.long_running_only;
@@ -258,7 +258,8 @@
         used.milli_cpu * 2 < room.milli_cpu && used.memory_mib * 2 < room.memory_mib
     }
 
-    /// Whether there is room twice over for a task of a step, or for all tasks of a gang.
+    /// Whether twice the room is free that a task of a step needs, or that all tasks of a gang
+    /// need.
     fn fits_twice(&self, id: u64, step: &Step) -> bool {
         let needed = if step.gang { step.tasks } else { 1 };
         let allowed = self.workers().filter(|worker| self.workload.allows(id, &worker.incarnation));
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -206,12 +206,12 @@
         let done = |run: &RunName, began: &mut Millis| {
             now.since(*began) >= WORK_MS && !is_long_running(run)
         };
-        let over: Vec<RunName> =
+        let ended_runs: Vec<RunName> =
             self.machines[index].runs.extract_if(.., done).map(|(run, _)| run).collect();
         let rows = self.rows(index);
         let Some(vm) = self.harness.vms.get_mut(&incarnation) else { return };
         vm.clock_ms += REPORT_MS;
-        for run in over {
+        for run in ended_runs {
             let number = vm.ends.len() as u64 + 1;
             vm.ends.push(EndRow { number, run, how: How::Done as i32, save: String::new() });
         }
--- a/crates/pond-job/tests/suspects.rs
+++ b/crates/pond-job/tests/suspects.rs
@@ -316,9 +316,9 @@
     assert!(innocent.is_empty(), "innocent tasks given up, by seed: {innocent:?}");
 }
 
-/// Guards against jobs that are starved although there is room for them twice over: held back by a
-/// run on a worker that is down, by a wait that each loss restarts, by repeated moves, or because
-/// workers are in backoff.
+/// Guards against jobs that are starved although twice the room that they need is free: held back
+/// by a run on a worker that is down, by a wait that each loss restarts, by repeated moves, or
+/// because workers are in backoff.
 #[test]
 fn no_job_waits_for_long_with_the_seeds_in_which_one_did() {
     let outcomes = WAITING_SEEDS.map(simulate);
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -69,10 +69,10 @@
         (&[Beside; 9], Phase::Running),
         (&[Beside, Beside, Beside, Suspected, Suspected], Phase::Running),
     ];
-    for (verdicts, wanted) in cases {
+    for (verdicts, expected) in cases {
         let mut state = state(vec![step(1, 100)]);
         lose(&mut state, verdicts);
-        assert_eq!(phase(&state), wanted, "{verdicts:?}");
+        assert_eq!(phase(&state), expected, "{verdicts:?}");
     }
 }
 
@@ -219,7 +219,7 @@
     let old = (4u32, 2u32, 1u32, true, 7u64, agents.clone());
     let bytes = rmp_serde::to_vec(&old).unwrap();
     let suspicion: Suspicion = rmp_serde::from_slice(&bytes).unwrap();
-    let wanted = Suspicion {
+    let expected = Suspicion {
         losses: 4,
         likely: 2,
         proven: 1,
@@ -229,7 +229,7 @@
         begun: 0,
         probability: None,
     };
-    assert_eq!(suspicion, wanted);
+    assert_eq!(suspicion, expected);
 }
 
 /// Reports that an incarnation has ended, with its last runs and how long each had run, in
@@ -255,8 +255,8 @@
     harness.run_until_idle();
 }
 
-/// Two workers without serving work, and a job of one task that was just placed on one of them.
-/// Returns that worker's incarnation and the run.
+/// Returns a pool of two workers without serving work, with a job of one task that was just placed
+/// on one of them, as well as that worker's incarnation and the run.
 fn just_started() -> (Harness, String, RunName) {
     let mut harness = Harness::new().with_vm("a", 4_000).with_vm("b", 4_000);
     harness.submit(1, vec![step(1, 1_000)]);
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -116,7 +116,7 @@
 #[test]
 fn new_leader_detects_a_stalled_run_as_late_as_the_first() {
     // The new leader does not know which runs the former one wanted to stop; the agent does if it
-    // got the order.
+    // received the order.
     let mut harness = running();
     harness.advance(4, &["a"]);
     assert!(!harness.stopped("a").is_empty());
@@ -346,8 +346,8 @@
     harness.vms.get_mut("a").unwrap().runs.clear();
     // A list holds 500 of the ends that are not committed.
     for _ in 0..3 {
-        let settled = harness.state.settled("a");
-        let listed = all.iter().filter(|end| end.number > settled).take(500).cloned().collect();
+        let committed = harness.state.settled("a");
+        let listed = all.iter().filter(|end| end.number > committed).take(500).cloned().collect();
         harness.vms.get_mut("a").unwrap().ends = listed;
         harness.report("a");
         harness.run_until_idle();
