--- a/crates/pond-job/tests/long_running.rs
+++ b/crates/pond-job/tests/lasting.rs
@@ -5,7 +5,7 @@
 //! leaders change and everything loses power. The pool is observed after that.
 //!
 //! `LASTING_SEEDS=first..end` runs other seeds than those of CI, as in
-//! `LASTING_SEEDS=100..1100 cargo test -p pond-job --test long_running -- --nocapture`.
+//! `LASTING_SEEDS=100..1100 cargo test -p pond-job --test lasting -- --nocapture`.
 
 mod simulation;
 mod support;
