--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use pond_job::{
-    Change, Configuration, Leader, Lesson, Output, Pool, Queue, Reply, Start, State, Terms,
+    Change, Configuration, Leader, Lesson, Output, Pool, Queue, Reply, Start, State, Timing,
 };
 use pond_proto::Millis;
 use pond_proto::fleet::{Report, RunRow};
@@ -165,8 +165,14 @@
         let mut state = State::new();
         state.apply(Change::Configure(configuration()));
         state.apply(Change::Learned(lesson()));
-        let terms = Terms { hold_ms: 6_000, drift_permille: 20, slack_ms: 100, keep_ms: 60_000 };
-        let leader = Leader::new(7, terms, Millis(BEGIN.0 - 2_000)).with_lesson(&lesson(), BEGIN);
+        let terms = Timing {
+            lease_ms: 6_000,
+            drift_permille: 20,
+            timer_slack_ms: 100,
+            retention_ms: 60_000,
+        };
+        let leader =
+            Leader::new(7, terms, Millis(BEGIN.0 - 2_000)).with_estimates(&lesson(), BEGIN);
         let mut world = World { state, leader, now: BEGIN, workers, reports: 0 };
         for worker in 0..workers {
             world.run_on(worker);
--- a/crates/pond-job/src/lead/absent.rs
+++ b/crates/pond-job/src/lead/absent.rs
@@ -52,8 +52,8 @@
                 if lines < LINES && absence.line_due(now) {
                     absence.logged = Some(now);
                     lines += 1;
-                    let since_ms = now.since(absence.since);
-                    let decision = self.absent_line(state, run, life, worker, since_ms);
+                    let absent_ms = now.since(absence.since);
+                    let decision = self.absent_line(state, run, life, worker, absent_ms);
                     self.outputs.push(Output::Decided(decision));
                 }
                 absent.insert(run, absence);
@@ -68,17 +68,17 @@
         run: RunName,
         life: &str,
         worker: Option<&Worker>,
-        since_ms: Span,
+        absent_ms: Span,
     ) -> Decision {
         let ordered = worker.and_then(|worker| worker.ordered.get(&run));
         Decision::Absent {
             run,
             worker: life.to_owned(),
-            since_ms,
+            absent_ms,
             linked: worker.is_some_and(|worker| worker.link.is_some()),
             answers: worker.is_some_and(|worker| worker.answers),
-            told: worker.is_some_and(|worker| worker.rows.contains_key(&run)),
-            stops: !self.wanted(state, run),
+            known_to_agent: worker.is_some_and(|worker| worker.rows.contains_key(&run)),
+            stopping: !self.wanted(state, run),
             orders: ordered.map_or(0, |order| order.times),
         }
     }
--- a/crates/pond-job/src/lead/ask.rs
+++ b/crates/pond-job/src/lead/ask.rs
@@ -74,7 +74,7 @@
     /// How long a job has stood still, in milliseconds, if its trial comes near; else none.
     fn trial_near_ms(&self, now: Millis, id: u64) -> Option<Span> {
         let wait = self.waits.get(&id).filter(|wait| wait.still.is_some())?;
-        (now.since(wait.since) >= ASK_AFTER_MS).then(|| wait.still_ms(now))
+        (now.since(wait.since) >= ASK_AFTER_MS).then(|| wait.starved_ms(now))
     }
 
     /// Steps of runs that are placed and cannot be ordered, with the workers that have them: a former
--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -9,7 +9,7 @@
 use super::cause::{self, Causes, Rate};
 use super::ends::Last;
 use super::plan::KNOWN_MS;
-use super::{Leader, Lost, Output, PROPOSE_AGAIN_MS};
+use super::{Leader, LossKind, Output, PROPOSE_AGAIN_MS};
 use crate::change::Change;
 use crate::state::State;
 use crate::suspicion::{BLAMED_MS, Blame, SURVIVED_MS, Suspicion, Verdict};
@@ -60,7 +60,7 @@
 
 /// What is known of a lost life, for the judgement of what ran there.
 struct Case<'a> {
-    why: Lost,
+    why: LossKind,
     /// The runs that may have caused the loss, with how long the worker had lived on with each; also those of jobs
     /// that have ended since, as by a cancel.
     there: Vec<(&'a Last, Span)>,
@@ -80,17 +80,17 @@
     fn proves(&self) -> bool {
         let jobs: BTreeSet<u64> = self.likely.iter().map(|run| run.task.job).collect();
         let met = self.there.iter().any(|(last, _)| last.met && self.likely.contains(&last.run));
-        self.why == Lost::Crashed && jobs.len() == 1 && met && !self.together
+        self.why == LossKind::Crashed && jobs.len() == 1 && met && !self.together
     }
 
     /// Whether a run was lost as its task's earlier runs were: each time just begun, on a worker that crashed.
     fn repeats(&self, run: RunName) -> bool {
-        self.why == Lost::Crashed && self.repeated.contains(&run)
+        self.why == LossKind::Crashed && self.repeated.contains(&run)
     }
 
     /// How the loss counts against a run that had begun just before, or not; none if it does not.
     fn verdict(&self, run: RunName, begun: bool) -> Option<Verdict> {
-        let by_itself = !self.together && self.why == Lost::Crashed;
+        let by_itself = !self.together && self.why == LossKind::Crashed;
         match self.likely.contains(&run) {
             true if self.proves() => Some(Verdict::Proven),
             true if by_itself || self.repeats(run) => Some(Verdict::Suspected),
@@ -113,14 +113,14 @@
         state: &State,
         now: Millis,
         agent: &str,
-        why: Lost,
+        why: LossKind,
         last: &[Last],
     ) -> Vec<Blame> {
-        if why == Lost::Left {
+        if why == LossKind::Left {
             return Vec::new();
         }
         let case = self.case(state, now, agent, why, last);
-        if why == Lost::Crashed {
+        if why == LossKind::Crashed {
             self.losses.crashed.insert(agent.to_owned(), now);
             let explained = |(last, lived_ms): &(&Last, Span)| {
                 last.told && just_begun(state, last.run, *lived_ms)
@@ -148,7 +148,8 @@
     /// What may have caused a loss besides each task that had just begun there.
     fn causes(&self, state: &State, now: Millis, case: &Case<'_>) -> Causes {
         let begun = || case.there.iter().filter(|(last, ms)| just_begun(state, last.run, *ms));
-        let clear = case.alone && case.why == Lost::Crashed && begun().all(|(last, _)| last.told);
+        let clear =
+            case.alone && case.why == LossKind::Crashed && begun().all(|(last, _)| last.told);
         let mut causes = match clear {
             true => Causes::new(self.by_itself(state, now, begun())),
             false => Causes::unclear(),
@@ -184,7 +185,7 @@
         state: &State,
         now: Millis,
         agent: &str,
-        why: Lost,
+        why: LossKind,
         last: &'a [Last],
     ) -> Case<'a> {
         let lived = |last: &'a Last| Some((last, last.lived_ms.filter(|ms| *ms < BLAMED_MS)?));
--- a/crates/pond-job/src/lead/candidate.rs
+++ b/crates/pond-job/src/lead/candidate.rs
@@ -251,7 +251,7 @@
     /// harm does.
     pub fn obstacle(&self, pool: &str, task: TaskName, step: &Step) -> Option<Obstacle> {
         if !self.suits_step(pool, task, step, 0) {
-            Some(Obstacle::Elsewhere)
+            Some(Obstacle::Unsuitable)
         } else if self.evacuated {
             Some(Obstacle::Evacuated)
         } else if let Some(unsound) = self.unsound_for(step) {
@@ -259,7 +259,7 @@
         } else if !step.size().fits(self.free) {
             Some(Obstacle::NoRoom)
         } else if !step.size().fits(self.free_beside_kept(task)) {
-            Some(Obstacle::Kept)
+            Some(Obstacle::Reserved)
         } else if step.fills && self.idle < i64::from(step.milli_cpu) {
             Some(Obstacle::Busy)
         } else {
@@ -271,7 +271,8 @@
     /// what serving tasks use, and those that `overlooked` names.
     pub fn admits(&self, pool: &str, task: TaskName, step: &Step, overlooked: &[Obstacle]) -> bool {
         let overlooks = |obstacle| overlooked.contains(&obstacle);
-        let free = if overlooks(Obstacle::Kept) { self.free } else { self.free_beside_kept(task) };
+        let free =
+            if overlooks(Obstacle::Reserved) { self.free } else { self.free_beside_kept(task) };
         let apart = self.closed() && !overlooks(Obstacle::Suspect);
         let sound = !apart && self.sick_for(step).is_none_or(overlooks);
         self.allows(pool, task, step) && sound && step.size().fits(free)
@@ -286,9 +287,9 @@
     /// Why the worker is taken for sick; none if it is not.
     fn sick_for(&self, step: &Step) -> Option<Obstacle> {
         if self.resting {
-            Some(Obstacle::Resting)
+            Some(Obstacle::Backoff)
         } else if !step.lasting && self.more == 0 {
-            Some(Obstacle::Probed)
+            Some(Obstacle::Probing)
         } else {
             None
         }
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -8,7 +8,7 @@
 
 use super::wait::Wait;
 use super::worker::Worker;
-use super::{Decision, Leader, Lost, Output, PROPOSE_AGAIN_MS};
+use super::{Decision, Leader, LossKind, Output, PROPOSE_AGAIN_MS};
 use crate::change::{Change, End};
 use crate::state::State;
 use crate::suspicion::Blame;
@@ -18,7 +18,7 @@
 pub(super) struct Loss {
     /// When it was last proposed.
     at: Millis,
-    why: Lost,
+    why: LossKind,
     /// When the worker was last known to live.
     lived: Millis,
     /// The runs that had their place there.
@@ -90,7 +90,7 @@
         let logged = state.placed(life).next().is_some() || state.settled(life) > 0;
         if logged {
             self.propose_last_ends(state, life, end);
-            let why = if left { Lost::Left } else { Lost::Crashed };
+            let why = if left { LossKind::Left } else { LossKind::Crashed };
             self.propose_lost(state, now, life, why, end);
         }
         let known = self.workers.remove(life).is_some();
@@ -112,7 +112,7 @@
 
     /// Gives up workers whose lease has surely run out.
     pub(super) fn lose_silent(&mut self, state: &State, now: Millis) {
-        let over = self.terms.surely_over_ms();
+        let over = self.timing.lease_expiry_ms();
         let clocked =
             |life: &str| self.workers.get(life).map_or(self.since, |worker| worker.clocked);
         // What runs on goes by the lease of the life that runs it.
@@ -126,11 +126,11 @@
             .map(str::to_owned)
             .collect();
         for life in silent {
-            self.propose_lost(state, now, &life, Lost::Silent, None);
+            self.propose_lost(state, now, &life, LossKind::Silent, None);
         }
         // Once proposed, a loss must come into the log, though the worker may report again: it gets
         // no order until then. A proposal that is lost on its way is made again.
-        let proposed: Vec<(String, Lost)> =
+        let proposed: Vec<(String, LossKind)> =
             self.losing.iter().map(|(life, loss)| (life.clone(), loss.why)).collect();
         for (life, why) in proposed {
             self.propose_lost(state, now, &life, why, None);
@@ -146,7 +146,7 @@
         state: &State,
         now: Millis,
         life: &str,
-        why: Lost,
+        why: LossKind,
         end: Option<&Report>,
     ) {
         let tried = self.losing.get(life);
@@ -156,7 +156,7 @@
         // What is known at first stays: later only the life's name is.
         let last = tried.map(|tried| tried.last.clone());
         let last = last.unwrap_or_else(|| self.last_of(state, life, end));
-        let ended = tried.map(|tried| tried.why).filter(|why| *why != Lost::Silent);
+        let ended = tried.map(|tried| tried.why).filter(|why| *why != LossKind::Silent);
         let why = ended.unwrap_or(why);
         let clocked = self.workers.get(life).map_or(self.since, |worker| worker.clocked);
         let lived = tried.map_or(clocked, |tried| tried.lived);
@@ -179,7 +179,7 @@
         let runs = runs.into_iter().map(|last| (last.run, last.lived_ms)).collect();
         let decision = Decision::WorkerLost { worker: worker.clone(), why, silent_ms, runs };
         self.outputs.push(Output::Decided(decision));
-        let over = why != Lost::Silent;
+        let over = why != LossKind::Silent;
         self.outputs.push(Output::Propose(Change::WorkerLost { worker, saves, over, blame }));
     }
 
@@ -291,9 +291,9 @@
             health.bad(now, run.task.job);
             self.avoided.entry(run.task).or_default().insert(life.to_owned());
         }
-        if let Some(for_ms) = health.rest(now) {
+        if let Some(backoff_ms) = health.rest(now) {
             let worker = life.to_owned();
-            self.outputs.push(Output::Decided(Decision::Sick { worker, for_ms }));
+            self.outputs.push(Output::Decided(Decision::Unhealthy { worker, backoff_ms }));
         }
     }
 }
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -59,7 +59,7 @@
 
 pub use advice::{Permit, Question, StepName};
 pub use obstacle::{Obstacle, Obstacles};
-pub use output::{Decision, Lost, Output, Terms};
+pub use output::{Decision, LossKind, Output, Timing};
 
 /// Time after which an order that shows no effect is sent again, in milliseconds. A report comes
 /// about every second and after each change.
@@ -83,7 +83,7 @@
     term: u64,
     /// When this replica began to lead.
     since: Millis,
-    terms: Terms,
+    timing: Timing,
     /// Workers that have reported, by life.
     workers: BTreeMap<String, Worker>,
     /// How sound workers are, by agent: it outlasts their lives.
@@ -137,11 +137,11 @@
 
 impl Leader {
     /// A replica that leads from now on.
-    pub fn new(term: u64, terms: Terms, now: Millis) -> Leader {
+    pub fn new(term: u64, timing: Timing, now: Millis) -> Leader {
         Leader {
             term,
             since: now,
-            terms,
+            timing,
             workers: BTreeMap::new(),
             health: BTreeMap::new(),
             starting: None,
@@ -170,7 +170,7 @@
     }
 
     /// Goes on with what former leaders learned.
-    pub fn with_lesson(mut self, lesson: &Lesson, wall: Millis) -> Leader {
+    pub fn with_estimates(mut self, lesson: &Lesson, wall: Millis) -> Leader {
         self.harm = Harm::recall(lesson, wall);
         self
     }
@@ -351,7 +351,7 @@
             // What ended before this replica led is counted from now.
             self.ended = state.ended().map(|id| (id, now)).collect();
         }
-        let keep = self.terms.keep_ms;
+        let keep = self.timing.retention_ms;
         let known = |run: RunName| state.job(run.task.job).is_some_and(|job| !job.phase.ended());
         self.harm.forget(known, |life| self.workers.contains_key(life));
         self.durations.forget(known);
--- a/crates/pond-job/src/lead/obstacle.rs
+++ b/crates/pond-job/src/lead/obstacle.rs
@@ -6,25 +6,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Obstacle {
     /// Another pool, a missing label, or too many tasks of the step there.
-    Elsewhere,
+    Unsuitable,
     /// Its data centre is evacuated.
     Evacuated,
     /// A task that may take down its worker has begun there, or the worker is kept for one.
     Suspect,
     /// The worker rests after failures.
-    Resting,
+    Backoff,
     /// The worker is being probed after a rest.
-    Probed,
+    Probing,
     /// Its room is taken.
     NoRoom,
     /// Its room is kept for a task that comes before.
-    Kept,
+    Reserved,
     /// What serves and fills there uses the processors.
     Busy,
     /// The adviser has given no ticket.
     NoTicket,
     /// Serving tasks there would miss their targets.
-    Harm,
+    Interference,
 }
 
 /// How many workers cannot take a task, by what is in the way.
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -110,7 +110,7 @@
         let order = Order {
             worker: life.to_owned(),
             term: self.term,
-            lease_end_ms: worker.clock_ms + self.terms.hold_ms,
+            lease_end_ms: worker.clock_ms + self.timing.lease_ms,
             settled: state.settled(life),
             forget: std::mem::take(&mut worker.forget).into_iter().collect(),
             starts,
--- a/crates/pond-job/src/lead/output.rs
+++ b/crates/pond-job/src/lead/output.rs
@@ -10,27 +10,27 @@
 
 /// Times that the decisions depend on.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Timing {
     /// Longest lease of a worker, in milliseconds on its own clock.
-    pub hold_ms: Span,
+    pub lease_ms: Span,
     /// How much slower a worker's clock may run, in thousandths.
     pub drift_permille: u64,
     /// Added before a lease counts as run out, in milliseconds: timers fire late.
-    pub slack_ms: Span,
+    pub timer_slack_ms: Span,
     /// How long the phase of an ended job is kept, in milliseconds.
-    pub keep_ms: Span,
+    pub retention_ms: Span,
 }
 
-impl Terms {
+impl Timing {
     /// How long after the last report of a worker its lease has surely run out.
-    pub fn surely_over_ms(&self) -> Span {
-        self.hold_ms + self.hold_ms * self.drift_permille / 1000 + self.slack_ms
+    pub fn lease_expiry_ms(&self) -> Span {
+        self.lease_ms + self.lease_ms * self.drift_permille / 1000 + self.timer_slack_ms
     }
 }
 
 /// How it is known that nothing of a life of a worker runs any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum LossKind {
     /// It ended, or another life took its place, and it had not said that it would leave.
     Crashed,
     /// It had said that it would leave.
@@ -70,7 +70,7 @@
         /// Its life.
         worker: String,
         /// How that is known.
-        why: Lost,
+        why: LossKind,
         /// How long ago its clock went on, in milliseconds.
         silent_ms: Span,
         /// The runs that had their place there, and for how long each was known to have run on it, in
@@ -106,22 +106,22 @@
         /// How many tasks of the job have a place.
         placed: usize,
         /// How long tasks of the job have found no place, in milliseconds.
-        since_ms: Span,
+        waited_ms: Span,
         /// How long nothing of the job has run besides, in milliseconds.
-        still_ms: Span,
+        starved_ms: Span,
         /// The image of the step.
         image: String,
         /// What keeps the workers from taking the first of them.
         obstacles: Obstacles,
     },
     /// A task has waited too long for what is only expected, and is started all the same.
-    Tried {
+    Forced {
         /// The run.
         run: RunName,
         /// Its worker.
         worker: String,
         /// How long nothing of its job has run, in milliseconds.
-        still_ms: Span,
+        starved_ms: Span,
     },
     /// A run that was given to a worker has not been on its lists for long.
     Absent {
@@ -130,24 +130,24 @@
         /// Its worker.
         worker: String,
         /// How long this leader has known it as placed and not listed, in milliseconds.
-        since_ms: Span,
+        absent_ms: Span,
         /// Whether there is a link to the worker's agent.
         linked: bool,
         /// Whether the worker answers its agent.
         answers: bool,
         /// Whether the agent knows of the run.
-        told: bool,
+        known_to_agent: bool,
         /// Whether the run is to be stopped.
-        stops: bool,
+        stopping: bool,
         /// How often it was ordered to start or stop since the link opened.
         orders: u32,
     },
     /// A worker gets nothing for a while.
-    Sick {
+    Unhealthy {
         /// Its life.
         worker: String,
         /// For how long, in milliseconds.
-        for_ms: Span,
+        backoff_ms: Span,
     },
 }
 
@@ -160,9 +160,9 @@
             Decision::Stalled { .. } => "stalled",
             Decision::Moved { .. } => "moved",
             Decision::Waiting { .. } => "waiting",
-            Decision::Tried { .. } => "tried",
+            Decision::Forced { .. } => "tried",
             Decision::Absent { .. } => "absent",
-            Decision::Sick { .. } => "sick",
+            Decision::Unhealthy { .. } => "sick",
         }
     }
 }
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -54,7 +54,7 @@
 const LONG_PATIENCE_MS: Span = 20_000;
 
 /// Why a worker is not taken for sound.
-pub(super) const UNSOUND: [Obstacle; 2] = [Obstacle::Resting, Obstacle::Probed];
+pub(super) const UNSOUND: [Obstacle; 2] = [Obstacle::Backoff, Obstacle::Probing];
 
 /// What a trial may ask of the workers.
 #[derive(Clone, Copy)]
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy)]
 struct Due {
     /// How long nothing has run of what should, in milliseconds.
-    still_ms: Span,
+    starved_ms: Span,
     boldness: Boldness,
 }
 
@@ -87,15 +87,15 @@
         if waited_ms < patience_ms || (wait.still.is_none() && !lasting) {
             return None;
         }
-        let still_ms = if lasting { waited_ms } else { wait.still_ms(now) };
-        let due_ms = still_ms.min(waited_ms - patience_ms);
-        let desperate = still_ms >= LONG_PATIENCE_MS;
+        let starved_ms = if lasting { waited_ms } else { wait.starved_ms(now) };
+        let due_ms = starved_ms.min(waited_ms - patience_ms);
+        let desperate = starved_ms >= LONG_PATIENCE_MS;
         let boldness = Boldness {
             most_tried: if short && due_ms >= TURN_MS { usize::MAX } else { MOST_TRIED },
             takes_kept: short || desperate,
             desperate,
         };
-        Some(Due { still_ms, boldness })
+        Some(Due { starved_ms, boldness })
     }
 }
 
@@ -120,9 +120,9 @@
             let plenty = roomy.contains(&group.job.pool);
             let Some(due) = Due::of(now, group, wait, plenty).filter(|_| !begun) else { continue };
             for start in self.trial(now, group, due.boldness, candidates) {
-                let (run, worker, still_ms) = (start.run, start.worker.clone(), due.still_ms);
+                let (run, worker, starved_ms) = (start.run, start.worker.clone(), due.starved_ms);
                 self.tried.insert(run);
-                self.outputs.push(Output::Decided(Decision::Tried { run, worker, still_ms }));
+                self.outputs.push(Output::Decided(Decision::Forced { run, worker, starved_ms }));
                 starts.push(start);
             }
         }
@@ -138,7 +138,7 @@
         let wait =
             |(group, _): &(&'a Ready<'a>, Obstacles)| Some((*group, *self.waits.get(&group.id)?));
         let mut groups: Vec<_> = blocked.iter().filter_map(wait).collect();
-        groups.sort_by_key(|(_, wait)| Reverse(wait.still_ms(now)));
+        groups.sort_by_key(|(_, wait)| Reverse(wait.starved_ms(now)));
         groups
     }
 
@@ -200,11 +200,11 @@
         candidates: &[Candidate],
     ) -> Vec<Obstacle> {
         let mut overlooked: Vec<Obstacle> =
-            boldness.takes_kept.then_some(Obstacle::Kept).into_iter().collect();
+            boldness.takes_kept.then_some(Obstacle::Reserved).into_iter().collect();
         let failed = group.tasks().get(task.index as usize).is_some_and(|task| task.failed > 0);
         let spared = (failed || group.job.attempts < 2) && !boldness.desperate;
         let sound = |there: &Candidate| {
-            there.admits(&group.job.pool, task, group.step, &[Obstacle::Kept])
+            there.admits(&group.job.pool, task, group.step, &[Obstacle::Reserved])
                 && !self.lacks_ticket(now, group, task, &there.life)
         };
         if candidates.iter().any(sound) {
--- a/crates/pond-job/src/lead/plan.rs
+++ b/crates/pond-job/src/lead/plan.rs
@@ -195,7 +195,7 @@
             let there = candidate.obstacle(&group.job.pool, task, group.step);
             there.unwrap_or_else(|| {
                 let lacking = self.lacks_ticket(now, group, task, &candidate.life);
-                if lacking { Obstacle::NoTicket } else { Obstacle::Harm }
+                if lacking { Obstacle::NoTicket } else { Obstacle::Interference }
             })
         };
         candidates.iter().map(obstacle).collect()
--- a/crates/pond-job/src/lead/progress.rs
+++ b/crates/pond-job/src/lead/progress.rs
@@ -67,9 +67,9 @@
         if let Some(known) = self.workers.get(life) {
             let health = self.health.entry(known.agent.clone()).or_default();
             health.bad(now, run.task.job);
-            if let Some(for_ms) = health.rest(now) {
+            if let Some(backoff_ms) = health.rest(now) {
                 let worker = worker.clone();
-                self.outputs.push(Output::Decided(Decision::Sick { worker, for_ms }));
+                self.outputs.push(Output::Decided(Decision::Unhealthy { worker, backoff_ms }));
             }
         }
         self.outputs.push(Output::Decided(Decision::Stalled { run, worker }));
--- a/crates/pond-job/src/lead/wait.rs
+++ b/crates/pond-job/src/lead/wait.rs
@@ -49,7 +49,7 @@
     }
 
     /// For how long nothing of the job has run, in milliseconds.
-    pub fn still_ms(&self, now: Millis) -> Span {
+    pub fn starved_ms(&self, now: Millis) -> Span {
         self.still.map_or(0, |since| now.since(since))
     }
 }
@@ -109,8 +109,8 @@
             step: group.step_index,
             tasks: waiting,
             placed: group.job.placed,
-            since_ms: now.since(wait.since),
-            still_ms: wait.still_ms(now),
+            waited_ms: now.since(wait.since),
+            starved_ms: wait.starved_ms(now),
             image: group.step.image.clone(),
             obstacles: obstacles.clone(),
         };
--- a/crates/pond-job/src/lib.rs
+++ b/crates/pond-job/src/lib.rs
@@ -16,7 +16,7 @@
 pub use configuration::{Advice, Configuration, Invalid, Limits, Pool, Queue};
 pub use job::{Job, Task};
 pub use lead::{
-    Decision, Leader, Lost, Obstacle, Obstacles, Output, Permit, Question, StepName, Terms,
+    Decision, Leader, LossKind, Obstacle, Obstacles, Output, Permit, Question, StepName, Timing,
 };
 pub use lesson::Lesson;
 pub use state::State;
--- a/crates/pond-job/tests/advice.rs
+++ b/crates/pond-job/tests/advice.rs
@@ -110,7 +110,7 @@
         bench.settle();
         allow(&mut bench, &[]);
     }
-    let sick = |decision: &Decision| matches!(decision, Decision::Sick { .. });
+    let sick = |decision: &Decision| matches!(decision, Decision::Unhealthy { .. });
     assert!(!bench.decided.iter().any(sick));
 }
 
--- a/crates/pond-job/tests/beliefs.rs
+++ b/crates/pond-job/tests/beliefs.rs
@@ -65,7 +65,7 @@
 
 fn still_of(bench: &Bench, job: u64) -> Vec<u64> {
     let still = |decision: &Decision| match decision {
-        Decision::Tried { run, still_ms, .. } if run.task.job == job => Some(*still_ms),
+        Decision::Forced { run, starved_ms, .. } if run.task.job == job => Some(*starved_ms),
         _ => None,
     };
     bench.decided.iter().filter_map(still).collect()
@@ -113,7 +113,7 @@
         pass(&mut bench, &["a"], 6, 0);
     }
     end_all(&mut bench, "a", &[run(3, 0, 1), run(9, 0, 1)], How::Failed);
-    assert!(bench.decided.iter().any(|decision| matches!(decision, Decision::Sick { .. })));
+    assert!(bench.decided.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. })));
     let still = still_of(&bench, 9);
     assert_eq!(bench.place_of(task(9, 0, 0)), None, "tried on a worker that rests: {still:?}");
 }
@@ -200,7 +200,7 @@
     vm.unstarted = vec![run(1, 0, 1), run(2, 0, 1)];
     bench.report("a");
     bench.settle();
-    let sick = bench.decided.iter().any(|decision| matches!(decision, Decision::Sick { .. }));
+    let sick = bench.decided.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. }));
     assert!(!sick, "{:?}", bench.decided);
 }
 
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -47,7 +47,7 @@
     bench.pass(30, &["a", "b"]);
     assert!(bench.started("a").is_empty());
     assert_eq!(obstacle(&bench, 1, Obstacle::Evacuated), Some(1));
-    assert_eq!(obstacle(&bench, 1, Obstacle::Elsewhere), Some(1));
+    assert_eq!(obstacle(&bench, 1, Obstacle::Unsuitable), Some(1));
     bench.readmit("north");
     bench.settle();
     assert_eq!(bench.started("a"), [run(1, 0)]);
--- a/crates/pond-job/tests/ghosts.rs
+++ b/crates/pond-job/tests/ghosts.rs
@@ -237,7 +237,7 @@
 fn lost_loss_of_a_worker_is_proposed_again_every_three_seconds() {
     let mut bench = running();
     bench.add_vm("b", 1_000);
-    let over = terms().surely_over_ms();
+    let over = terms().lease_expiry_ms();
     let lost = |change: &Change| matches!(change, Change::WorkerLost { .. });
     let proposed = |bench: &Bench| bench.proposed.iter().any(lost);
     let took = until(&mut bench, 20_000, &["b"], lost, proposed);
@@ -399,7 +399,7 @@
     bench.add_vm("b", 1_000);
     let moved = |bench: &Bench| bench.place_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = until(&mut bench, 20_000, &["b"], keep, moved);
-    let over = terms().surely_over_ms();
+    let over = terms().lease_expiry_ms();
     assert!(took.is_some_and(|took| (over..=over + 150).contains(&took)), "{took:?}");
 }
 
@@ -412,7 +412,7 @@
     bench.replace_leader();
     let moved = |bench: &Bench| bench.place_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = until(&mut bench, 20_000, &["b"], keep, moved);
-    let over = terms().surely_over_ms();
+    let over = terms().lease_expiry_ms();
     assert!(took.is_some_and(|took| (over..=over + 150).contains(&took)), "{took:?}");
 }
 
@@ -464,7 +464,7 @@
 /// The lines about runs that are not listed: how long, and how often each was ordered.
 fn absences(bench: &Bench) -> Vec<(RunName, Span, u32)> {
     let line = |decision: &Decision| match decision {
-        Decision::Absent { run, since_ms, orders, .. } => Some((*run, *since_ms, *orders)),
+        Decision::Absent { run, absent_ms, orders, .. } => Some((*run, *absent_ms, *orders)),
         _ => None,
     };
     bench.decided.iter().filter_map(line).collect()
@@ -478,8 +478,8 @@
     until(&mut bench, 3_000, &["a"], keep, |_| false);
     let lines = absences(&bench);
     assert_eq!(lines.len(), 3, "{lines:?}");
-    assert!(lines.iter().all(|(there, since_ms, orders)| {
-        *there == run(1, 0, 1) && *since_ms >= 2_000 && *orders >= 2
+    assert!(lines.iter().all(|(there, absent_ms, orders)| {
+        *there == run(1, 0, 1) && *absent_ms >= 2_000 && *orders >= 2
     }));
 }
 
@@ -491,7 +491,9 @@
     vm.runs.values_mut().for_each(|row| row.unlisted = true);
     until(&mut bench, 2_900, &["a"], keep, |_| false);
     let told = |decision: &Decision| match decision {
-        Decision::Absent { linked, answers, told, .. } => Some((*linked, *answers, *told)),
+        Decision::Absent { linked, answers, known_to_agent, .. } => {
+            Some((*linked, *answers, *known_to_agent))
+        }
         _ => None,
     };
     assert_eq!(bench.decided.iter().find_map(told), Some((true, true, true)));
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use pond_job::{
     Advice, Change, Configuration, Decision, Leader, Output, Pool, Question, Queue, Reply, State,
-    Terms,
+    Timing,
 };
 use pond_proto::Millis;
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder};
@@ -18,8 +18,8 @@
 pub const BATCH: &str = "/batch/";
 pub const ADVISED: &str = "/advised/";
 
-pub fn terms() -> Terms {
-    Terms { hold_ms: 6_000, drift_permille: 20, slack_ms: 100, keep_ms: 60_000 }
+pub fn terms() -> Timing {
+    Timing { lease_ms: 6_000, drift_permille: 20, timer_slack_ms: 100, retention_ms: 60_000 }
 }
 
 pub fn configuration(version: u64) -> Configuration {
@@ -189,7 +189,7 @@
     /// Another replica leads, which knows only the log.
     pub fn replace_leader(&mut self) {
         let leader = Leader::new(8, terms(), self.now);
-        self.leader = leader.with_lesson(self.state.lesson(), self.now);
+        self.leader = leader.with_estimates(self.state.lesson(), self.now);
     }
 
     /// A worker reports what it has, with its clock as it stands.
--- a/crates/pond-job/tests/unsound.rs
+++ b/crates/pond-job/tests/unsound.rs
@@ -127,7 +127,7 @@
 }
 
 fn rests(bench: &Bench) -> bool {
-    bench.decided.iter().any(|there| matches!(there, Decision::Sick { .. }))
+    bench.decided.iter().any(|there| matches!(there, Decision::Unhealthy { .. }))
 }
 
 #[test]
--- a/crates/pond-job/tests/world/mod.rs
+++ b/crates/pond-job/tests/world/mod.rs
@@ -307,7 +307,7 @@
         }
         self.term += 1;
         let leader = Leader::new(self.term, terms(), self.now);
-        self.leader = Some(leader.with_lesson(self.state.lesson(), self.now));
+        self.leader = Some(leader.with_estimates(self.state.lesson(), self.now));
     }
 
     /// The link of a machine closes; its agent finds the leader again within some time.
--- a/crates/pond-job/tests/world/watch.rs
+++ b/crates/pond-job/tests/world/watch.rs
@@ -33,13 +33,13 @@
 /// What may be in the way on workers on which a task may run.
 const OBSTACLES: [Obstacle; 8] = [
     Obstacle::Evacuated,
-    Obstacle::Resting,
-    Obstacle::Probed,
+    Obstacle::Backoff,
+    Obstacle::Probing,
     Obstacle::NoRoom,
-    Obstacle::Kept,
+    Obstacle::Reserved,
     Obstacle::Busy,
     Obstacle::NoTicket,
-    Obstacle::Harm,
+    Obstacle::Interference,
 ];
 
 /// Something that waits: a job of which nothing runs, or one lasting task.
@@ -284,7 +284,7 @@
     fn cause(&self, id: u64, about: &[&(Millis, Decision)]) -> String {
         let Some(job) = self.state.job(id) else { return "no such job".to_owned() };
         let last = about.iter().rev().find(|(_, decision)| {
-            matches!(decision, Decision::Waiting { .. } | Decision::Tried { .. })
+            matches!(decision, Decision::Waiting { .. } | Decision::Forced { .. })
         });
         if job.placed > 0 {
             let lately = last.is_some_and(|(at, _)| self.now.since(*at) <= LATELY_MS);
@@ -292,10 +292,10 @@
             return cause.to_owned();
         }
         let waiting = about.iter().rev().find_map(|(at, decision)| match decision {
-            Decision::Waiting { obstacles, since_ms, .. } => Some((*at, obstacles, *since_ms)),
+            Decision::Waiting { obstacles, waited_ms, .. } => Some((*at, obstacles, *waited_ms)),
             _ => None,
         });
-        let Some((at, obstacles, since_ms)) = waiting else { return "no plan".to_owned() };
+        let Some((at, obstacles, waited_ms)) = waiting else { return "no plan".to_owned() };
         let there = OBSTACLES.iter().filter(|there| obstacles.count(**there) > 0);
         let mut cause = format!("{:?}", there.collect::<Vec<_>>());
         if job.spec.steps.iter().any(|step| step.gang) {
@@ -304,7 +304,7 @@
         if job.advice.is_some() {
             cause += " advised";
         }
-        if since_ms + self.now.since(at) < self.watch.bound_ms {
+        if waited_ms + self.now.since(at) < self.watch.bound_ms {
             cause += " counted anew";
         }
         if self.free_percent() <= PLENTY_PERCENT {
@@ -353,7 +353,7 @@
         Decision::Waiting { job, .. } => *job == id,
         Decision::Stalled { run, .. }
         | Decision::Moved { run, .. }
-        | Decision::Tried { run, .. } => run.task.job == id,
+        | Decision::Forced { run, .. } => run.task.job == id,
         _ => false,
     }
 }
--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -33,34 +33,43 @@
                 step,
                 tasks,
                 placed,
-                since_ms,
-                still_ms,
+                waited_ms,
+                starved_ms,
                 image,
                 obstacles,
             } => {
                 let count = |obstacle| obstacles.count(obstacle);
                 event!(self.log, JOB_WAITS, "job" => format!("{job:016x}"), "step" => step,
-                    "tasks" => tasks, "placed" => placed, "since_ms" => since_ms, "still_ms" => still_ms, "image" => image,
-                    "elsewhere" => count(Obstacle::Elsewhere),
+                    "tasks" => tasks, "placed" => placed, "since_ms" => waited_ms, "still_ms" => starved_ms, "image" => image,
+                    "elsewhere" => count(Obstacle::Unsuitable),
                     "evacuated" => count(Obstacle::Evacuated),
                     "suspect" => count(Obstacle::Suspect),
-                    "resting" => count(Obstacle::Resting),
-                    "probed" => count(Obstacle::Probed), "no_room" => count(Obstacle::NoRoom),
-                    "kept" => count(Obstacle::Kept),
+                    "resting" => count(Obstacle::Backoff),
+                    "probed" => count(Obstacle::Probing), "no_room" => count(Obstacle::NoRoom),
+                    "kept" => count(Obstacle::Reserved),
                     "busy" => count(Obstacle::Busy),
-                    "no_ticket" => count(Obstacle::NoTicket), "harm" => count(Obstacle::Harm));
+                    "no_ticket" => count(Obstacle::NoTicket), "harm" => count(Obstacle::Interference));
             }
-            Decision::Tried { run, worker, still_ms } => {
+            Decision::Forced { run, worker, starved_ms } => {
                 event!(self.log, RUN_TRIED, "run" => run.to_string(), "worker" => worker,
-                    "still_ms" => still_ms);
+                    "still_ms" => starved_ms);
             }
-            Decision::Absent { run, worker, since_ms, linked, answers, told, stops, orders } => {
+            Decision::Absent {
+                run,
+                worker,
+                absent_ms,
+                linked,
+                answers,
+                known_to_agent,
+                stopping,
+                orders,
+            } => {
                 event!(self.log, RUN_ABSENT, "run" => run.to_string(), "worker" => worker,
-                    "since_ms" => since_ms, "linked" => linked, "answers" => answers,
-                    "told" => told, "stops" => stops, "orders" => orders);
+                    "since_ms" => absent_ms, "linked" => linked, "answers" => answers,
+                    "told" => known_to_agent, "stops" => stopping, "orders" => orders);
             }
-            Decision::Sick { worker, for_ms } => {
-                event!(self.log, WORKER_SICK, "worker" => worker, "for_ms" => for_ms);
+            Decision::Unhealthy { worker, backoff_ms } => {
+                event!(self.log, WORKER_SICK, "worker" => worker, "for_ms" => backoff_ms);
             }
         }
     }
--- a/crates/pond-replica/src/lead.rs
+++ b/crates/pond-replica/src/lead.rs
@@ -26,7 +26,7 @@
         if self.leader.is_none() {
             event!(self.log, LEADER, "term" => self.core.term());
             let leader = Leader::new(self.core.term(), self.settings.terms, now);
-            self.leader = Some(leader.with_lesson(self.state.lesson(), self.wall()));
+            self.leader = Some(leader.with_estimates(self.state.lesson(), self.wall()));
         }
         let granting = self.certain(now) && self.stopping.is_none();
         let wall = self.wall();
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pond_clock::Clock;
-use pond_job::{Change, Leader, State, Terms};
+use pond_job::{Change, Leader, State, Timing};
 use pond_link::{Event, LinkKey, Sender};
 use pond_log::{Logger, Metrics, event};
 use pond_proto::fleet::Lead;
@@ -61,7 +61,7 @@
     /// Its data centre.
     pub data_centre: String,
     /// Times of leases.
-    pub terms: Terms,
+    pub terms: Timing,
 }
 
 /// A process that has a link to this replica.
--- a/crates/pond-replica/tests/support/mod.rs
+++ b/crates/pond-replica/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use pond_clock::Clock;
-use pond_job::{Permit, Question, Terms};
+use pond_job::{Permit, Question, Timing};
 use pond_log::Metrics;
 use pond_replica::{Adviser, Handle, Replica, Settings};
 use pond_store::{Memory, Store};
@@ -59,7 +59,12 @@
         seeds: seeds.iter().map(SocketAddr::to_string).collect(),
         first_start: true,
         data_centre: "here".to_owned(),
-        terms: Terms { hold_ms: 1_000, drift_permille: 25, slack_ms: 250, keep_ms: 1_000 },
+        terms: Timing {
+            lease_ms: 1_000,
+            drift_permille: 25,
+            timer_slack_ms: 250,
+            retention_ms: 1_000,
+        },
     };
     let files = Store::open(Box::new(disk)).expect("opens");
     let (metrics, log) = (Metrics::kept(), pond_log::silent());
