--- a/crates/pond-job/src/lead/absent.rs
+++ b/crates/pond-job/src/lead/absent.rs
@@ -1,4 +1,4 @@
-//! Runs that are placed and not at work: a line for each, bounded in number.
+//! Log lines about placed runs that their workers do not list, with a limit on their number.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,18 @@
 use super::{Decision, Leader, Output};
 use crate::state::State;
 
-/// A run that its worker has not listed for this long gets a line, in milliseconds: an order, the call
-/// and a list take some tens of milliseconds, a list that waits a second at most.
+/// A run is logged if its worker has not listed it for this long, in milliseconds. An order, the
+/// call and a list take some tens of milliseconds; a list is delayed by a second at most.
 const LOG_AFTER_MS: Span = 2_000;
 
-/// A run gets a line at most this often, in milliseconds.
+/// Minimum interval between the log lines of a run, in milliseconds.
 const LOG_INTERVAL_MS: Span = 1_000;
 
-/// Lines in one look at most. There are ten looks a second, so many such runs do not flood the log.
+/// Maximum number of log lines per check. There are ten checks per second, so many such runs do not
+/// flood the log.
 const MAX_LOG_LINES: usize = 4;
 
-/// Since when a run has been placed without being listed, as far as this leader knows, and when that
-/// was last logged.
+/// Since when this leader has known a run as placed but not listed, and when that was last logged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Absence {
     since: Millis,
@@ -28,7 +28,7 @@
 }
 
 impl Absence {
-    /// Whether a line is due.
+    /// Returns whether a log line is due.
     fn log_due(&self, now: Millis) -> bool {
         now.since(self.since) >= LOG_AFTER_MS
             && self.logged_at.is_none_or(|at| now.since(at) >= LOG_INTERVAL_MS)
@@ -36,7 +36,7 @@
 }
 
 impl Leader {
-    /// Keeps since when placed runs are not listed by their workers, and logs those that take long.
+    /// Updates since when placed runs are not listed by their workers, and logs long absences.
     pub(super) fn note_absent(&mut self, state: &State, now: Millis) {
         let known = std::mem::take(&mut self.absent);
         let mut absent = BTreeMap::new();
--- a/crates/pond-job/src/lead/advice.rs
+++ b/crates/pond-job/src/lead/advice.rs
@@ -1,8 +1,8 @@
-//! What an outside adviser says of which workers may run a step.
+//! Answers of an external adviser on which workers may run a step.
 //!
 //! Some queues have a policy that only the adviser knows. For each step it names workers that may
-//! run it, with a ticket that the worker wants to see for as long as this life of it lasts. Which
-//! workers may run a step never changes; tickets run out.
+//! run it, each with a ticket that the worker requires and that is valid only for this incarnation.
+//! Which workers may run a step never changes, but tickets expire.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,16 +12,16 @@
 
 use crate::configuration::Advice;
 
-/// Workers named in one question. The adviser takes some time for each, and the aim of a job allows
-/// for a question about thirty.
+/// Maximum number of workers in one question. The adviser takes some time for each, and the target
+/// of a job leaves time for a question about thirty workers.
 const MAX_WORKERS_PER_QUESTION: usize = 30;
 
-/// A question without an answer is asked again after this time, in milliseconds: an adviser that is
-/// asked too often answers nobody.
+/// Delay before an unanswered question is asked again, in milliseconds. An adviser that is asked
+/// too often answers nobody.
 const RETRY_MS: Span = 500;
 
-/// A ticket is not used in the last part of its time: this share of it, as the start must still
-/// reach the worker.
+/// A ticket is not used in the last part of its validity, this fraction of it, because the start
+/// must still reach the worker.
 const TICKET_MARGIN_DIVISOR: Span = 4;
 
 /// A step at one time of a job.
@@ -29,9 +29,9 @@
 pub struct StepName {
     /// The job.
     pub job: u64,
-    /// Which of its times, from zero.
+    /// Index of the time of the job.
     pub time: u32,
-    /// Which of its steps, from zero.
+    /// Index of the step.
     pub step: u32,
 }
 
@@ -51,24 +51,24 @@
 /// A question to the adviser.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Question {
-    /// The step that should run.
+    /// The step to run.
     pub step: StepName,
-    /// Lives of workers that have room for it.
+    /// Incarnations of workers that have capacity for it.
     pub workers: Vec<String>,
-    /// How long the adviser takes.
+    /// Timing of the adviser's answers.
     pub advice: Advice,
 }
 
-/// The adviser allows a worker to run a step.
+/// Permission of the adviser for a worker to run a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// The life of the worker.
+    /// Incarnation of the worker.
     pub worker: String,
-    /// What the worker wants to see.
+    /// Ticket that the worker requires.
     pub ticket: String,
 }
 
-/// What is known of one worker for one step.
+/// The adviser's answer for one worker and step.
 #[derive(Clone, Debug, PartialEq)]
 enum Verdict {
     Denied,
@@ -79,14 +79,14 @@
 #[derive(Debug, Default)]
 pub struct Adviser {
     verdicts: BTreeMap<StepName, BTreeMap<String, Verdict>>,
-    /// The question on its way.
+    /// The step of the pending question.
     pending: Option<StepName>,
-    /// No question before this time.
+    /// Time before which no question is asked.
     retry_at: Millis,
 }
 
 impl Adviser {
-    /// The ticket with which a worker may run a step now.
+    /// Returns the ticket with which a worker may run a step now.
     pub fn ticket(&self, now: Millis, step: StepName, worker: &str) -> Option<&str> {
         match self.verdicts.get(&step)?.get(worker)? {
             Verdict::Allowed { ticket, until } if now < *until => Some(ticket),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether the adviser can say something new about a worker.
+    /// Returns whether the adviser can say anything new about a worker.
     fn needs_answer(&self, now: Millis, step: StepName, worker: &str) -> bool {
         let verdict = self.verdicts.get(&step).and_then(|verdicts| verdicts.get(worker));
         match verdict {
@@ -104,14 +104,15 @@
         }
     }
 
-    /// A worker did not start a run, perhaps for its ticket: the adviser is asked about it again.
+    /// Drops the answer for a worker that did not start a run, perhaps because of its ticket, so
+    /// that the adviser is asked again.
     pub fn invalidate(&mut self, run: RunName, worker: &str) {
         if let Some(verdicts) = self.verdicts.get_mut(&run.task.into()) {
             verdicts.remove(worker);
         }
     }
 
-    /// The next question about these workers, if one is due.
+    /// Returns the next question about these workers, if one is due.
     pub fn question(
         &mut self,
         now: Millis,
@@ -131,7 +132,7 @@
         Some(Question { step, workers, advice })
     }
 
-    /// The adviser answered a question, or did not.
+    /// Handles the answer to a question; `None` if the adviser did not answer.
     pub fn answer(&mut self, now: Millis, question: &Question, permits: Option<Vec<Permit>>) {
         self.pending = None;
         let Some(permits) = permits else {
@@ -139,7 +140,7 @@
             return;
         };
         if question.advice.valid_ms == 0 {
-            // No ticket is ever good, so each answer would call for the next question at once.
+            // No ticket is ever valid, so each answer would lead to the next question immediately.
             self.retry_at = now + RETRY_MS;
         }
         let valid_ms = question.advice.valid_ms - question.advice.valid_ms / TICKET_MARGIN_DIVISOR;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Drops the answers about jobs that are over.
+    /// Drops the answers for ended jobs.
     pub fn forget(&mut self, ended: impl Fn(u64) -> bool) {
         self.verdicts.retain(|step, _| !ended(step.job));
     }
--- a/crates/pond-job/src/lead/ask.rs
+++ b/crates/pond-job/src/lead/ask.rs
@@ -1,4 +1,4 @@
-//! When the adviser is asked, and about what.
+//! Selection of the questions to the adviser.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,18 +13,18 @@
 use crate::configuration::Advice;
 use crate::state::State;
 
-/// From this wait of a job on the adviser is asked for its trial, in milliseconds: the rest of the
-/// patience is for the answer.
+/// Waiting time of a job from which the adviser is asked for its forced placement, in milliseconds.
+/// The rest of the maximum wait is left for the answer.
 const ASK_AFTER_MS: Span = MAX_WAIT_MS / 2;
 
 impl Leader {
-    /// The adviser answered a question, or did not.
+    /// Handles the answer of the adviser; `None` if it did not answer.
     pub fn advised(&mut self, now: Millis, question: &Question, permits: Option<Vec<Permit>>) {
         self.adviser.answer(now, question, permits);
     }
 
-    /// Asks about runs that cannot be ordered for want of a ticket, step by step: the adviser takes most
-    /// of its time for each question, whatever the number of workers.
+    /// Asks about runs that cannot be ordered because they lack a ticket, one step at a time: most
+    /// of the adviser's time is spent per question, whatever the number of workers.
     pub(super) fn ask_about_placed(&mut self, state: &State, now: Millis) {
         for (step, (workers, advice)) in self.placed_without_ticket(state, now) {
             let question = self.adviser.question(now, step, workers.into_iter(), advice);
@@ -32,10 +32,10 @@
         }
     }
 
-    /// Asks about the first step that waits for a worker and of which the adviser can say something
-    /// new; questions about the others come when it has answered. Steps whose trial comes near go first,
-    /// those of jobs that have stood still for longest before others, then the most urgent: answers
-    /// run out, so the most urgent steps alone could keep the adviser busy for ever.
+    /// Asks about the first waiting step on which the adviser can say anything new; the others
+    /// follow after its answer. Steps that are close to a forced placement go first, ordered by how
+    /// long their jobs have been starved, then the most urgent ones. Answers expire, so the most
+    /// urgent steps alone could occupy the adviser forever.
     pub(super) fn ask_about_ready(
         &mut self,
         now: Millis,
@@ -54,7 +54,8 @@
                 let asked = candidates.iter().filter(|candidate| asked(candidate));
                 asked.map(|candidate| candidate.incarnation.clone()).collect()
             };
-            // A trial does not heed who is busy, so it needs tickets for those, too.
+            // A forced placement ignores whether workers are busy, so it needs tickets for those as
+            // well.
             let healthy = match near_ms {
                 None => incarnations(&|candidate| candidate.fits(pool, task, group.step)),
                 Some(_) => incarnations(&|candidate| candidate.admits(pool, task, group.step, &[])),
@@ -63,7 +64,7 @@
                 healthy.iter().any(|incarnation| !self.lacks_ticket(now, group, task, incarnation));
             let mut question = self.adviser.question(now, task.into(), healthy.into_iter(), advice);
             if question.is_none() && near_ms.is_some() && !allowed {
-                // Where no sound worker may take it, others are tried.
+                // If no healthy worker may take the step, others are considered.
                 let any =
                     |candidate: &Candidate| candidate.admits(pool, task, group.step, &UNHEALTHY);
                 let others = incarnations(&any).into_iter();
@@ -73,14 +74,15 @@
         }
     }
 
-    /// How long a job has stood still, in milliseconds, if its trial comes near; else none.
+    /// Returns how long a job has been starved, in milliseconds, if its forced placement is close;
+    /// `None` otherwise.
     fn forcing_near_ms(&self, now: Millis, id: u64) -> Option<Span> {
         let wait = self.waits.get(&id).filter(|wait| wait.starved_since.is_some())?;
         (now.since(wait.since) >= ASK_AFTER_MS).then(|| wait.starved_ms(now))
     }
 
-    /// Steps of runs that are placed and cannot be ordered, with the workers that have them: a former
-    /// leader had asked about them, or the ticket has run out.
+    /// Returns the steps of placed runs that cannot be ordered, with their workers. A former leader
+    /// had asked about them, or the ticket has expired.
     fn placed_without_ticket(
         &self,
         state: &State,
--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -1,4 +1,4 @@
-//! Judges which of the runs on a lost worker may have taken it down.
+//! Attribution of worker losses to the runs that may have caused them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,42 +14,43 @@
 use crate::state::State;
 use crate::suspicion::{BLAMED_MS, Blame, SURVIVED_MS, Suspicion, Verdict};
 
-/// Losses of workers that are no further apart than this may have one cause, as a rack or a switch, in
-/// milliseconds. Lives that come back after a loss of power register within some two seconds.
+/// Worker losses within this time may have a common cause, such as a rack or a switch, in
+/// milliseconds. Workers that return after a power failure register within about two seconds.
 const CORRELATED_MS: Span = 2_000;
 
-/// So many others that are lost within that time show such a cause.
+/// Number of other losses within that time that indicates a common cause.
 const CORRELATED_LOSSES: usize = 2;
 
-/// A run counts as likely the cause whatever else goes down if its task was beside so many losses before: a
-/// suspect began apart, so what goes down elsewhere has little to do with it.
+/// A run whose task was involved in this many earlier losses counts as a likely cause regardless of
+/// other losses at the same time. Suspects start isolated, so unrelated losses elsewhere hardly
+/// matter.
 const REPEATED_LOSSES: u32 = 2;
 
-/// When workers were lost, as this leader knows it.
+/// Worker losses that this leader has seen.
 #[derive(Debug, Default)]
 pub(super) struct Losses {
-    /// By agent, the last loss of a worker that crashed.
+    /// Last crash of a worker, by agent.
     crashed: BTreeMap<String, Millis>,
-    /// By agent, the last such loss that no run there is known to have caused by its start.
+    /// Last crash that no recently started run explains, by agent.
     unexplained: BTreeMap<String, Millis>,
-    /// Runs that are proposed to clear their tasks, and when they last were.
+    /// Runs whose tasks are proposed to be cleared, with the time of the last proposal.
     clearing: BTreeMap<RunName, Millis>,
-    /// How often workers go down by themselves.
+    /// How often workers crash spontaneously.
     rate: Rate,
 }
 
 impl Losses {
-    /// When the worker beside an agent last crashed.
+    /// Returns when a worker of the agent last crashed.
     pub fn last_crash(&self, agent: &str) -> Option<Millis> {
         self.crashed.get(agent).copied()
     }
 
-    /// A worker on which nothing ran went down, so by itself.
+    /// Records the crash of a worker without runs, which was spontaneous.
     pub fn note_idle_loss(&mut self) {
         self.rate.note();
     }
 
-    /// Whether several other workers went down of late for a reason that has nothing to do with their runs.
+    /// Returns whether several other workers recently crashed for reasons unrelated to their runs.
     fn correlated(&self, now: Millis, agent: &str) -> bool {
         let recently = |(other, at): &(&String, &Millis)| {
             other.as_str() != agent && now.since(**at) < CORRELATED_MS
@@ -58,25 +59,25 @@
     }
 }
 
-/// What is known of a lost life, for the judgement of what ran there.
+/// The facts about a lost incarnation from which its runs are judged.
 struct Case<'a> {
     kind: LossKind,
-    /// The runs that may have caused the loss, with how long the worker had lived on with each; also those of jobs
-    /// that have ended since, as by a cancel.
+    /// Runs that may have caused the loss, with how long the worker survived each, in milliseconds.
+    /// Runs of jobs that have ended since, for example by cancellation, are included.
     runs: Vec<(&'a LostRun, Span)>,
-    /// Several other workers went down at about the same time.
+    /// Whether several other workers were lost at about the same time.
     correlated: bool,
-    /// No others did, and the leader has led for long enough to know.
+    /// Whether no others were, and the leader has led long enough to know.
     uncorrelated: bool,
-    /// Those that likely did.
+    /// Runs that are likely causes.
     likely: BTreeSet<RunName>,
-    /// Those of them whose tasks had been beside several losses before.
+    /// Likely causes whose tasks were involved in several earlier losses.
     repeated: BTreeSet<RunName>,
 }
 
 impl Case<'_> {
-    /// Whether nothing but the likely ones can be the cause. One task of a job is enough to fail it, so those
-    /// of one job are as good as one.
+    /// Returns whether only the likely causes can have caused the loss. One task of a job is enough
+    /// to fail it, so several likely causes of one job count as one.
     fn is_conclusive(&self) -> bool {
         let jobs: BTreeSet<u64> = self.likely.iter().map(|run| run.task.job).collect();
         let alive_at_start = self
@@ -86,31 +87,32 @@
         self.kind == LossKind::Crashed && jobs.len() == 1 && alive_at_start && !self.correlated
     }
 
-    /// Whether a run was lost as its task's earlier runs were: each time just begun, on a worker that crashed.
+    /// Returns whether a run was lost like earlier runs of its task: just started, on a worker that
+    /// crashed.
     fn repeats(&self, run: RunName) -> bool {
         self.kind == LossKind::Crashed && self.repeated.contains(&run)
     }
 
-    /// How the loss counts against a run that had begun just before, or not; none if it does not.
+    /// Returns how the loss counts against a run; `None` if it does not.
     fn verdict(&self, run: RunName, just_started: bool) -> Option<Verdict> {
         let spontaneous = !self.correlated && self.kind == LossKind::Crashed;
         match self.likely.contains(&run) {
             true if self.is_conclusive() => Some(Verdict::Proven),
             true if spontaneous || self.repeats(run) => Some(Verdict::Suspected),
-            // Workers that go down together, or fall silent, say little about what ran there, and nothing
-            // about what had worked well.
+            // Workers that are lost together or fall silent say little about their runs, and
+            // nothing about runs that had been working well.
             _ => (just_started || spontaneous).then_some(Verdict::Beside),
         }
     }
 }
 
 impl Leader {
-    /// How a loss counts against the tasks of what ran there.
+    /// Judges how a loss counts against the tasks that ran there.
     ///
-    /// A run that has just begun is more likely the cause than those that have worked for a while, and one
-    /// whose task is a suspect as likely. Where those of a single job are left, nothing else can be the cause,
-    /// as nothing is started beside a suspect until it is cleared; unless workers go down by themselves,
-    /// which shows where others were lost at the same time.
+    /// A run that has just started is a more likely cause than runs that have worked for a while,
+    /// and a run of a suspect is as likely. If all likely causes belong to a single job, only that
+    /// job can be the cause, since nothing is started next to a suspect until it is cleared. The
+    /// exception is workers that crash spontaneously, which other losses at the same time reveal.
     pub(super) fn judge(
         &mut self,
         state: &State,
@@ -144,11 +146,11 @@
                 blame
             })
         };
-        // Nothing is held against what has ended, but it may be the cause all the same.
+        // Tasks of ended jobs are not blamed, but they may be the cause.
         case.runs.iter().filter(|(lost, _)| is_active(state, lost.run)).filter_map(blame).collect()
     }
 
-    /// What may have caused a loss besides each task that had just begun there.
+    /// Collects the possible causes of a loss other than each task that had just started there.
     fn causes(&self, state: &State, now: Millis, case: &Case<'_>) -> Causes {
         let started = || case.runs.iter().filter(|(lost, ms)| just_started(state, lost.run, *ms));
         let attributable = case.uncorrelated
@@ -164,7 +166,8 @@
         causes
     }
 
-    /// The chance that a worker went down by itself in the time in which a task had just begun there.
+    /// Returns the probability that the worker crashed spontaneously while a task there had just
+    /// started.
     fn spontaneous_probability<'a>(
         &self,
         state: &State,
@@ -179,11 +182,11 @@
         self.losses.rate.within(window_ms, self.workers.len(), now.since(self.leading_since))
     }
 
-    /// What is known of a lost life.
+    /// Collects the facts about a lost incarnation.
     ///
-    /// Of a worker whose agent went down with it nothing is told. Where that happens to one after the other, as
-    /// when all power is lost, to take all that had its place there for suspects would keep a whole fleet from
-    /// work until each had begun apart.
+    /// If an agent fails together with its worker, nothing is reported about the runs. When that
+    /// happens to many workers in turn, as in a power failure, treating all their runs as suspects
+    /// would keep a whole fleet idle until each had started in isolation.
     fn case<'a>(
         &self,
         state: &State,
@@ -198,7 +201,7 @@
         let runs: Vec<(&LostRun, Span)> =
             lost.iter().filter(unfinished).filter_map(survived).collect();
         let correlated = self.losses.correlated(now, agent);
-        // A leader that has just come to lead may be so because everything lost its power.
+        // A replica may have just become the leader because of a general power failure.
         let uncorrelated = !correlated && now.since(self.leading_since) >= DISCOVERY_MS;
         let likely = |(lost, survived_ms): &&(&LostRun, Span)| {
             (lost.reported || uncorrelated) && just_started(state, lost.run, *survived_ms)
@@ -211,7 +214,7 @@
         Case { kind, runs, correlated, uncorrelated, likely, repeated }
     }
 
-    /// Proposes to clear tasks whose runs have lived on for long enough.
+    /// Proposes to clear tasks whose runs have survived long enough.
     pub(super) fn clear_survivors(&mut self, state: &State, now: Millis, report: &Report) {
         let clearing = &mut self.losses.clearing;
         let due =
@@ -228,30 +231,31 @@
         self.outputs.push(Output::Propose(Change::Cleared(runs)));
     }
 
-    /// Forgets which runs were proposed to clear their tasks and are over or have.
+    /// Forgets proposed clearings of runs that have ended or whose tasks are cleared.
     pub(super) fn forget_cleared(&mut self, state: &State) {
         self.losses.clearing.retain(|run, _| state.suspicion(*run).is_some());
     }
 }
 
-/// Whether the task of a run is done.
+/// Returns whether the task of a run is done.
 fn is_done(state: &State, run: RunName) -> bool {
     let task = state.job(run.task.job).and_then(|job| job.task(run.task));
     task.is_none_or(|task| task.done)
 }
 
-/// Whether the job of a run goes on.
+/// Returns whether the job of a run has not ended.
 fn is_active(state: &State, run: RunName) -> bool {
     state.job(run.task.job).is_some_and(|job| !job.phase.ended())
 }
 
-/// How likely the task of a run takes down its workers, as far as its losses tell.
+/// Returns the probability that the task of a run takes down its workers, as estimated from its
+/// losses.
 fn probability_of(state: &State, run: RunName) -> Option<f64> {
     state.held(run)?.probability
 }
 
-/// Whether a run with which its worker had lived on for so long may have taken it down: it had just begun, or
-/// has not cleared its task yet.
+/// Returns whether a run may have taken down its worker, which had survived it for that long, in
+/// milliseconds: it had just started or has not cleared its task yet.
 fn just_started(state: &State, run: RunName, survived_ms: Span) -> bool {
     let suspicion = state.held(run).filter(|suspicion| suspicion.suspect);
     let uncleared = suspicion.is_some_and(|suspicion| survived_ms < suspicion.clears_at_ms());
--- a/crates/pond-job/src/lead/cache.rs
+++ b/crates/pond-job/src/lead/cache.rs
@@ -1,6 +1,7 @@
-//! Candidates that are kept from plan to plan. A worker's is made anew only when something of the worker
-//! changed: a report, a start, an end, a loss, a job that ended, or a plan that gave it something. (To make all
-//! anew took 8 to 16 us a worker: 4.2 of the 6.2 ms of a plan of 50 groups at 300 workers.)
+//! Candidates that are reused from plan to plan. A candidate is rebuilt only after a change of its
+//! worker: a report, a start, an end, a loss, a job that ended, or an assignment by a plan.
+//! Rebuilding all of them takes 8 to 16 us per worker: 4.2 of the 6.2 ms of a plan of 50 groups
+//! with 300 workers.
 
 use std::collections::BTreeSet;
 
@@ -14,37 +15,37 @@
 use super::worker::Worker;
 use crate::state::State;
 
-/// What is kept between plans.
+/// State that is kept between plans.
 #[derive(Debug, Default)]
 pub(super) struct Cache {
-    /// The candidates of the last plan, in the order of their lives.
+    /// Candidates of the last plan, ordered by incarnation.
     cached_candidates: Vec<Candidate>,
-    /// Lives of which something has changed since.
+    /// Incarnations that have changed since.
     stale: BTreeSet<String>,
 }
 
 impl Cache {
-    /// Something of a life has changed.
+    /// Marks an incarnation as changed.
     pub fn touch(&mut self, incarnation: &str) {
         if !self.stale.contains(incarnation) {
             self.stale.insert(incarnation.to_owned());
         }
     }
 
-    /// Keeps the candidates of a plan.
+    /// Stores the candidates of a plan.
     pub fn keep(&mut self, candidates: Vec<Candidate>) {
         self.cached_candidates = candidates;
     }
 }
 
 impl Leader {
-    /// The workers that may be given something, with what they have room for.
+    /// Returns the workers that may be given work as candidates.
     pub(super) fn candidates(&mut self, state: &State, now: Millis) -> Vec<Candidate> {
         let Cache { cached_candidates, stale } = std::mem::take(&mut self.cache);
         let mut cached_candidates = cached_candidates.into_iter().peekable();
         let mut candidates = Vec::with_capacity(self.workers.len());
         let Leader { workers, interference, health, forced, last_starts, leading_since, .. } = self;
-        // A leader that has just come to lead does not know what its forerunner started.
+        // A new leader does not know what its predecessor started.
         let last_start =
             |incarnation: &str| last_starts.get(incarnation).copied().unwrap_or(*leading_since);
         for (incarnation, worker) in workers.iter().filter(|(_, worker)| available(worker, now)) {
@@ -53,7 +54,8 @@
             let cached = cached.filter(|cached| !cached.planned && !stale.contains(incarnation));
             let mut build = || build_candidate(state, incarnation, worker, forced, interference);
             let mut candidate = cached.unwrap_or_else(&mut build);
-            // What is kept is what would be made anew. Checked by all tests, not in releases.
+            // A cached candidate must equal a rebuilt one. All tests check this; release builds do
+            // not.
             if cfg!(debug_assertions) {
                 let mut rebuilt = build();
                 rebuilt.refresh(
@@ -85,7 +87,7 @@
     }
 }
 
-/// A worker with what the runs that are placed on it leave.
+/// Builds the candidate of a worker from the runs that are placed on it.
 fn build_candidate(
     state: &State,
     incarnation: &str,
@@ -108,7 +110,8 @@
     candidate
 }
 
-/// Whether a worker may be given something: it is linked, stays, answers and has reported not long ago.
+/// Returns whether a worker may be given work: it is linked, not draining, responsive, and has
+/// reported recently.
 fn available(worker: &Worker, now: Millis) -> bool {
     let fresh = now.since(worker.reported_at) <= REPORT_VALID_MS;
     worker.link.is_some() && !worker.draining && worker.answers && fresh
--- a/crates/pond-job/src/lead/candidate.rs
+++ b/crates/pond-job/src/lead/candidate.rs
@@ -1,4 +1,4 @@
-//! A worker with what it has room for, while tasks are being placed.
+//! A worker as a candidate for tasks, with its remaining capacity, while a plan is made.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,83 +16,89 @@
 use super::obstacle::Obstacle;
 use super::worker::Worker;
 
-/// A serving task uses about this share of the processors that it asks for, in percent: it asks for
-/// its peak. Filling tasks get the rest.
+/// Share of its requested processors that a serving task typically uses, in percent: it requests
+/// its peak. The rest is available to best-effort tasks.
 const SERVING_USE_PERCENT: i64 = 50;
 
-/// How much it counts that a worker serves already, against one more image there: more than the
-/// images that fit on one worker.
+/// Score of a worker that already serves, relative to one more image there. It is larger than the
+/// number of images that fit on a worker.
 const COLOCATION_BONUS: i64 = 30;
 
-/// How much it counts that a worker serves the same image already, against one more image there: the
-/// two or three images that workers of the trial sites serve. Measured only as it is.
+/// Score of a worker that already serves the same image, relative to one more image there. It
+/// matches the two or three images that a worker typically serves.
 const SAME_IMAGE_BONUS: i64 = 3;
 
-/// How much a tenth of pressure too much counts, against one more image there: more than all else
-/// but an empty worker. Measured only as it is.
+/// Penalty for each tenth of excess utilization, relative to one more image there. Only the bonus
+/// for a worker that already serves weighs more.
 const OVERLOAD_PENALTY: i64 = 10;
 
-/// What a worker was given has shown itself after this time, in milliseconds: it has survived, and the order,
-/// the call and the start took their time before.
+/// Time after which a started run has shown whether it takes the worker down, in milliseconds. It
+/// covers the time to survive and, before that, the order, the call and the start.
 const START_OBSERVED_MS: Span = SURVIVED_MS + 200;
 
-/// A worker with what it has room for. What hangs on its runs alone is made when one of them changes, see
-/// the module `board`; what also hangs on the time, before each plan, by [`Candidate::refresh`].
+/// A worker as a candidate for tasks. State that depends only on its runs is rebuilt when one of
+/// them changes, see the module `cache`; state that also depends on the time is updated before each
+/// plan by [`Candidate::refresh`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// This life of the worker.
+    /// Incarnation of the worker.
     pub incarnation: String,
-    /// The agent beside it.
+    /// Agent of the worker.
     pub agent: String,
-    /// Its pool.
+    /// Pool of the worker.
     pub pool: String,
-    /// Its labels.
+    /// Labels of the worker.
     pub labels: BTreeSet<String>,
-    /// All its processors, in thousandths.
+    /// All its processors, in thousandths of a processor.
     pub total_milli_cpu: u32,
-    /// Its room that nothing takes.
+    /// Capacity that no task occupies.
     pub free: Size,
-    /// Room that is kept for tasks that fit nowhere yet and come before those that are placed now.
+    /// Capacity that is reserved for tasks that fit nowhere yet and have precedence over those
+    /// being placed now.
     reservations: Vec<(StepName, Size)>,
-    /// Room of runs that will end by themselves.
+    /// Capacity occupied by runs that end by themselves.
     pub finite_size: Size,
-    /// Processors that nothing uses, filling tasks counted, in thousandths.
+    /// Processors that are expected to be idle after the use of all tasks, best-effort tasks
+    /// included, in thousandths of a processor.
     pub idle_milli_cpu: i64,
-    /// The serving runs there.
+    /// Serving runs on the worker.
     serving_runs: Vec<ServingRun>,
-    /// Serving tasks there, one entry for each image: the target of the first, the highest load.
+    /// Utilization budgets of the serving tasks, one for each image, with the target of its first
+    /// task and its highest load.
     budgets: Vec<Budget>,
-    /// Filling tasks there.
+    /// Best-effort tasks on the worker.
     best_effort_tasks: Vec<BestEffort>,
-    /// Runs there that will end by themselves.
+    /// Number of runs that end by themselves.
     finite_runs: usize,
-    /// How many more runs it may be given that end by themselves.
+    /// How many more runs that end by themselves may be started here.
     pub finite_allowance: usize,
-    /// Tasks that were started there although they were expected to disturb.
+    /// Number of tasks that were started here despite expected interference.
     pub forced: usize,
-    /// It gets nothing at all.
+    /// Whether the worker is in backoff and gets no work.
     pub in_backoff: bool,
-    /// Nothing is started in its data centre.
+    /// Whether its data centre is evacuated, so that nothing may start.
     pub evacuated: bool,
-    /// Suspects that it has, which no run has cleared.
+    /// Number of suspects that have not been cleared.
     pub suspects: usize,
-    /// The job of the suspects that a plan gave it first.
+    /// Job of the first suspect that the current plan assigned.
     suspect_job: Option<u64>,
-    /// One of them has begun and may still take the worker down: nothing else is started there.
+    /// Whether a suspect here has started and may still take the worker down, so that nothing else
+    /// may start.
     closed: bool,
-    /// A plan keeps it for a suspect: nothing else is started there, so that what began last has shown
-    /// itself when the suspect comes.
+    /// Whether the plan holds the worker for a suspect. Nothing else is started, so that the most
+    /// recent starts have shown their effect before the suspect arrives.
     held_for_suspect: bool,
-    /// It was given something just now, which may still take the worker down.
+    /// Whether a task was started here just now that may still take the worker down.
     recently_started: bool,
-    /// How many tasks of each time and step of a job it has.
+    /// Number of tasks for each time and step of a job.
     pub steps: BTreeMap<StepName, u32>,
-    /// A plan gave it something or keeps room there: it is no longer what its runs make it.
+    /// Whether the current plan assigned a task or reserved capacity here. The state then no longer
+    /// follows from the runs alone.
     pub planned: bool,
 }
 
 impl Candidate {
-    /// A worker on which nothing runs, and that is sound.
+    /// Creates the candidate of a healthy worker without runs.
     pub fn new(incarnation: &str, worker: &Worker) -> Candidate {
         Candidate {
             incarnation: incarnation.to_owned(),
@@ -122,12 +128,12 @@
         }
     }
 
-    /// A run for it.
+    /// Returns the start of a run on this worker.
     pub fn start(&self, run: RunName) -> Start {
         Start { run, worker: self.incarnation.clone(), agent: self.agent.clone() }
     }
 
-    /// Adds a run that is placed there, of a job that goes on or not.
+    /// Adds a run that is placed here. `job_active` tells whether its job has not ended.
     pub fn add(
         &mut self,
         run: RunName,
@@ -141,14 +147,15 @@
         self.occupy(run.task, step);
     }
 
-    /// Adds that a run placed there is of a suspect, with which the worker has lived on for so long.
+    /// Adds that a placed run is a suspect that the worker has survived for that long, in
+    /// milliseconds.
     pub fn add_suspect(&mut self, suspicion: &Suspicion, survived_ms: Span) {
         self.suspects += 1;
         self.closed |= survived_ms < suspicion.apart_ms();
     }
 
-    /// Brings up to date what changes with time and with what is learned elsewhere. `begun` tells when the
-    /// worker was last given something.
+    /// Updates what depends on the time and on state outside of this worker. `last_start` is when a
+    /// task was last assigned to the worker.
     pub fn refresh(
         &mut self,
         now: Millis,
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Gives it a task of an image.
+    /// Assigns a task of an image.
     pub fn assign(
         &mut self,
         task: TaskName,
@@ -192,25 +199,26 @@
         self.occupy(task, step);
     }
 
-    /// Gives it a suspect, in whose company nothing else begins.
+    /// Marks the assigned task as a suspect. Nothing else may start next to it.
     pub fn assign_suspect(&mut self, job: u64) {
         self.suspects += 1;
         self.closed = true;
         self.suspect_job.get_or_insert(job);
     }
 
-    /// Keeps it for a suspect.
+    /// Holds the worker for a suspect.
     pub fn hold_for_suspect(&mut self) {
         self.planned = true;
         self.held_for_suspect = true;
     }
 
-    /// Whether it is kept from other work by a suspect.
+    /// Returns whether a suspect keeps other work from this worker.
     pub fn closed(&self) -> bool {
         self.closed || self.held_for_suspect
     }
 
-    /// Whether suspects of a job would be alone there with what has worked well for a while.
+    /// Returns whether suspects of a job would run here only with tasks that have run well for a
+    /// while.
     pub fn isolates(&self, job: u64) -> bool {
         let quiet = self.suspects == 0
             && !self.recently_started
@@ -218,13 +226,13 @@
         quiet || self.has_suspects_of(job)
     }
 
-    /// Whether a plan gave it suspects of that job, and none of others before.
+    /// Returns whether the plan assigned suspects of that job here, and none of other jobs before.
     pub fn has_suspects_of(&self, job: u64) -> bool {
         self.suspect_job == Some(job)
     }
 
-    /// Whether a task may run there but for what a suspect keeps it from; if `bold`, also for what serving
-    /// tasks are expected to use.
+    /// Returns whether a task may run here, apart from restrictions due to suspects. With
+    /// `tolerate_interference` the expected use of serving tasks is ignored as well.
     pub fn could_isolate(
         &self,
         pool: &str,
@@ -240,12 +248,12 @@
             && !busy
     }
 
-    /// How many runs would be lost with it.
+    /// Returns how many runs would be lost with this worker.
     pub fn runs_at_risk(&self) -> u32 {
         self.steps.values().sum()
     }
 
-    /// Takes room for a task.
+    /// Occupies capacity for a task.
     fn occupy(&mut self, task: TaskName, step: &Step) {
         self.free = minus(self.free, step.size());
         self.idle_milli_cpu -= expected_use(step);
@@ -255,7 +263,7 @@
         *self.steps.entry(task.into()).or_default() += 1;
     }
 
-    /// Adds a serving task, the highest load of each image counting.
+    /// Adds a serving task. For each image, the highest load counts.
     fn add_serving(&mut self, serving: ServingLoad, interference: &Interference) {
         let same_image = |budget: &&mut Budget| budget.serving.image == serving.image;
         match self.budgets.iter_mut().find(same_image) {
@@ -264,13 +272,13 @@
         }
     }
 
-    /// Whether a task may run there now, whatever it does to the serving tasks there.
+    /// Returns whether a task may run here now, regardless of interference with serving tasks.
     pub fn fits(&self, pool: &str, task: TaskName, step: &Step) -> bool {
         self.obstacle(pool, task, step).is_none()
     }
 
-    /// What keeps a task from running there now, the most lasting reason first; none if nothing but
-    /// harm does.
+    /// Returns the most persistent reason why a task cannot run here now; `None` if at most
+    /// interference prevents it.
     pub fn obstacle(&self, pool: &str, task: TaskName, step: &Step) -> Option<Obstacle> {
         if !self.eligible(pool, task, step, 0) {
             Some(Obstacle::Unsuitable)
@@ -289,8 +297,8 @@
         }
     }
 
-    /// Whether a task has room there, and nothing but beliefs that may be wrong keeps it away: harm,
-    /// what serving tasks use, and those that `overlooked` names.
+    /// Returns whether the task fits here and only estimates that may be wrong prevent it:
+    /// interference, the expected use of serving tasks, and the obstacles in `ignored`.
     pub fn admits(&self, pool: &str, task: TaskName, step: &Step, ignored: &[Obstacle]) -> bool {
         let ignores = |obstacle| ignored.contains(&obstacle);
         let free = if ignores(Obstacle::Reserved) { self.free } else { self.unreserved(task) };
@@ -299,13 +307,13 @@
         self.may_start(pool, task, step) && available && step.size().fits(free)
     }
 
-    /// Why the worker is not taken for sound; none if it is. A lasting task tells nothing about a
-    /// worker's health for long, so it is no probe.
+    /// Returns why the worker is not considered healthy; `None` if it is. A long-running task
+    /// reveals nothing about the health of a worker for a long time, so it is no probe.
     fn exclusion_for(&self, step: &Step) -> Option<Obstacle> {
         if self.closed() { Some(Obstacle::Suspect) } else { self.unhealthy_for(step) }
     }
 
-    /// Why the worker is taken for sick; none if it is not.
+    /// Returns why the worker is considered unhealthy; `None` if it is not.
     fn unhealthy_for(&self, step: &Step) -> Option<Obstacle> {
         if self.in_backoff {
             Some(Obstacle::Backoff)
@@ -316,17 +324,19 @@
         }
     }
 
-    /// Whether a task may be started there, now or later.
+    /// Returns whether a task may be started here, now or later.
     fn may_start(&self, pool: &str, task: TaskName, step: &Step) -> bool {
         self.may_start_with(pool, task, step, 0)
     }
 
-    /// Whether a task may be started there, now or later, beside so many more of its step.
+    /// Returns whether a task may be started here, now or later, in addition to `more` tasks of its
+    /// step.
     fn may_start_with(&self, pool: &str, task: TaskName, step: &Step, more: u32) -> bool {
         !self.evacuated && self.eligible(pool, task, step, more)
     }
 
-    /// Whether the worker is of a kind that may run a task, beside so many more of its step.
+    /// Returns whether the worker matches the requirements of a task, in addition to `more` tasks
+    /// of its step.
     fn eligible(&self, pool: &str, task: TaskName, step: &Step, more: u32) -> bool {
         let count = || self.steps.get(&task.into()).copied().unwrap_or(0) + more;
         let below_limit = step.most_per_worker == 0 || count() < step.most_per_worker;
@@ -334,41 +344,43 @@
         self.pool == pool && below_limit && labelled
     }
 
-    /// The room that is neither taken nor kept for other steps than that of a task.
+    /// Returns the capacity that is neither occupied nor reserved for other steps.
     fn unreserved(&self, task: TaskName) -> Size {
         let own = StepName::from(task);
         let others = self.reservations.iter().filter(|(step, _)| *step != own);
         others.fold(self.free, |free, (_, size)| minus(free, *size))
     }
 
-    /// The room that all kept room leaves, with that of runs that will end by themselves.
+    /// Returns the capacity that can still be reserved, including that of runs that end by
+    /// themselves.
     fn reservable(&self) -> Size {
         let capacity = self.free.plus(self.finite_size);
         self.reservations.iter().fold(capacity, |capacity, (_, size)| minus(capacity, *size))
     }
 
-    /// Processors that are neither taken nor kept, in thousandths.
+    /// Returns the processors that are neither occupied nor reserved, in thousandths of a
+    /// processor.
     pub fn unreserved_milli_cpu(&self) -> i64 {
         let reserved: i64 =
             self.reservations.iter().map(|(_, size)| i64::from(size.milli_cpu)).sum();
         i64::from(self.free.milli_cpu) - reserved
     }
 
-    /// Whether a task will fit there once what runs there for a while has ended.
+    /// Returns whether a task will fit here once the runs that end by themselves have ended.
     pub fn could_reserve(&self, pool: &str, task: TaskName, step: &Step) -> bool {
         let own = StepName::from(task);
         let reserved = self.reservations.iter().filter(|(step, _)| *step == own).count() as u32;
         self.may_start_with(pool, task, step, reserved) && step.size().fits(self.reservable())
     }
 
-    /// Keeps room for a task, so that later ones of other steps do not take it bit by bit.
+    /// Reserves capacity for a task, so that later tasks of other steps do not use it up gradually.
     pub fn reserve(&mut self, task: TaskName, step: &Step) {
         self.planned = true;
         self.reservations.push((task.into(), step.size()));
     }
 
-    /// How well a task stands here, as nearness to its data, then what its kind depends on; higher
-    /// is better.
+    /// Scores the placement of a task, first by proximity to its data, then by criteria that depend
+    /// on the kind of task; higher is better.
     pub fn score(
         &self,
         step: &Step,
@@ -388,9 +400,9 @@
         (near_data, has_idle, self.idle_milli_cpu)
     }
 
-    /// How well a serving task stands here; higher is better. Serving tasks stand together, away
-    /// from what would disturb them, and with those of their own image: the fewer images a worker
-    /// serves, the more filling images disturb none of them.
+    /// Scores the placement of a serving task; higher is better. Serving tasks are placed together,
+    /// away from interfering tasks, and with those of their own image: the fewer images a worker
+    /// serves, the more best-effort images interfere with none of them.
     fn serving_score(&self, serving: &ServingLoad, interference: &Interference) -> i64 {
         let excess =
             interference.excess(std::slice::from_ref(serving), &self.best_effort_tasks).max(0.0);
@@ -403,44 +415,46 @@
             - OVERLOAD_PENALTY * tenths(excess)
     }
 
-    /// Whether the serving tasks here would keep their targets beside one more filling task.
+    /// Returns whether the serving tasks here would meet their targets with one more best-effort
+    /// task.
     pub fn tolerates(&self, step: &Step, impact: &Impact) -> bool {
         !self.may_interfere(step) || impact.tolerable(&self.budgets, self.share(step))
     }
 
-    /// By how much the pressure on serving tasks here would exceed what their targets allow beside
+    /// Returns by how much the utilization of serving tasks here would exceed their targets with
     /// one more task.
     pub fn excess_with(&self, step: &Step, impact: &Impact) -> f64 {
-        // A task that does not fill adds nothing.
+        // Only best-effort tasks add utilization.
         let share = if step.fills { self.share(step) } else { 0.0 };
         impact.excess(&self.budgets, share)
     }
 
-    /// Whether a task fills, and there are serving ones that it could disturb.
+    /// Returns whether the task is best-effort and there are serving tasks that it could interfere
+    /// with.
     fn may_interfere(&self, step: &Step) -> bool {
         step.fills && !self.budgets.is_empty()
     }
 
-    /// The share of the processors here that a task asks for.
+    /// Returns the share of this worker's processors that a task requests.
     fn share(&self, step: &Step) -> f64 {
         share(step.milli_cpu, self.total_milli_cpu)
     }
 }
 
-/// Candidates as they were before they were given tasks that need a place all together. (To copy all of
-/// 1,200 candidates for each gang takes 2.5 ms.)
+/// Candidates as they were before a plan assigned them tasks that must be placed together. Only
+/// changed candidates are saved: copying all of 1,200 candidates for each gang takes 2.5 ms.
 #[derive(Default)]
 pub struct Undo {
     before: Vec<(usize, Candidate)>,
 }
 
 impl Undo {
-    /// The candidate at that place is about to be given a task.
+    /// Saves the candidate at that index before it is assigned a task.
     pub fn record(&mut self, index: usize, candidates: &[Candidate]) {
         self.before.push((index, candidates[index].clone()));
     }
 
-    /// Makes all candidates what they were, the last change first.
+    /// Restores all candidates, the last change first.
     pub fn restore(self, candidates: &mut [Candidate]) {
         for (index, before) in self.before.into_iter().rev() {
             candidates[index] = before;
@@ -448,17 +462,17 @@
     }
 }
 
-/// A share in tenths, so that small differences do not decide.
+/// Converts a share to whole tenths, so that small differences do not matter.
 fn tenths(share: f64) -> i64 {
     (share * 10.0) as i64
 }
 
-/// A share in hundredths.
+/// Converts a share to whole hundredths.
 fn hundredths(share: f64) -> i64 {
     (share * 100.0) as i64
 }
 
-/// The processors that a task uses when it is busy, in thousandths.
+/// Returns the processors that a busy task uses, in thousandths of a processor.
 fn expected_use(step: &Step) -> i64 {
     let requested = i64::from(step.milli_cpu);
     if step.serves() { requested * SERVING_USE_PERCENT / 100 } else { requested }
--- a/crates/pond-job/src/lead/capacity.rs
+++ b/crates/pond-job/src/lead/capacity.rs
@@ -1,8 +1,9 @@
-//! Takes back what was given to a worker and does not fit there any more.
+//! Withdrawal of runs that no longer fit on their worker.
 //!
-//! A worker's room may shrink while it runs. What runs stays: stopping it would throw its work away, and a
-//! worker that has less for a while gets on more slowly. What has not begun is taken back before its order,
-//! or by a stop that overtakes it, as a worker that does not guard its room would start it.
+//! The capacity of a worker may shrink while it runs. Started runs stay: stopping them would
+//! discard their work, and a worker with temporarily less capacity is only slower. Runs that have
+//! not started are withdrawn before their order, or by a stop that overtakes it, since a worker
+//! that does not enforce its capacity would start them.
 
 use pond_proto::Size;
 use pond_proto::job::RunName;
@@ -11,7 +12,8 @@
 use crate::state::State;
 
 impl Leader {
-    /// Takes back runs that have not begun on a life, the newest tasks first, until the rest fits.
+    /// Withdraws runs that have not started on an incarnation, the newest tasks first, until the
+    /// rest fits.
     pub(super) fn withdraw_excess(&mut self, state: &State, incarnation: &str) {
         let Some(worker) = self.workers.get(incarnation) else { return };
         let size = |run: RunName| state.step(run.task).map(|step| step.size());
--- a/crates/pond-job/src/lead/duration.rs
+++ b/crates/pond-job/src/lead/duration.rs
@@ -1,10 +1,11 @@
-//! How long tasks take, and how much work jobs are: what their owners estimate, corrected by what earlier tasks of
-//! the queue took.
+//! Expected durations of tasks and amounts of work of jobs: the owners' estimates, corrected by the
+//! durations of earlier tasks of the queue.
 //!
-//! Owners' estimates are off by factors that differ by queue and by job. A line through what earlier tasks took, over
-//! their estimates, both as logarithms, tells by how much estimates of a queue are off and how far they are to be
-//! believed at all: where they tell nothing, all tasks of a queue are expected to take what they usually do. Nothing of
-//! it is replicated: a new leader believes the estimates, and knows as much as the former one after some seconds.
+//! Owners' estimates are wrong by factors that differ by queue and by job. A regression line of the
+//! logarithms of durations over those of estimates shows by how much the estimates of a queue are
+//! wrong and how much weight they deserve. If they carry no information, all tasks of a queue are
+//! expected to have its usual duration. Nothing of this is replicated: a new leader starts with the
+//! owners' estimates and knows as much as its predecessor after a few seconds.
 
 use std::collections::BTreeMap;
 
@@ -14,32 +15,34 @@
 use crate::job::{Job, Task};
 use crate::state::State;
 
-/// Estimates are believed as if so many steps had taken just what was estimated: few against the dozens that end in
-/// ten seconds. Measured only as it is.
+/// Weight of the owners' estimates, as a number of steps whose durations matched them exactly. It
+/// is small compared with the dozens of steps that end in ten seconds.
 const PRIOR_STEPS: f64 = 4.0;
 
-/// The deviation of the logarithms of these estimates: tasks of a queue differ by factors of one and a half.
+/// Standard deviation of the logarithms of these prior estimates: tasks of a queue differ by
+/// factors of one and a half.
 const PRIOR_DEVIATION: f64 = 0.5;
 
-/// Of what earlier steps and jobs tell, so much is left after another one: the last hundred count, those of a minute
-/// or two.
+/// Weight that earlier steps and jobs keep after each new one. The last hundred count, which are
+/// those of one or two minutes.
 const DECAY: f64 = 0.99;
 
-/// What tasks of a queue took over their estimates, as weighted sums over steps.
+/// Regression of the durations of a queue's tasks over their estimates, as weighted sums over
+/// steps.
 #[derive(Clone, Copy, Debug, Default)]
 struct Line {
     weight: f64,
-    /// Logarithms of estimates.
+    /// Sum of the logarithms of estimates.
     estimate: f64,
-    /// Logarithms of what tasks took over their estimates.
+    /// Sum of the logarithms of durations relative to estimates.
     excess: f64,
     estimate_squared: f64,
-    /// Products of both logarithms.
+    /// Sum of the products of both logarithms.
     product: f64,
 }
 
 impl Line {
-    /// A task of that estimate took so long, both in milliseconds.
+    /// Adds the duration of a task with that estimate, both in milliseconds.
     fn learn(&mut self, estimate: f64, duration: f64, weight: f64) {
         let (x, d) = (estimate.ln(), (duration / estimate).ln());
         let decay = DECAY.powf(weight);
@@ -54,7 +57,7 @@
         }
     }
 
-    /// What a task of that estimate is expected to take, both in milliseconds.
+    /// Returns the expected duration of a task with that estimate, both in milliseconds.
     fn expected(&self, estimate: f64) -> f64 {
         if self.weight <= 0.0 {
             return estimate;
@@ -69,7 +72,7 @@
     }
 }
 
-/// The mean of the last ones.
+/// Weighted mean of the most recent values.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     weight: f64,
@@ -83,31 +86,33 @@
     }
 }
 
-/// What is known of how long tasks take, and how much work jobs are.
+/// Expected durations of tasks, and amounts of work of jobs.
 #[derive(Debug, Default)]
 pub(super) struct Durations {
-    /// By queue.
+    /// Regressions by queue.
     lines: BTreeMap<String, Line>,
-    /// The work of jobs, by queue.
+    /// Work of jobs, by queue.
     jobs: BTreeMap<String, Mean>,
-    /// First runs of tasks that were given to their workers.
+    /// First runs of tasks that were assigned to workers.
     started: BTreeMap<RunName, Started>,
 }
 
-/// The start of a run. What is known of its step is kept, as a job that ends with the run forgets its steps.
+/// Start of a run. The data of its step is copied, because a job that ends with the run drops its
+/// steps.
 #[derive(Clone, Debug)]
 struct Started {
     at: Millis,
     queue: String,
     estimate_ms: Span,
-    /// How many tasks the step has; they are alike, so all together tell as much as a step of one.
+    /// Number of tasks of the step. They are alike, so all of them together have the weight of a
+    /// step with one task.
     tasks: u32,
 }
 
 impl Durations {
-    /// A run is given to a worker.
+    /// Records that a run was assigned to a worker.
     pub fn note_start(&mut self, state: &State, now: Millis, run: RunName) {
-        // Later runs may go on from a save.
+        // Later runs may continue from a checkpoint.
         let job = state.job(run.task.job).filter(|_| run.number == 1);
         let Some((job, step)) = job.and_then(|job| Some((job, job.step(run.task)?))) else {
             return;
@@ -119,7 +124,7 @@
         self.started.insert(run, Started { at: now, queue, estimate_ms, tasks: step.tasks.max(1) });
     }
 
-    /// A run is over; it was done or not.
+    /// Records the end of a run; `done` tells whether it succeeded.
     pub fn note_end(&mut self, now: Millis, run: RunName, done: bool) {
         let Some(started) = self.started.remove(&run).filter(|_| done) else { return };
         let duration = now.since(started.at).max(1) as f64;
@@ -127,23 +132,24 @@
         line.learn(started.estimate_ms as f64, duration, 1.0 / f64::from(started.tasks));
     }
 
-    /// Forgets runs that are placed nowhere.
+    /// Forgets runs that are not placed.
     pub fn forget(&mut self, placed: impl Fn(RunName) -> bool) {
         self.started.retain(|run, _| placed(*run));
     }
 
-    /// A job of so much work was handed in, see [`Durations::work`].
+    /// Records the work of a submitted job, see [`Durations::work`].
     pub fn note_job(&mut self, job: &Job) {
         let work = self.work(job, 0, |_| true);
         self.jobs.entry(job.queue.clone()).or_default().learn(work);
     }
 
-    /// The mean work of the jobs of a queue; none if none was handed in yet.
+    /// Returns the mean work of the jobs of a queue; `None` if none was submitted yet.
     pub fn mean_work(&self, queue: &str) -> Option<f64> {
         self.jobs.get(queue).map(|mean| mean.sum / mean.weight)
     }
 
-    /// The work of the tasks that count at a time of a job, in thousandths of a processor times milliseconds.
+    /// Returns the work of the counted tasks at a time of a job, in thousandths of a processor
+    /// times milliseconds.
     pub fn work(&self, job: &Job, time: usize, counts: impl Fn(&Task) -> bool) -> f64 {
         let steps = job.spec.steps.iter().zip(job.times.get(time).into_iter().flatten());
         let of_step = |(step, tasks): (&Step, &Vec<Task>)| {
@@ -153,7 +159,7 @@
         steps.map(of_step).sum()
     }
 
-    /// What a task of a step of that queue is expected to take, in milliseconds.
+    /// Returns the expected duration of a task of a step in that queue, in milliseconds.
     pub fn expected_ms(&self, queue: &str, step: &Step) -> Span {
         let line = self.lines.get(queue).filter(|_| step.estimate_ms > 0);
         let expected = line.map(|line| line.expected(step.estimate_ms as f64));
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -1,4 +1,4 @@
-//! Brings what has ended into the log: ends that agents report, and workers that are lost.
+//! Proposals of ends to the log: ends that agents report, and losses of workers.
 
 use std::collections::BTreeSet;
 
@@ -13,37 +13,37 @@
 use crate::state::State;
 use crate::suspicion::Blame;
 
-/// The loss of a worker that is proposed.
+/// The proposed loss of a worker.
 #[derive(Clone, Debug)]
 pub(super) struct Loss {
     /// When it was last proposed.
     proposed_at: Millis,
     kind: LossKind,
-    /// When the worker was last known to live.
+    /// When the worker was last known to be alive.
     last_alive: Millis,
-    /// The runs that had their place there.
+    /// The runs that were placed there.
     runs: Vec<LostRun>,
     blame: Vec<Blame>,
 }
 
-/// What was known at last of a run on a lost life.
+/// The last known state of a run on a lost incarnation.
 #[derive(Clone, Debug)]
 pub(super) struct LostRun {
     pub run: RunName,
-    /// For how long the worker was known to have lived on with the run, in milliseconds; none if no
-    /// call to start it can have reached the worker.
+    /// How long the worker was known to have survived the run, in milliseconds; `None` if no call
+    /// to start it can have reached the worker.
     pub survived_ms: Option<Span>,
-    /// Something was told of the run by its agent.
+    /// Whether the agent reported on the run.
     pub reported: bool,
-    /// The worker was known to live when the run was started there.
+    /// Whether the worker was known to be alive when the run was started there.
     pub alive_at_start: bool,
-    /// The run is known to have begun.
+    /// Whether the run is known to have started.
     started: bool,
     checkpoint: String,
 }
 
 impl Leader {
-    /// An agent has one worker at a time: a new life ends those before it.
+    /// Retires all former incarnations of an agent's worker, as an agent has one worker at a time.
     pub(super) fn replace_former_incarnations(
         &mut self,
         state: &State,
@@ -55,7 +55,7 @@
             worker.agent == agent && other.as_str() != incarnation
         };
         let known = self.workers.iter().filter(former).map(|(other, _)| other.as_str());
-        // A leader that has just come to lead knows former lives only from the log.
+        // A new leader knows former incarnations only from the log.
         let logged = state.lives_beside(agent).filter(|other| *other != incarnation);
         let former: BTreeSet<String> = known.chain(logged).map(str::to_owned).collect();
         for other in former {
@@ -63,8 +63,9 @@
         }
     }
 
-    /// When the clock of the life after this one last went on, if that one has what is placed on this one: a worker that
-    /// starts again under its id may be reached by starts that were meant for it before.
+    /// Returns when the clock of a later incarnation last advanced, if that one has runs that are
+    /// placed on this one. A worker that restarts under its id may receive starts that were meant
+    /// for its predecessor.
     fn successor_clock(&self, state: &State, incarnation: &str) -> Option<Millis> {
         let agent = self.agent_of(state, incarnation);
         let successor = |(other, worker): &(&String, &Worker)| {
@@ -75,8 +76,9 @@
         self.workers.iter().filter(successor).map(|(_, worker)| worker.clock_advanced_at).max()
     }
 
-    /// A life of a worker is over, so nothing of it runs, unless a later one has taken it on; that one is told to stop it
-    /// first. Its agent may have told of its end.
+    /// Retires an incarnation that has ended, so that none of its runs is running unless a later
+    /// incarnation has taken it over, which is ordered to stop it first. The agent may have
+    /// reported the end.
     pub(super) fn retire(
         &mut self,
         state: &State,
@@ -89,7 +91,7 @@
             self.last_reports.extend(end.map(|end| (incarnation.to_owned(), end.clone())));
             return;
         }
-        // Nobody else knows the ends that were told then.
+        // No other report contains the ends that it listed.
         let last_report = self.last_reports.remove(incarnation);
         let end = end.or(last_report.as_ref());
         let left = end.is_some_and(|end| end.left)
@@ -106,8 +108,9 @@
         }
     }
 
-    /// Proposes the ends of a life that is over, before its loss is: a run that has ended is not lost. Once is enough, as
-    /// proposals vanish only with their leader; after the loss they would count again.
+    /// Proposes the ends of an incarnation before its loss, since a run that has ended is not lost.
+    /// They are proposed only once: proposals are lost only with their leader, and after the loss
+    /// they would count again.
     fn propose_last_ends(&mut self, state: &State, incarnation: &str, end: Option<&Report>) {
         let Some(end) = end.filter(|_| !self.proposed_losses.contains_key(incarnation)) else {
             return;
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Gives up workers whose lease has surely run out.
+    /// Gives up workers whose lease has certainly expired.
     pub(super) fn expire_leases(&mut self, state: &State, now: Millis) {
         let lease_expiry_ms = self.timing.lease_expiry_ms();
         let clock_advanced_at = |incarnation: &str| {
@@ -127,7 +130,7 @@
                 .get(incarnation)
                 .map_or(self.leading_since, |worker| worker.clock_advanced_at)
         };
-        // What runs on goes by the lease of the life that runs it.
+        // A run that was taken over depends on the lease of the incarnation that runs it.
         let runs_on = |incarnation: &str| {
             let successor_clock = self.successor_clock(state, incarnation);
             successor_clock
@@ -144,8 +147,8 @@
         for incarnation in silent {
             self.propose_lost(state, now, &incarnation, LossKind::Silent, None);
         }
-        // Once proposed, a loss must come into the log, though the worker may report again: it gets
-        // no order until then. A proposal that is lost on its way is made again.
+        // A proposed loss must be committed even if the worker reports again, as it gets no orders
+        // until then. A proposal that gets lost is made again.
         let proposed: Vec<(String, LossKind)> = self
             .proposed_losses
             .iter()
@@ -161,7 +164,8 @@
         self.last_reports.retain(|incarnation, _| state.placed(incarnation).next().is_some());
     }
 
-    /// Proposes that nothing of a life runs any more, with the newest known saves of what ran there.
+    /// Proposes that no run of an incarnation is running any more, with the newest known
+    /// checkpoints of its runs.
     fn propose_lost(
         &mut self,
         state: &State,
@@ -174,7 +178,7 @@
         if earlier.is_some_and(|earlier| now.since(earlier.proposed_at) < PROPOSAL_RETRY_MS) {
             return;
         }
-        // What is known at first stays: later only the life's name is.
+        // The first findings are kept: on a repetition only the name of the incarnation is known.
         let lost = earlier.map(|earlier| earlier.runs.clone());
         let lost = lost.unwrap_or_else(|| self.lost_runs(state, incarnation, end));
         let known_kind =
@@ -208,8 +212,8 @@
         self.outputs.push(Output::Propose(Change::WorkerLost { worker, saves, over, blame }));
     }
 
-    /// A loss is in the log: the jobs of its runs have stood still since the worker was last known to live, unless
-    /// others of their runs go on.
+    /// Handles a committed loss: the jobs of its runs have been starved since the worker was last
+    /// known to be alive, unless other runs of theirs continue.
     pub(super) fn note_lost(&mut self, state: &State, now: Millis, incarnation: &str) {
         let Some(loss) = self.proposed_losses.remove(incarnation) else { return };
         let jobs: BTreeSet<u64> = loss.runs.iter().map(|lost| lost.run.task.job).collect();
@@ -220,14 +224,14 @@
         }
     }
 
-    /// The agent beside a life; empty if it is not known any more.
+    /// Returns the agent of an incarnation; empty if it is no longer known.
     fn agent_of(&self, state: &State, incarnation: &str) -> String {
         let known = self.workers.get(incarnation).map(|worker| worker.agent.as_str());
         known.or(state.agent_beside(incarnation)).unwrap_or_default().to_owned()
     }
 
-    /// What is known of the runs that have their place on a life. What its agent told once it was over
-    /// goes first: it knows which starts it had called.
+    /// Returns the last known state of the runs placed on an incarnation. The final report of the
+    /// agent has precedence, as the agent knows which starts it had called.
     fn lost_runs(&self, state: &State, incarnation: &str, end: Option<&Report>) -> Vec<LostRun> {
         let known = self.workers.get(incarnation).map(|worker| &worker.rows);
         let row_of = |run: RunName| match end {
@@ -236,8 +240,9 @@
         };
         let lost = |run: RunName| match row_of(run) {
             Some(row) => {
-                // Only the agent of that time can tell what it had called at last: what was not sent by a
-                // former report may have been sent since, and have taken the worker down.
+                // Only the agent of that incarnation knows its last calls: a start that was not
+                // sent according to an earlier report may have been sent since and have taken the
+                // worker down.
                 let unsent = row.unsent && end.is_some();
                 let survived_ms = (!unsent).then_some(row.lived_ms.into());
                 let alive_at_start = row.met && end.is_some();
@@ -251,7 +256,8 @@
                     checkpoint: row.save.clone(),
                 }
             }
-            // An agent that told of the end and not of the run never had the order to start it.
+            // If the agent reported the end but not the run, it never received the order to start
+            // it.
             None => {
                 let survived_ms = end.is_none().then_some(0);
                 LostRun {
@@ -269,9 +275,10 @@
         state.placed(incarnation).filter(|run| !ended(run)).map(lost).collect()
     }
 
-    /// Proposes the ends and unstarted runs of a report if some are new, or if the last proposal shows
-    /// no effect. Each proposal holds all that is not settled: were one lost and only what came
-    /// since proposed, the ends in it would be taken for settled with the higher ones.
+    /// Proposes the ends and unstarted runs of a report if some are new or if the last proposal had
+    /// no visible effect. Each proposal contains everything that is not committed: if one were lost
+    /// and only later ends were proposed, the lost ends would count as committed along with the
+    /// higher numbers.
     pub(super) fn propose_ends(
         &mut self,
         state: &State,
@@ -302,7 +309,7 @@
         self.outputs.push(Output::Propose(Change::Ended { worker, ends, unstarted }));
     }
 
-    /// Learns from ends how sound a worker is.
+    /// Updates the health of a worker from ends.
     fn note_ends(
         &mut self,
         state: &State,
@@ -330,7 +337,7 @@
             let withdrawn = self.unwanted.remove(run);
             self.adviser.invalidate(*run, incarnation);
             let job = state.job(run.task.job).filter(|job| !job.phase.ended());
-            // A run that was called back, and one whose ticket may have run out on its way, say nothing
+            // A withdrawn run, and a run whose ticket may have expired on the way, say nothing
             // about the worker.
             if withdrawn || job.is_none_or(|job| job.advice.is_some()) {
                 continue;
@@ -345,7 +352,8 @@
     }
 }
 
-/// The ends of a life that is over, of runs that have their place there, in their order.
+/// Returns the uncommitted ends of an incarnation that has ended, of runs that are placed there,
+/// ordered by number.
 fn last_ends(state: &State, report: &Report) -> Vec<End> {
     let (incarnation, committed) = (report.worker.as_str(), state.settled(&report.worker));
     let placed: BTreeSet<RunName> = state.placed(incarnation).collect();
--- a/crates/pond-job/src/lead/evacuation.rs
+++ b/crates/pond-job/src/lead/evacuation.rs
@@ -1,8 +1,9 @@
-//! Takes back what was given to workers of a data centre that an operator evacuates, and has not begun.
+//! Withdrawal of runs that have not started on workers of an evacuated data centre.
 //!
-//! What runs there goes on to its end: a move would throw away the work since its last save, and a lasting task
-//! that is moved is away for as long as its start takes, which its owner bears of so many only. Nothing of a step is started there, so
-//! what comes free is made up for elsewhere.
+//! Started runs continue to their end: a move would discard the work since the last checkpoint, and
+//! a moved long-running task is unavailable while it starts, which its owner tolerates only for a
+//! limited number of them. No task is started in an evacuated data centre, so freed capacity is
+//! replaced elsewhere.
 
 use std::collections::BTreeSet;
 
@@ -13,14 +14,14 @@
 use crate::state::State;
 
 impl Leader {
-    /// The lives of workers in a data centre.
+    /// Returns the incarnations of workers in a data centre.
     pub(super) fn incarnations_in(&self, data_centre: &str) -> Vec<String> {
         let there = |(_, worker): &(&String, &Worker)| worker.data_centre == data_centre;
         self.workers.iter().filter(there).map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
-    /// Takes back what has not begun on a life, if its data centre is evacuated. With a member of a gang all of
-    /// it is taken back, as the others would wait for it in vain.
+    /// Withdraws runs that have not started on an incarnation if its data centre is evacuated. If
+    /// one task of a gang is withdrawn, all are, as the others would wait for it in vain.
     pub(super) fn withdraw_evacuated(&mut self, state: &State, incarnation: &str) {
         let Some(worker) = self.workers.get(incarnation) else { return };
         if !state.is_evacuated(&worker.data_centre) {
@@ -42,8 +43,9 @@
     }
 }
 
-/// Whether a placed run has surely not begun: its worker answers and does not list it, or its agent tells of
-/// it as ordered only. An agent that has just started may not know yet what runs beside it.
+/// Returns whether a placed run has certainly not started: its worker is responsive and does not
+/// list it, or its agent reports it as ordered only. An agent that has just started may not know
+/// yet what runs on its worker.
 fn not_started(worker: &Worker, run: RunName) -> bool {
     match worker.rows.get(&run) {
         Some(row) => row.unlisted,
@@ -51,7 +53,7 @@
     }
 }
 
-/// The placed runs of the gang that a run belongs to; none if it is of no gang.
+/// Returns the placed runs of the gang that a run belongs to; empty if it is not part of a gang.
 fn gang_of(state: &State, run: RunName) -> Vec<RunName> {
     let Some(job) = state.job(run.task.job) else { return Vec::new() };
     if !job.step(run.task).is_some_and(|step| step.gang) {
--- a/crates/pond-job/src/lead/evict.rs
+++ b/crates/pond-job/src/lead/evict.rs
@@ -1,4 +1,4 @@
-//! Moves filling runs away from serving ones that they disturb.
+//! Eviction of best-effort runs that interfere with serving runs.
 
 use pond_proto::Millis;
 use pond_proto::fleet::Report;
@@ -8,17 +8,19 @@
 use super::{Decision, Leader, Output};
 use crate::state::State;
 
-/// From this part of its work on, in percent, a run is left to end by itself: a move costs it more
-/// than it spares the others. If it lasts after all, the agent slows it down.
+/// A run that has completed this much of its work, in percent, is left to finish: a move costs it
+/// more than it saves the others. If it takes longer after all, the agent slows it down.
 const NEARLY_DONE_PERCENT: u32 = 50;
 
-/// A task is moved at most so often: what it disturbs after that its agent slows it down for. A move throws away what it
-/// cannot save, so one that is moved wherever it begins would never be done.
+/// Maximum number of moves of a task; after that its agent slows it down where it interferes. A
+/// move discards all work since the last checkpoint, so a task that is moved wherever it starts
+/// would never finish.
 const MAX_MOVES: u32 = 2;
 
 impl Leader {
-    /// Stops the filling runs that are why a serving run beside them will miss its target, so that
-    /// they go on elsewhere. To slow them down would cost them more: a stopped run keeps its save.
+    /// Stops the best-effort runs because of which a serving run on the worker will miss its
+    /// target, so that they continue elsewhere. Slowing them down would cost them more, and a
+    /// stopped run keeps its checkpoint.
     pub(super) fn evict(&mut self, state: &State, now: Millis, incarnation: &str, report: &Report) {
         let (serving, runs, best_effort_tasks) = self.colocated(state, now, report);
         let culprits = self.interference.culprits(&serving, &best_effort_tasks);
@@ -27,7 +29,7 @@
         }
         let excess = self.interference.excess(&serving, &best_effort_tasks);
         for i in culprits {
-            // A run that was tried has waited long enough; its agent slows it down if need be.
+            // A forced run has waited long enough; its agent slows it down if necessary.
             let moves = self.moves.get(&runs[i].task).copied().unwrap_or(0);
             let stays = nearly_done(report, runs[i]) || self.forced.contains(&runs[i]);
             if stays || moves >= MAX_MOVES || !self.unwanted.insert(runs[i]) {
@@ -44,7 +46,8 @@
         }
     }
 
-    /// The serving tasks of a report, and its filling runs that are not moved already.
+    /// Returns the serving tasks of a report, and its best-effort runs that are not being moved
+    /// already.
     fn colocated(
         &mut self,
         state: &State,
@@ -65,7 +68,7 @@
     }
 }
 
-/// Whether a run will be done about as soon as a move would show.
+/// Returns whether a run will be done about as soon as a move would take effect.
 fn nearly_done(report: &Report, run: RunName) -> bool {
     report.runs.iter().any(|row| row.run == run && row.percent >= NEARLY_DONE_PERCENT)
 }
--- a/crates/pond-job/src/lead/health.rs
+++ b/crates/pond-job/src/lead/health.rs
@@ -1,23 +1,23 @@
-//! Judges from the ends of runs whether a worker is sound.
+//! Health of workers, judged by the ends of their runs.
 
 use std::collections::BTreeSet;
 
 use pond_proto::{Millis, Span};
 
-/// Jobs that must fail on a worker, with nothing done between, before it rests: one job alone may
-/// fail through its own fault.
+/// Number of jobs that must fail on a worker, without a success in between, before its backoff. A
+/// single job may fail through its own fault.
 const MIN_FAILED_JOBS: usize = 2;
 
-/// Failures further apart than this are not taken together, in milliseconds.
+/// Failures further apart than this are not counted together, in milliseconds.
 const FAILURE_WINDOW_MS: Span = 6_000;
 
-/// The first rest, in milliseconds; each further one is twice as long.
+/// Duration of the first backoff, in milliseconds; each further one is twice as long.
 const FIRST_BACKOFF_MS: Span = 2_000;
 
-/// The longest rest, in milliseconds.
+/// Duration of the longest backoff, in milliseconds.
 const MAX_BACKOFF_MS: Span = 8_000;
 
-/// How sound a worker is.
+/// Health of a worker.
 #[derive(Debug, Default)]
 pub struct Health {
     failed_jobs: BTreeSet<u64>,
@@ -28,14 +28,14 @@
 }
 
 impl Health {
-    /// A run was done.
+    /// Records a successful run.
     pub fn record_success(&mut self) {
         self.failed_jobs.clear();
         self.backoff_ms = 0;
         self.probing = false;
     }
 
-    /// A run of that job failed, stalled or did not start.
+    /// Records that a run of that job failed, stalled or did not start.
     pub fn record_failure(&mut self, now: Millis, job: u64) {
         if now.since(self.last_failure) > FAILURE_WINDOW_MS {
             self.failed_jobs.clear();
@@ -44,7 +44,8 @@
         self.failed_jobs.insert(job);
     }
 
-    /// Lets the worker rest if it looks sick; for how long, if that is new.
+    /// Starts a backoff if the worker appears unhealthy. Returns its duration in milliseconds if it
+    /// is new.
     pub fn back_off(&mut self, now: Millis) -> Option<Span> {
         let unhealthy = self.failed_jobs.len() >= MIN_FAILED_JOBS
             || (self.probing && !self.failed_jobs.is_empty());
@@ -58,13 +59,13 @@
         Some(self.backoff_ms)
     }
 
-    /// Whether the worker gets nothing at all.
+    /// Returns whether the worker gets no work.
     pub fn in_backoff(&self, now: Millis) -> bool {
         now < self.backoff_until
     }
 
-    /// How many more runs the worker may be given, if it has `passing` runs that end by themselves:
-    /// after a rest one at a time, until one is done.
+    /// Returns how many more runs that end by themselves the worker may be given if it has
+    /// `finite_runs` of them. After a backoff it is probed with one at a time until one succeeds.
     pub fn allowed_runs(&self, now: Millis, finite_runs: usize) -> usize {
         if self.in_backoff(now) {
             return 0;
--- a/crates/pond-job/src/lead/image.rs
+++ b/crates/pond-job/src/lead/image.rs
@@ -1,19 +1,19 @@
-//! Images as small keys: what is learned of them is looked up by index many times in each plan.
+//! Images as small integer keys: data about them is looked up by index many times in each plan.
 
 use std::collections::BTreeMap;
 
-/// An image.
+/// Key of an image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Image(u32);
 
 impl Image {
-    /// Its place in tables by image.
+    /// Returns the index in tables by image.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// The images that were heard of, by name and by key.
+/// The known images, by name and by key.
 #[derive(Debug, Default)]
 pub struct Images {
     keys: BTreeMap<String, Image>,
@@ -21,7 +21,7 @@
 }
 
 impl Images {
-    /// The key of an image, a new one if it was not heard of.
+    /// Returns the key of an image, and assigns one if the image is new.
     pub fn key(&mut self, name: &str) -> Image {
         if let Some(key) = self.keys.get(name) {
             return *key;
@@ -32,12 +32,12 @@
         key
     }
 
-    /// The name of an image.
+    /// Returns the name of an image.
     pub fn name(&self, image: Image) -> &str {
         &self.names[image.index()]
     }
 
-    /// The name of the image at that place.
+    /// Returns the name of the image with that index.
     pub fn name_at(&self, index: usize) -> &str {
         &self.names[index]
     }
--- a/crates/pond-job/src/lead/interference.rs
+++ b/crates/pond-job/src/lead/interference.rs
@@ -1,4 +1,5 @@
-//! What filling tasks of one image do to serving tasks of another, learned from reports.
+//! Model of how best-effort tasks of one image slow down serving tasks of another, learned from
+//! reports.
 
 use std::collections::BTreeMap;
 
@@ -14,68 +15,71 @@
 use crate::lesson::{self, Lesson};
 use crate::state::State;
 
-/// Filling work is placed only where pressures are expected to stay this far below those at which
-/// targets are missed: loads go up by some hundredths within the second until the next figure.
+/// Best-effort tasks are placed only where the expected utilization stays this far below the
+/// target: loads grow by a few hundredths within the second until the next report.
 const UTILIZATION_MARGIN: f64 = 0.05;
 
-/// A filling task that adds less than this to a pressure is not held back, however high it is
-/// through others: less than the least deviation of a measured pressure.
+/// A best-effort task that adds less than this to a utilization is not held back, however high
+/// others have raised it. It is less than the minimum deviation of a measured utilization.
 const NEGLIGIBLE_UTILIZATION: f64 = 0.02;
 
-/// A filling run that has ended shows in the figures for a while: with each new figure, half of it.
+/// An ended best-effort run affects the figures for a while. With each new figure, this share of
+/// its use remains.
 const USE_DECAY: f64 = 0.5;
 
-/// Pressures over shares of the worker's processors. About half of all pairs of images do not harm
-/// each other, others press with up to five times their share. About two reports a second come from
-/// each worker, but what one image does to another hardly changes: certainty that is kept buys
-/// filling work that is done in time.
+/// Assumed utilizations per share of the worker's processors. About half of all pairs of images do
+/// not interfere; the others add up to five times their share. Each worker sends about two reports
+/// per second, but the effect of one image on another hardly changes. Keeping the certainty lets
+/// more best-effort work finish in time.
 const REGRESSION_TUNING: Tuning = Tuning { mean: 0.8, variance: 2.5, growth: 0.0001 };
 
-/// What is learned, by the image of the serving tasks.
+/// Learned interference, by the image of the serving tasks.
 #[derive(Debug, Default)]
 pub struct Interference {
     images: Images,
-    /// By the place of the image; none of those that do not serve.
+    /// Models by index of the image; `None` for images that do not serve.
     models: Vec<Option<Model>>,
     /// Loads of serving runs.
     loads: BTreeMap<RunName, Load>,
-    /// Shares of processors that filling images used lately, by the life of the worker.
+    /// Shares of processors that best-effort images used recently, by incarnation of the worker.
     best_effort_use: BTreeMap<String, Vec<(Image, f64)>>,
 }
 
-/// Serving tasks of one image beside the filling tasks of a worker. A plan asks many times what one more
-/// filling task would do, so the sum over those that are there is kept.
+/// Utilization budget of the serving tasks of one image on a worker with best-effort tasks. A plan
+/// often asks for the effect of one more best-effort task, so the sum over the present ones is
+/// stored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// The serving tasks.
     pub serving: ServingLoad,
-    /// What the filling tasks there add to the pressure.
+    /// Utilization that the present best-effort tasks add.
     added: f64,
-    /// The pressure at which the target is just kept.
+    /// Utilization at which the target is just met.
     allowed: f64,
 }
 
-/// What one more filling task of an image adds to the pressure on serving ones, over shares of the
-/// worker's processors. A plan looks it up once for each task instead of for each worker.
+/// Utilization that one more best-effort task of an image adds to serving tasks, per share of the
+/// worker's processors. A plan looks it up once for each task instead of once for each worker.
 pub struct Impact {
-    /// By the place of the serving image.
+    /// Coefficients by index of the serving image.
     coefficients: Vec<f64>,
 }
 
 impl Impact {
-    /// What such a task adds to the pressure on some serving tasks, with its share of the processors.
+    /// Returns the utilization that such a task adds to serving tasks, given its share of the
+    /// processors.
     fn added(&self, budget: &Budget, share: f64) -> f64 {
         let index = budget.serving.image.index();
         self.coefficients.get(index).copied().unwrap_or(REGRESSION_TUNING.mean) * share
     }
 
-    /// How much such a task adds to the pressure on serving ones, the worst of them.
+    /// Returns the highest utilization that such a task adds to any of the serving tasks.
     pub fn max_added(&self, budgets: &[Budget], share: f64) -> f64 {
         budgets.iter().map(|budget| self.added(budget, share)).fold(0.0, f64::max)
     }
 
-    /// By how much the pressure on serving tasks is expected to exceed what their targets allow beside
-    /// one more such task, the worst of them.
+    /// Returns by how much one more such task is expected to raise the utilization above the
+    /// target, for the serving tasks that are affected most.
     pub fn excess(&self, budgets: &[Budget], share: f64) -> f64 {
         let excess = |budget: &Budget| {
             budget.serving.load + (budget.added + self.added(budget, share)) - budget.allowed
@@ -83,7 +87,7 @@
         budgets.iter().map(excess).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Whether serving tasks bear one more such task beside those that are there.
+    /// Returns whether the serving tasks tolerate one more such task.
     pub fn tolerable(&self, budgets: &[Budget], share: f64) -> bool {
         budgets.is_empty()
             || self.max_added(budgets, share) <= NEGLIGIBLE_UTILIZATION
@@ -91,7 +95,7 @@
     }
 }
 
-/// A serving run with what is known of its load.
+/// A serving run with its measured load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServingRun {
     image: Image,
@@ -100,23 +104,24 @@
 }
 
 impl ServingRun {
-    /// As it is expected to be then.
+    /// Returns the expected load at that time.
     pub fn at(&self, now: Millis) -> ServingLoad {
         let load = self.load.unwrap_or(Load::new(now)).at(now).0;
         ServingLoad { image: self.image, target_ms: self.target_ms, load }
     }
 }
 
-/// What is known of the serving tasks of an image.
+/// Model of the serving tasks of an image.
 #[derive(Debug)]
 struct Model {
     scale: Scale,
-    /// What filling images add to the pressure, over shares of the worker's processors.
+    /// Utilization that best-effort images add, per share of the worker's processors.
     added: Regression,
 }
 
 impl Interference {
-    /// What was written down, as it is worth now on the operators' clock.
+    /// Restores stored estimates, with uncertainties that account for their age on the operators'
+    /// clock.
     pub fn restore(estimates: &Lesson, wall: Millis) -> Interference {
         let age_ms = wall.since(estimates.at);
         let mut interference = Interference::default();
@@ -130,7 +135,8 @@
         interference
     }
 
-    /// Writes down what may help the next leader. Loads change within seconds and are left out.
+    /// Returns the estimates that help the next leader. Loads change within seconds and are left
+    /// out.
     pub fn estimates(&self, wall: Millis) -> Lesson {
         let image = |model: &Model| -> lesson::Image {
             model.added.estimates(model.scale.idle_ms(), &self.images)
@@ -141,7 +147,7 @@
         Lesson { at: wall, images: images.collect() }
     }
 
-    /// Where what is known of an image stands.
+    /// Returns the slot for the model of an image.
     fn model_slot(&mut self, image: Image) -> &mut Option<Model> {
         let all = self.models.len().max(image.index() + 1);
         self.models.resize_with(all, || None);
@@ -164,8 +170,8 @@
         self.best_effort_use.insert(report.worker.clone(), best_effort_use);
     }
 
-    /// The shares of processors that filling images use, those that have just ended fading; in the
-    /// order of the images.
+    /// Returns the shares of processors that best-effort images use, ordered by image. The use of
+    /// images that have just ended decays.
     fn recent_use(&mut self, state: &State, report: &Report) -> Vec<(Image, f64)> {
         let mut best_effort_use: BTreeMap<Image, f64> = BTreeMap::new();
         for row in report.runs.iter().filter(|row| row.figure > 0) {
@@ -183,7 +189,8 @@
         best_effort_use.into_iter().collect()
     }
 
-    /// Learns from the tail of one serving run, beside which filling images use these shares.
+    /// Learns from the tail latency of one serving run next to best-effort images that use these
+    /// shares.
     fn learn_one(
         &mut self,
         now: Millis,
@@ -217,25 +224,25 @@
         self.loads.insert(row.run, load);
     }
 
-    /// Keeps only what is known of the runs and the lives of workers for which these hold.
+    /// Keeps only data about runs and incarnations for which these functions return true.
     pub fn forget(&mut self, runs: impl Fn(RunName) -> bool, incarnations: impl Fn(&str) -> bool) {
         self.loads.retain(|run, _| runs(*run));
         self.best_effort_use.retain(|incarnation, _| incarnations(incarnation));
     }
 
-    /// A serving run as it is expected to be now; none for other runs.
+    /// Returns the expected load of a serving run now; `None` for other runs.
     pub fn serving(&mut self, now: Millis, run: RunName, step: &Step) -> Option<ServingLoad> {
         let load = self.loads.get(&run).copied();
         Some(self.serving_run(step, load)?.at(now))
     }
 
-    /// A serving task that runs nowhere yet; none for other tasks.
+    /// Returns the expected load of a serving task that is not running yet; `None` for other tasks.
     pub fn new_serving(&mut self, now: Millis, step: &Step) -> Option<ServingLoad> {
         Some(self.serving_run(step, None)?.at(now))
     }
 
-    /// A serving run that is placed; none for other runs. What is known of its load counts while its
-    /// job goes on.
+    /// Returns a placed serving run; `None` for other runs. Its measured load counts only while its
+    /// job is active.
     pub fn placed_run(
         &mut self,
         run: RunName,
@@ -254,7 +261,8 @@
         Some(ServingRun { image, target_ms: step.tail_target_ms, load })
     }
 
-    /// A filling task on a worker with so many thousandths of processors; none for other tasks.
+    /// Returns a best-effort task on a worker with that many thousandths of a processor; `None` for
+    /// other tasks.
     pub fn best_effort(&mut self, step: &Step, total_milli_cpu: u32) -> Option<BestEffort> {
         if !step.fills {
             return None;
@@ -263,13 +271,13 @@
         Some(BestEffort { image, share: share(step.milli_cpu, total_milli_cpu) })
     }
 
-    /// The key of an image.
+    /// Returns the key of an image.
     pub fn image(&mut self, name: &str) -> Image {
         self.images.key(name)
     }
 
-    /// By how much the pressure on serving tasks is expected to exceed what their targets allow,
-    /// the worst of them; negative while they keep their targets.
+    /// Returns by how much the utilization is expected to exceed the target for the serving tasks
+    /// that are affected most; negative while all meet their targets.
     pub fn excess(&self, serving: &[ServingLoad], best_effort_tasks: &[BestEffort]) -> f64 {
         let excess = |serving: &ServingLoad| {
             let added = best_effort_tasks
@@ -281,30 +289,30 @@
         serving.iter().map(excess).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// The pressure at which a target is just kept.
+    /// Returns the utilization at which a target is just met.
     fn allowed(&self, serving: &ServingLoad) -> f64 {
         let scale = self.model(serving.image).map(|model| model.scale);
         scale.unwrap_or(Scale::new(serving.target_ms)).utilization(serving.target_ms)
     }
 
-    /// What a filling image adds to the pressure on a serving one, over shares of the worker's
-    /// processors.
+    /// Returns the utilization that a best-effort image adds to a serving image, per share of the
+    /// worker's processors.
     fn coefficient(&self, serving: Image, best_effort: Image) -> f64 {
         let model = self.model(serving);
         model.map_or(REGRESSION_TUNING.mean, |model| model.added.coefficient(best_effort))
     }
 
-    /// How much one filling task adds to the pressure on one serving task.
+    /// Returns the utilization that one best-effort task adds to one serving task.
     fn added_to(&self, serving: &ServingLoad, best_effort: &BestEffort) -> f64 {
         self.coefficient(serving.image, best_effort.image) * best_effort.share
     }
 
-    /// How much one filling task adds to the pressure on serving ones, the worst of them.
+    /// Returns the highest utilization that one best-effort task adds to any of the serving tasks.
     pub fn added(&self, serving: &[ServingLoad], best_effort: &BestEffort) -> f64 {
         serving.iter().map(|serving| self.added_to(serving, best_effort)).fold(0.0, f64::max)
     }
 
-    /// Serving tasks beside these filling ones.
+    /// Returns the budget of serving tasks next to these best-effort tasks.
     pub fn budget(&self, serving: ServingLoad, best_effort_tasks: &[BestEffort]) -> Budget {
         let added = best_effort_tasks
             .iter()
@@ -314,14 +322,14 @@
         Budget { serving, added, allowed }
     }
 
-    /// One more filling task comes.
+    /// Adds one more best-effort task to the budgets.
     pub fn add_best_effort(&self, budgets: &mut [Budget], more: &BestEffort) {
         for budget in budgets {
             budget.added += self.added_to(&budget.serving, more);
         }
     }
 
-    /// What a filling image adds to the pressure on all serving ones.
+    /// Returns the utilization that a best-effort image adds to each serving image.
     pub fn impact(&self, image: Image) -> Impact {
         let coefficient = |model: &Option<Model>| {
             model.as_ref().map_or(REGRESSION_TUNING.mean, |model| model.added.coefficient(image))
@@ -329,8 +337,8 @@
         Impact { coefficients: self.models.iter().map(coefficient).collect() }
     }
 
-    /// Which filling tasks must go so that the serving ones keep their targets, none if they do;
-    /// the most harmful first, and no more than needed.
+    /// Returns the indices of the best-effort tasks that must go for the serving tasks to meet
+    /// their targets, most harmful first and no more than necessary; empty if the targets are met.
     pub fn culprits(
         &self,
         serving: &[ServingLoad],
@@ -345,15 +353,15 @@
             if serving.is_empty() || self.excess(serving, &remaining) <= limit {
                 return culprits;
             }
-            // Once some must go, those that stay should be as calm as after a placement.
+            // If any must go, those that stay should leave the same margin as a placement.
             limit = -UTILIZATION_MARGIN;
             let Some(worst) = self.most_harmful(serving, &remaining) else { return culprits };
             culprits.push(indices.remove(worst));
         }
     }
 
-    /// The place of the filling task that adds most, the last of equals; none if all add hardly
-    /// anything.
+    /// Returns the index of the best-effort task that adds most, the last one of equals; `None` if
+    /// all add a negligible amount.
     fn most_harmful(
         &self,
         serving: &[ServingLoad],
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -1,9 +1,9 @@
-//! What a leading replica decides about workers and runs.
+//! Decisions of the leading replica about workers and runs.
 //!
-//! A run is ordered only after its start is in the log. An end is settled only after it is in the
-//! log, and only then may the worker forget it. A run whose worker cannot be reached counts as
-//! ended when its lease has surely run out: the lease is extended only in answer to a report, up to
-//! a time counted from the worker's clock in that report.
+//! A run is ordered only after its start is committed to the log. An end counts only once it is
+//! committed, and only then may the worker forget it. A run whose worker cannot be reached counts
+//! as ended once its lease has certainly expired: the lease is extended only in reply to a report,
+//! and its end is computed from the worker's own clock in that report.
 
 mod absent;
 mod advice;
@@ -61,82 +61,82 @@
 pub use obstacle::{Obstacle, Obstacles};
 pub use output::{Decision, LossKind, Output, Timing};
 
-/// Time after which an order that shows no effect is sent again, in milliseconds. A report comes
-/// about every second and after each change.
+/// Time after which an order without visible effect is sent again, in milliseconds. A report
+/// arrives about every second and after each change.
 const ORDER_RETRY_MS: Span = 1_000;
 
-/// Time between looks at what is overdue, in milliseconds: about a tenth of the time between
-/// reports, so that it adds little to any wait.
+/// Interval between checks for overdue work, in milliseconds. It is about a tenth of the report
+/// interval, so it adds little to any wait.
 const CHECK_INTERVAL_MS: Span = 100;
 
-/// Time after which a proposal that shows no effect is made again, in milliseconds: well beyond
-/// a commit with a slow disk.
+/// Time after which a proposal without visible effect is made again, in milliseconds. It is well
+/// above the duration of a commit on a slow disk.
 const PROPOSAL_RETRY_MS: Span = 3_000;
 
-/// Time between entries of the log with what was learned, in milliseconds: a few kilobytes each, and
-/// a new leader learns in about as long as that what is lost.
+/// Interval between log entries that store the estimates, in milliseconds. An entry takes a few
+/// kilobytes, and a new leader relearns what is lost in about the same time.
 const ESTIMATES_INTERVAL_MS: Span = 2_000;
 
-/// Decides for a replica while it leads.
+/// Scheduler of a replica while it leads.
 #[derive(Debug)]
 pub struct Leader {
     term: u64,
-    /// When this replica began to lead.
+    /// When this replica became the leader.
     leading_since: Millis,
     timing: Timing,
-    /// Workers that have reported, by life.
+    /// Workers that have reported, by incarnation.
     workers: BTreeMap<String, Worker>,
-    /// How sound workers are, by agent: it outlasts their lives.
+    /// Health of workers, by agent. It persists across incarnations.
     health: BTreeMap<String, Health>,
-    /// Start proposals on their way, and when the last was made.
+    /// When the pending start proposal was made, if there is one.
     start_proposed_at: Option<Millis>,
-    /// Lives whose loss is proposed. They get no order until it is in the log: a run that starts or
-    /// goes on there would run beside the one that replaces it.
+    /// Incarnations whose loss is proposed. They get no orders until the loss is committed: a run
+    /// that starts or continues there would run in parallel with its replacement.
     proposed_losses: BTreeMap<String, Loss>,
-    /// What was told last of lives that are over, while a later one still has runs of theirs.
+    /// Last reports of incarnations that have ended while a later one still has their runs.
     last_reports: BTreeMap<String, Report>,
-    /// When workers were lost, and what was cleared of it.
+    /// When workers were lost, and which tasks are being cleared.
     losses: Losses,
-    /// When a start was last applied for a life.
+    /// When a start was last applied for an incarnation.
     last_starts: BTreeMap<String, Millis>,
-    /// Runs that are stopped to run elsewhere.
+    /// Runs to stop so that they run elsewhere.
     unwanted: BTreeSet<RunName>,
-    /// Runs that were started although they were expected to disturb.
+    /// Runs that were started despite expected interference.
     forced: BTreeSet<RunName>,
-    /// How often tasks were moved away from serving ones.
+    /// How often each task was moved away from serving tasks.
     moves: BTreeMap<TaskName, u32>,
     /// Workers on which a run of the task failed or stalled.
     avoided: BTreeMap<TaskName, BTreeSet<String>>,
-    /// What filling tasks do to serving ones.
+    /// Interference of best-effort tasks with serving tasks.
     interference: Interference,
-    /// How long tasks take.
+    /// Expected durations of tasks.
     durations: Durations,
-    /// Which workers may run the steps of some queues.
+    /// Which workers may run the steps of queues with an adviser.
     adviser: Adviser,
-    /// Since when serving tasks wait to be placed.
+    /// Since when serving tasks have been waiting for placement.
     batching_since: Option<Millis>,
-    /// Jobs of which tasks could not be placed in the last plan.
+    /// Jobs with tasks that could not be placed in the last plan.
     waits: BTreeMap<u64, Wait>,
-    /// Runs that are placed and that their workers have not listed.
+    /// Placed runs that their workers have not listed.
     absent: BTreeMap<RunName, Absence>,
-    /// Lives whose agents may need an order.
+    /// Incarnations whose agents may need an order.
     dirty: BTreeSet<String>,
-    /// Lives of which a placed run may not be listed, or may have to stop; all others are settled. Looks
-    /// at what is due walk these alone.
+    /// Incarnations with a placed run that may not be listed or may have to stop. All others are
+    /// reconciled, and periodic checks skip them.
     unreconciled: BTreeSet<String>,
-    /// Candidates that are kept from plan to plan.
+    /// Candidates that are reused from plan to plan.
     cache: Cache,
-    /// When this replica last looked at what is overdue.
+    /// When overdue work was last checked.
     checked_at: Millis,
-    /// When what was learned was last written down.
+    /// When the estimates were last proposed to the log.
     estimates_written_at: Millis,
-    /// Ended jobs, and when this replica learned of it.
+    /// Ended jobs and when this replica learned of each end.
     ended: BTreeMap<u64, Millis>,
     outputs: Vec<Output>,
 }
 
 impl Leader {
-    /// A replica that leads from now on.
+    /// Creates the leader of a term.
     pub fn new(term: u64, timing: Timing, now: Millis) -> Leader {
         Leader {
             term,
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Goes on with what former leaders learned.
+    /// Restores the estimates of former leaders.
     pub fn with_estimates(mut self, estimates: &Lesson, wall: Millis) -> Leader {
         self.interference = Interference::restore(estimates, wall);
         self
     }
 
-    /// An agent reports.
+    /// Handles the report of an agent.
     pub fn report(&mut self, state: &State, now: Millis, link: u64, agent: &str, report: Report) {
         let incarnation = report.worker.clone();
         if report.gone {
@@ -201,14 +201,14 @@
         self.touch(&incarnation);
     }
 
-    /// A link to an agent is lost. Its worker keeps its lease.
+    /// Handles the loss of a link to an agent. The worker keeps its lease.
     pub fn link_down(&mut self, link: u64) {
         for worker in self.workers.values_mut().filter(|worker| worker.link == Some(link)) {
             worker.link = None;
         }
     }
 
-    /// A change was applied; whatever it concerns is looked at again.
+    /// Handles an applied change and re-examines everything that it affects.
     pub fn applied(&mut self, state: &State, now: Millis, change: &Change, reply: &Reply) {
         match change {
             Change::Start(starts) => {
@@ -237,7 +237,7 @@
                 for end in ends {
                     self.durations.note_end(now, end.run, end.how == How::Done);
                 }
-                // The end of one task of a gang stands for all of them.
+                // The end of one task of a gang ends all of its tasks.
                 let jobs: BTreeSet<u64> = ends.iter().map(|end| end.run.task.job).collect();
                 for id in jobs {
                     let incarnations = placed_incarnations(state, id).map(str::to_owned);
@@ -267,38 +267,39 @@
         }
     }
 
-    /// How many jobs of a queue wait with no task begun. What was given to a worker waits until it is listed there:
-    /// another task may have taken the worker down in the same moment. On a worker that has not
-    /// reported since this replica leads it counts as begun, as most has.
+    /// Returns the number of queued jobs of which no task has started. A task that was assigned to
+    /// a worker counts as queued until the worker lists it, since another task may have taken the
+    /// worker down at that moment. On a worker that has not reported to this leader it counts as
+    /// started, as most have.
     pub fn waiting(&self, state: &State, queue: &str) -> u64 {
         state.waiting(queue, |run, incarnation| {
             self.workers.get(incarnation).is_none_or(|worker| worker.has_listed(run))
         })
     }
 
-    /// A start proposal could not be made.
+    /// Handles the rejection of a start proposal.
     pub fn start_rejected(&mut self) {
         self.start_proposed_at = None;
     }
 
-    /// The workers that run something of a job get an order.
+    /// Marks all workers that run tasks of a job as changed.
     fn touch_workers_of(&mut self, state: &State, id: u64) {
         for incarnation in placed_incarnations(state, id) {
             self.touch(incarnation);
         }
     }
 
-    /// Something has changed on a life of a worker.
+    /// Marks an incarnation as changed.
     fn touch(&mut self, incarnation: &str) {
         self.dirty.insert(incarnation.to_owned());
         self.unreconciled.insert(incarnation.to_owned());
         self.cache.touch(incarnation);
     }
 
-    /// Looks at what is due and hands out what the shell must do.
+    /// Performs the periodic work and returns the outputs for the shell.
     ///
-    /// `granting` tells whether no other replica can lead now; without it nothing is extended,
-    /// started or given up.
+    /// `exclusive` tells whether it is certain that no other replica can lead now. Without that
+    /// certainty nothing is extended, started or given up.
     pub fn tick(
         &mut self,
         state: &State,
@@ -324,7 +325,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Proposes to keep what was learned since the last time.
+    /// Proposes to store the estimates if they have changed since the last time.
     fn propose_estimates(&mut self, state: &State, now: Millis, wall: Millis) {
         if now.since(self.estimates_written_at) < ESTIMATES_INTERVAL_MS {
             return;
@@ -336,7 +337,7 @@
         }
     }
 
-    /// Runs that are placed nowhere need no stop.
+    /// Drops unwanted runs that are no longer placed: they need no stop.
     fn drop_lost_runs(&mut self, state: &State) {
         self.unwanted.retain(|run| {
             let task = state.job(run.task.job).and_then(|job| job.task(run.task));
@@ -344,11 +345,11 @@
         });
     }
 
-    /// Drops the jobs whose phase has been kept long enough, and what was learned of runs and lives
-    /// that are over.
+    /// Drops ended jobs whose retention period is over, and data about runs and incarnations that
+    /// have ended.
     fn forget_expired(&mut self, state: &State, now: Millis) {
         if self.ended.is_empty() {
-            // What ended before this replica led is counted from now.
+            // The retention period of jobs that ended before this replica led starts now.
             self.ended = state.ended().map(|id| (id, now)).collect();
         }
         let retention_ms = self.timing.retention_ms;
@@ -365,7 +366,7 @@
         if expired.is_empty() {
             return;
         }
-        // If the proposal is lost, it is made again after as long.
+        // If the proposal is lost, it is made again after another retention period.
         self.ended.extend(expired.iter().map(|id| (*id, now)));
         self.avoided.retain(|task, _| !expired.contains(&task.job));
         self.adviser.forget(|job| expired.contains(&job));
@@ -373,7 +374,7 @@
     }
 }
 
-/// The lives of workers that have something of a job.
+/// Returns the incarnations that have tasks of a job.
 fn placed_incarnations(state: &State, id: u64) -> impl Iterator<Item = &str> {
     let times = state.job(id).into_iter().flat_map(|job| &job.times);
     times.flatten().flatten().filter_map(|task| task.worker.as_deref())
--- a/crates/pond-job/src/lead/obstacle.rs
+++ b/crates/pond-job/src/lead/obstacle.rs
@@ -1,33 +1,33 @@
-//! What keeps workers from taking a task.
+//! Obstacles that keep workers from taking a task.
 
 use std::collections::BTreeMap;
 
-/// What keeps a worker from taking a task.
+/// An obstacle that keeps a worker from taking a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Obstacle {
-    /// Another pool, a missing label, or too many tasks of the step there.
+    /// The worker is in another pool, lacks a label, or has too many tasks of the step.
     Unsuitable,
     /// Its data centre is evacuated.
     Evacuated,
-    /// A task that may take down its worker has begun there, or the worker is kept for one.
+    /// A task that may take down its worker has just started there, or the worker is held for one.
     Suspect,
-    /// The worker rests after failures.
+    /// The worker is in backoff after failures.
     Backoff,
-    /// The worker is being probed after a rest.
+    /// The worker is being probed after a backoff.
     Probing,
-    /// Its room is taken.
+    /// Its capacity is occupied.
     NoRoom,
-    /// Its room is kept for a task that comes before.
+    /// Its capacity is reserved for a task that has precedence.
     Reserved,
-    /// What serves and fills there uses the processors.
+    /// Serving and best-effort tasks use the processors.
     Busy,
-    /// The adviser has given no ticket.
+    /// The adviser has issued no ticket.
     NoTicket,
-    /// Serving tasks there would miss their targets.
+    /// Serving tasks on the worker would miss their targets.
     Interference,
 }
 
-/// How many workers cannot take a task, by what is in the way.
+/// Number of workers that cannot take a task, by obstacle.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Obstacles {
     counts: BTreeMap<Obstacle, usize>,
@@ -44,7 +44,7 @@
 }
 
 impl Obstacles {
-    /// How many workers this keeps from taking the task.
+    /// Returns how many workers have this obstacle.
     pub fn count(&self, obstacle: Obstacle) -> usize {
         self.counts.get(&obstacle).copied().unwrap_or(0)
     }
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -1,4 +1,5 @@
-//! Brings workers in line with the state: what the agent of each is told to start, stop and watch.
+//! Reconciliation of workers with the state: orders that tell each agent what to start, stop and
+//! watch.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +13,18 @@
 use super::{Leader, Output};
 use crate::state::State;
 
-/// Changes of blame below this are not worth an order, in thousandths of a pressure: a
-/// twentieth, within about two deviations of the pressures that blame is learned from.
+/// Minimum change of a blame that is worth an order, in thousandths of utilization: a twentieth,
+/// which is within about two deviations of the measured utilizations from which the blame is
+/// learned.
 const BLAME_STEP_PERMILLE: u32 = 50;
 
 impl Leader {
-    /// Leaves out lives of which all placed runs are listed and should go on, until something of them
-    /// changes.
+    /// Drops incarnations whose placed runs are all listed and should continue, until something of
+    /// them changes.
     pub(super) fn drop_reconciled(&mut self, state: &State) {
         let mut unreconciled = std::mem::take(&mut self.unreconciled);
         unreconciled.retain(|incarnation| !self.is_reconciled(state, incarnation));
-        // Checked by all tests, not in releases.
+        // All tests check this; release builds do not.
         if cfg!(debug_assertions) {
             let missed = |incarnation: &&String| {
                 !unreconciled.contains(*incarnation) && !self.is_reconciled(state, incarnation)
@@ -36,13 +38,14 @@
         self.unreconciled = unreconciled;
     }
 
-    /// Whether all runs placed on a life are listed by its worker and should go on.
+    /// Returns whether all runs placed on an incarnation are listed by its worker and should
+    /// continue.
     fn is_reconciled(&self, state: &State, incarnation: &str) -> bool {
         let Some(worker) = self.workers.get(incarnation) else { return true };
         state.placed(incarnation).all(|run| worker.has_listed(run) && self.wanted(state, run))
     }
 
-    /// Workers with runs that the agent does not know, or that should be gone.
+    /// Marks workers with runs that the agent does not know or that should be stopped.
     pub(super) fn touch_unreconciled(&mut self, state: &State, now: Millis) {
         for incarnation in &self.unreconciled {
             let Some(worker) = self.workers.get(incarnation) else { continue };
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Whether a placed run should go on.
+    /// Returns whether a placed run should continue.
     pub(super) fn wanted(&self, state: &State, run: RunName) -> bool {
         let Some(job) = state.job(run.task.job).filter(|job| !job.phase.ended()) else {
             return false;
@@ -66,7 +69,7 @@
         newest && !self.unwanted.contains(&run)
     }
 
-    /// Orders for all workers that something has changed for.
+    /// Sends orders to all workers with changes.
     pub(super) fn send_orders(&mut self, state: &State, now: Millis) {
         for incarnation in std::mem::take(&mut self.dirty) {
             let Some((link, order)) = self.order(state, now, &incarnation) else { continue };
@@ -74,7 +77,7 @@
         }
     }
 
-    /// How the agent should watch each run of its worker.
+    /// Returns how the agent should watch each run of its worker.
     fn watches(&mut self, state: &State, now: Millis, incarnation: &str) -> Vec<Watch> {
         let steps: Vec<(RunName, &Step)> = state
             .placed(incarnation)
@@ -101,8 +104,8 @@
         watches
     }
 
-    /// What the agent of a worker is told now; nothing while there is no link to it, or while its
-    /// loss is on its way into the log.
+    /// Returns the order for the agent of a worker; `None` while there is no link to it, or while
+    /// the loss of the worker is proposed but not committed.
     fn order(&mut self, state: &State, now: Millis, incarnation: &str) -> Option<(u64, Order)> {
         if self.proposed_losses.contains_key(incarnation) {
             return None;
@@ -131,8 +134,8 @@
     }
 }
 
-/// Orders for the wanted runs that the worker does not have. `wanted` tells for each placed run
-/// whether it should go on.
+/// Returns start orders for the wanted runs that the worker does not have. `wanted` tells for each
+/// placed run whether it should continue.
 fn starts(
     state: &State,
     now: Millis,
@@ -159,8 +162,8 @@
     starts
 }
 
-/// The placed runs that should not go on, then those that the worker has and that nobody placed
-/// there.
+/// Returns the placed runs that should not continue, followed by the runs that the worker has
+/// without a placement.
 fn stops(now: Millis, worker: &mut Worker, wanted: &BTreeMap<RunName, bool>) -> Vec<RunName> {
     let unwanted = wanted.iter().filter(|(_, wanted)| !**wanted).map(|(run, _)| *run);
     let orphans = worker.rows.keys().filter(|run| !wanted.contains_key(run)).copied();
@@ -170,7 +173,7 @@
     stops
 }
 
-/// The watches that the agent does not know yet.
+/// Returns the watches that the agent does not know yet.
 fn new_watches(
     worker: &mut Worker,
     wanted: &BTreeMap<RunName, bool>,
@@ -185,20 +188,20 @@
     watches
 }
 
-/// How long a worker has to live on with a run until its agent should report that at once, in milliseconds:
-/// until then nothing is started beside a suspect.
+/// Returns how long a worker has to survive a run before its agent reports that immediately, in
+/// milliseconds. Nothing is started next to a suspect before that.
 fn report_after_ms(state: &State, run: RunName) -> u32 {
     let suspicion = state.suspicion(run).filter(|suspicion| suspicion.suspect);
     suspicion.map_or(0, |suspicion| suspicion.clears_at_ms() as u32)
 }
 
-/// Whether an agent should be told anew how to watch a run.
+/// Returns whether the agent needs a new watch for a run.
 fn changed(sent: &Watch, watch: &Watch) -> bool {
     sent.tell_ms != watch.tell_ms
         || sent.blame_permille.abs_diff(watch.blame_permille) >= BLAME_STEP_PERMILLE
 }
 
-/// The order to start a run; none if its job or how to watch it is not known.
+/// Returns the order to start a run; `None` if its job or its watch is not known.
 fn start_order(
     state: &State,
     run: RunName,
--- a/crates/pond-job/src/lead/output.rs
+++ b/crates/pond-job/src/lead/output.rs
@@ -1,4 +1,4 @@
-//! What a leader hands out, and the times that its decisions depend on.
+//! Outputs of a leader, and the times that its decisions depend on.
 
 use pond_proto::Span;
 use pond_proto::fleet::Order;
@@ -8,151 +8,153 @@
 use super::obstacle::Obstacles;
 use crate::change::Change;
 
-/// Times that the decisions depend on.
+/// Times that the decisions of a leader depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Longest lease of a worker, in milliseconds on its own clock.
     pub lease_ms: Span,
-    /// How much slower a worker's clock may run, in thousandths.
+    /// Maximum rate by which a worker's clock may run slow, in thousandths.
     pub drift_permille: u64,
-    /// Added before a lease counts as run out, in milliseconds: timers fire late.
+    /// Added before a lease counts as expired, in milliseconds, because timers may fire late.
     pub timer_slack_ms: Span,
     /// How long the phase of an ended job is kept, in milliseconds.
     pub retention_ms: Span,
 }
 
 impl Timing {
-    /// How long after the last report of a worker its lease has surely run out.
+    /// Returns the time after the last report of a worker at which its lease has certainly expired,
+    /// in milliseconds.
     pub fn lease_expiry_ms(&self) -> Span {
         self.lease_ms + self.lease_ms * self.drift_permille / 1000 + self.timer_slack_ms
     }
 }
 
-/// How it is known that nothing of a life of a worker runs any more.
+/// How it is known that no run of an incarnation is running any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossKind {
-    /// It ended, or another life took its place, and it had not said that it would leave.
+    /// It ended or was replaced by another incarnation without announcing that it would leave.
     Crashed,
-    /// It had said that it would leave.
+    /// It had announced that it would leave.
     Left,
-    /// Its lease has run out.
+    /// Its lease has expired.
     Silent,
 }
 
-/// Something that the shell does for the leader.
+/// An action that the shell performs for the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Put this into the log.
+    /// Propose this change to the log.
     Propose(Change),
-    /// Send this to an agent.
+    /// Send this order to an agent.
     Order {
-        /// The agent's link.
+        /// Link to the agent.
         link: u64,
-        /// What its worker should do.
+        /// The order for its worker.
         order: Order,
     },
-    /// Ask the adviser and hand its answer to [`super::Leader::advised`].
+    /// Ask the adviser and pass its answer to [`super::Leader::advised`].
     Advise(Question),
-    /// A decision worth a line in the log.
+    /// Log this decision.
     Decided(Decision),
 }
 
-/// A decision worth a line in the log.
+/// A decision that is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// A worker is known.
+    /// A worker has reported for the first time.
     WorkerUp {
-        /// Its life.
+        /// Incarnation of the worker.
         worker: String,
     },
-    /// Nothing of a worker runs any more.
+    /// No run of a worker is running any more.
     WorkerLost {
-        /// Its life.
+        /// Incarnation of the worker.
         worker: String,
         /// How that is known.
         why: LossKind,
-        /// How long ago its clock went on, in milliseconds.
+        /// How long ago its clock last advanced, in milliseconds.
         silent_ms: Span,
-        /// The runs that had their place there, and for how long each was known to have run on it, in
-        /// milliseconds; none where no call to start it can have reached the worker.
+        /// Runs that were placed there, with how long each is known to have run, in milliseconds;
+        /// `None` if no call to start it can have reached the worker.
         runs: Vec<(RunName, Option<Span>)>,
     },
-    /// A run makes no progress and is stopped, to run elsewhere.
+    /// A run without progress is stopped and will run elsewhere.
     Stalled {
         /// The run.
         run: RunName,
         /// Its worker.
         worker: String,
     },
-    /// A filling run disturbs the serving ones beside it and is stopped, to run elsewhere.
+    /// A best-effort run interferes with serving runs on its worker and is stopped to run
+    /// elsewhere.
     Moved {
         /// The run.
         run: RunName,
         /// Its worker.
         worker: String,
-        /// By how much the pressure there exceeds what the targets allow, in thousandths.
+        /// By how much the utilization there exceeds what the targets allow, in thousandths.
         excess_permille: u32,
-        /// What the run is expected to add to it, in thousandths.
+        /// Utilization that the run is expected to add, in thousandths.
         added_permille: u32,
     },
-    /// Tasks of a job whose turn has come find no place.
+    /// Tasks of a job whose turn has come cannot be placed.
     Waiting {
         /// The job.
         job: u64,
-        /// The step, from zero.
+        /// Index of the step.
         step: usize,
-        /// How many of its tasks wait.
+        /// Number of its tasks that wait.
         tasks: usize,
-        /// How many tasks of the job have a place.
+        /// Number of placed tasks of the job.
         placed: usize,
-        /// How long tasks of the job have found no place, in milliseconds.
+        /// How long tasks of the job could not be placed, in milliseconds.
         waited_ms: Span,
-        /// How long nothing of the job has run besides, in milliseconds.
+        /// How long no task of the job has been running, in milliseconds.
         starved_ms: Span,
-        /// The image of the step.
+        /// Image of the step.
         image: String,
-        /// What keeps the workers from taking the first of them.
+        /// Obstacles for the first of the tasks.
         obstacles: Obstacles,
     },
-    /// A task has waited too long for what is only expected, and is started all the same.
+    /// A task has waited too long because of mere estimates and is started nevertheless.
     Forced {
         /// The run.
         run: RunName,
         /// Its worker.
         worker: String,
-        /// How long nothing of its job has run, in milliseconds.
+        /// How long no task of its job has been running, in milliseconds.
         starved_ms: Span,
     },
-    /// A run that was given to a worker has not been on its lists for long.
+    /// A placed run has been missing from the lists of its worker for a long time.
     Absent {
         /// The run.
         run: RunName,
         /// Its worker.
         worker: String,
-        /// How long this leader has known it as placed and not listed, in milliseconds.
+        /// How long this leader has known the run as placed and not listed, in milliseconds.
         absent_ms: Span,
         /// Whether there is a link to the worker's agent.
         linked: bool,
         /// Whether the worker answers its agent.
         answers: bool,
-        /// Whether the agent knows of the run.
+        /// Whether the agent reports the run.
         known_to_agent: bool,
-        /// Whether the run is to be stopped.
+        /// Whether the run should be stopped.
         stopping: bool,
-        /// How often it was ordered to start or stop since the link opened.
+        /// Number of orders to start or stop it since the link was opened.
         orders: u32,
     },
-    /// A worker gets nothing for a while.
+    /// An unhealthy worker gets no work for a while.
     Unhealthy {
-        /// Its life.
+        /// Incarnation of the worker.
         worker: String,
-        /// For how long, in milliseconds.
+        /// Duration of the backoff, in milliseconds.
         backoff_ms: Span,
     },
 }
 
 impl Decision {
-    /// Its kind in one word, for figures.
+    /// Returns the kind of the decision as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Decision::WorkerUp { .. } => "worker_up",
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -1,17 +1,19 @@
-//! Work that nothing but a belief keeps waiting is tried after a while, one task of a job at a time.
+//! Forced placement of work that only an estimate keeps waiting, after a maximum wait and one task
+//! of a job at a time.
 //!
-//! What is learned of harm, of health and of what serving tasks use may be wrong, and loads change.
-//! What is not placed shows nothing, so such a belief is never put to the test by itself. Without a
-//! bound a job whose image is taken to disturb everywhere would wait for ever with most of the room
-//! free.
+//! The estimates of interference, of health and of the use of serving tasks may be wrong, and loads
+//! change. A task that is not placed yields no measurements, so a wrong estimate would never be
+//! corrected. Without a bound, a job whose image is expected to interfere everywhere would wait
+//! forever although most of the capacity is free.
 //!
-//! Trials go to the job that has stood still for longest. In the order of urgency a begun job would come
-//! first again after each of its tasks, and one at the end of that order would stand still meanwhile. A job
-//! that has had a trial does not wait for its patience again: its next one would start only after two seconds
-//! in which nothing of it runs.
+//! The job that has been starved longest is forced first. By urgency, a job that has started would
+//! go first again after each of its tasks, and a job at the end of that order would stay starved. A
+//! job does not wait again after its first forced placement: otherwise its next one would start
+//! only after two seconds in which nothing of it runs.
 //!
-//! Tasks that last have the short patience however full the pool is, and are tried beside suspects where nothing else has room:
-//! in a pool that serves the few workers with room are those on which suspects begin, one after the other.
+//! Long-running tasks always have the short maximum wait, however full the pool is. If nothing else
+//! has capacity, they are placed next to suspects: in a pool that serves, the few workers with
+//! capacity are those on which one suspect after the other starts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,59 +31,63 @@
 use crate::job::Task;
 use crate::state::State;
 
-/// Room is plenty while more than this share of it is free, in percent: platforms count it as plenty
-/// from a half on, and what is free wavers by some percent.
+/// Capacity is ample while more than this share of it is free, in percent. Platforms consider half
+/// as ample, and the free share varies by a few percent.
 const AMPLE_FREE_PERCENT: u64 = 40;
 
-/// Tasks on a worker that are being tried at most, while jobs can wait for their turn: more of them
-/// would tell nothing new.
+/// Maximum number of forced tasks on a worker while jobs can wait for their turn. More of them
+/// would yield no new information.
 const MAX_FORCED: usize = 2;
 
-/// A job waits this long for a belief before its first trial while room is plenty, in milliseconds: below
-/// the three seconds that platforms bear, by the wait for a place and a commit. After a trial the next
-/// one comes as soon as there is a place.
+/// Maximum time that an estimate delays the first task of a job while capacity is ample, in
+/// milliseconds. It is below the three seconds that platforms tolerate, to leave time for finding a
+/// place and for a commit. After a forced placement the next one follows as soon as there is a
+/// place.
 pub(super) const MAX_WAIT_MS: Span = 2_000;
 
-/// A job whose trial is due waits this long for a place among those that are tried, in milliseconds: with
-/// more jobs than places the wait would have no bound. Together with the patience half a second less
-/// than platforms bear, for a commit, an order and a start.
+/// Maximum time that a due job waits until the number of forced tasks on a worker allows one more,
+/// in milliseconds: with more jobs than places the wait would be unbounded. Together with the
+/// maximum wait it is half a second less than platforms tolerate, to leave time for a commit, an
+/// order and a start.
 const MAX_TURN_WAIT_MS: Span = 500;
 
-/// A job waits this long while room is scarce, in milliseconds: then waiting is the rule and a trial
-/// takes from others. Jobs take turns; with more of them than places each waits in proportion. Of one
-/// that stands still for as long, also tasks that failed before are tried on workers that rest, where no
-/// sound one can take them: twice the longest rest, as a failure costs one of the attempts.
+/// Maximum wait while capacity is scarce, in milliseconds. Waiting is normal then, and a forced
+/// placement takes capacity from others. Jobs take turns; with more jobs than places, each waits
+/// proportionally. If a job has been starved for this long and no healthy worker can take its
+/// tasks, even tasks that failed before are placed on workers in backoff. The time is over twice
+/// the longest backoff, because a failure costs an attempt.
 const MAX_WAIT_SCARCE_MS: Span = 20_000;
 
-/// Why a worker is not taken for sound.
+/// Obstacles due to an unhealthy worker.
 pub(super) const UNHEALTHY: [Obstacle; 2] = [Obstacle::Backoff, Obstacle::Probing];
 
-/// What a trial may ask of the workers.
+/// What a forced placement may ignore.
 #[derive(Clone, Copy)]
 struct Tolerance {
-    /// Tried tasks on a worker at most.
+    /// Maximum number of forced tasks on a worker.
     max_forced: usize,
-    /// Room that is kept for others is taken.
+    /// Whether capacity that is reserved for others may be used.
     uses_reserved: bool,
-    /// Attempts are not spared.
+    /// Whether attempts may be risked.
     spends_attempts: bool,
 }
 
-/// A trial that is due.
+/// A forced placement that is due.
 #[derive(Clone, Copy)]
 struct Due {
-    /// How long nothing has run of what should, in milliseconds.
+    /// How long nothing that should run has run, in milliseconds.
     starved_ms: Span,
     tolerance: Tolerance,
 }
 
 impl Due {
-    /// The trial of a group that waits; none while something of its job runs, or before the patience is
-    /// over. Of what lasts, each task that finds no place stands still, whatever else runs.
+    /// Returns the forced placement of a waiting group; `None` while a task of its job is running,
+    /// or before the maximum wait is over. Each unplaced long-running task counts as starved,
+    /// whatever else is running.
     fn of(now: Millis, group: &Ready<'_>, wait: Wait, ample: bool) -> Option<Due> {
         let long_running = group.step.lasting;
         let waited_ms = now.since(wait.since);
-        // Users allow what lasts the same time however full the pool is.
+        // Users tolerate the same wait of long-running tasks however full the pool is.
         let short = ample || long_running;
         let max_wait_ms = if short { MAX_WAIT_MS } else { MAX_WAIT_SCARCE_MS };
         if waited_ms < max_wait_ms || (wait.starved_since.is_none() && !long_running) {
@@ -100,8 +106,8 @@
 }
 
 impl Leader {
-    /// Starts one task of each job that has stood still for too long, where it is expected to disturb
-    /// least. The agent there slows it down if it does harm after all.
+    /// Starts one task of each job that has been starved for too long, where the least interference
+    /// is expected. If it does interfere, the agent slows it down.
     pub(super) fn force_overdue(
         &mut self,
         state: &State,
@@ -128,8 +134,8 @@
         }
     }
 
-    /// The groups that wait, those whose jobs have stood still for longest first, then in the order of
-    /// the plan.
+    /// Returns the waiting groups, those with the longest starved jobs first and otherwise in the
+    /// order of the plan.
     fn by_starvation<'a>(
         &self,
         now: Millis,
@@ -142,8 +148,8 @@
         groups
     }
 
-    /// Starts for the tasks of a group that are tried; a gang is tried whole or not at all, as its tasks
-    /// have to start together.
+    /// Returns starts for the forced tasks of a group. A gang is forced completely or not at all,
+    /// as its tasks must start together.
     fn force(
         &self,
         now: Millis,
@@ -161,7 +167,7 @@
         starts
     }
 
-    /// Starts for tasks of a group with the numbers of their runs, until one finds no place.
+    /// Returns starts for tasks with the given run numbers, up to the first that cannot be placed.
     fn force_each(
         &self,
         now: Millis,
@@ -193,10 +199,11 @@
         starts
     }
 
-    /// The beliefs that a trial does not heed, besides harm and what serving tasks use. That a worker is
-    /// sick is a comparison with others: where no sound one can take the task, jobs that can never be done
-    /// are as likely, and a worker that is probed with a long run may be well for as long as that takes. Only
-    /// a task that has never failed is tried there, which costs it one attempt at most.
+    /// Returns the obstacles that a forced placement ignores in addition to interference and the
+    /// expected use of serving tasks. Whether a worker is unhealthy is judged by comparison: where
+    /// no healthy worker can take the task, jobs that can never be done are as likely a cause, and
+    /// a worker that is probed with a long run may be healthy during all of it. Only a task that
+    /// has never failed is placed there, which costs it one attempt at most.
     fn ignored_obstacles(
         &self,
         now: Millis,
@@ -220,14 +227,15 @@
             ignored_obstacles.extend(UNHEALTHY);
         }
         if group.step.lasting {
-            // The next suspect may come as soon as one is cleared, so to wait for a worker without any has no bound.
+            // The next suspect may arrive as soon as one is cleared, so waiting for a worker
+            // without suspects has no bound.
             ignored_obstacles.push(Obstacle::Suspect);
         }
         ignored_obstacles
     }
 
-    /// The place of the candidate on which a task is expected to disturb least, whatever that is; one on
-    /// which it did not fail before, if there is any.
+    /// Returns the index of the candidate with the least expected interference, however high it is.
+    /// Candidates on which the task has not failed are preferred.
     fn least_interference(
         &self,
         now: Millis,
@@ -244,7 +252,8 @@
             admitted && candidate.forced < tolerance.max_forced && !lacking
         };
         let avoided = self.avoided.get(&task);
-        // A suspect begins in company only if it has to: the company would share the blame.
+        // A suspect is not isolated only if there is no other way, since all tasks that start
+        // together share the blame.
         let unsuited = |candidate: &Candidate| {
             let failed = avoided.is_some_and(|avoided| avoided.contains(&candidate.incarnation));
             (candidate.closed() || (suspect && !candidate.isolates(group.id)), failed)
@@ -262,9 +271,10 @@
     }
 }
 
-/// The tasks of a group that are tried together, with the numbers of their runs: all of a gang once none
-/// has a place, each that lasts, as each has a duty of its own; else one shows what the others do, and
-/// one that has not failed before, as a failure would say little of it.
+/// Returns the tasks of a group that are forced together, with their run numbers: a whole gang once
+/// none of its tasks is placed, and all long-running tasks, as each has its own purpose. Of other
+/// steps it is a single task, which shows what the others would do, and preferably one that has not
+/// failed, as a failure would reveal little.
 fn forced_tasks(group: &Ready<'_>) -> Vec<(usize, u32)> {
     let tasks = group.tasks();
     let waiting = || tasks.iter().enumerate().filter(|(_, task)| task.waits());
@@ -280,14 +290,14 @@
     waiting().min_by_key(|(_, task)| task.failed).map(next).into_iter().collect()
 }
 
-/// Whether a run is the newest of its task and has a worker.
+/// Returns whether a run is the newest of its task and is placed on a worker.
 fn is_placed(state: &State, run: RunName) -> bool {
     let task = state.job(run.task.job).and_then(|job| job.task(run.task));
     task.is_some_and(|task| task.run == run.number && task.worker.is_some())
 }
 
-/// The pools in which room is plenty, in processors that tasks ask for, of the workers that can be given
-/// something. Those that are silent are left out: what they have free is of no use.
+/// Returns the pools with ample capacity, measured in requested processors of workers that can be
+/// given work. Silent workers do not count, as their free capacity cannot be used.
 fn ample_pools(candidates: &[Candidate]) -> BTreeSet<String> {
     let mut pools: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     for candidate in candidates {
--- a/crates/pond-job/src/lead/plan.rs
+++ b/crates/pond-job/src/lead/plan.rs
@@ -1,4 +1,4 @@
-//! Places tasks whose turn has come.
+//! Placement of tasks whose turn has come.
 
 use pond_proto::job::{RunName, TaskName};
 use pond_proto::{Millis, Span};
@@ -12,22 +12,22 @@
 use crate::job::Task;
 use crate::state::State;
 
-/// Starts in one proposal, so that an entry of the log stays small.
+/// Maximum number of starts in one proposal, to keep log entries small.
 pub(super) const MAX_STARTS: usize = 256;
 
-/// Serving tasks wait this long for others, in milliseconds, so that they are packed image by image:
-/// callers hand in what belongs together within some 50 ms.
+/// Serving tasks wait this long for others, in milliseconds, so that they can be packed by image.
+/// Callers submit related jobs within about 50 ms.
 const BATCH_WINDOW_MS: Span = 150;
 
-/// A new leader plans nothing for this long, in milliseconds: by then most agents have found it, and
-/// their workers do not all get what the first of them could.
+/// A new leader makes no plan for this long, in milliseconds. By then most agents have connected,
+/// so the first workers to report do not receive all the work.
 const FIRST_PLAN_DELAY_MS: Span = 200;
 
-/// A new leader waits this long for workers that had runs before it places serving tasks, in
+/// Before it places serving tasks, a new leader waits this long for workers that had runs, in
 /// milliseconds.
 pub(super) const DISCOVERY_MS: Span = 1_000;
 
-/// A worker that has not reported for this long gets nothing, in milliseconds. Reports come every
+/// A worker that has not reported for this long gets no work, in milliseconds. Reports arrive every
 /// second.
 pub(super) const REPORT_VALID_MS: Span = 2_500;
 
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Whether serving tasks wait: for others that come about then, so that they are packed
-    /// together, or for workers that this replica has not heard of yet. Filling tasks wait with them: those
-    /// that took the workers meanwhile would have to move again within a second.
+    /// Returns whether serving tasks have to wait, either for further ones to pack them together or
+    /// for workers that have not reported to this leader yet. Best-effort tasks wait with them: if
+    /// they took the workers in the meantime, they would have to move again within a second.
     fn batches_serving(&mut self, state: &State, now: Millis, ready: &[Ready<'_>]) -> bool {
         if ready.iter().all(|group| group.serving.is_none()) {
             self.batching_since = None;
@@ -101,15 +101,15 @@
         now.since(since) < BATCH_WINDOW_MS || !self.knows_workers(state, now)
     }
 
-    /// Whether all workers that have runs have reported since this replica leads, or have had the
-    /// time for it.
+    /// Returns whether all workers with runs have reported to this leader, or have had enough time
+    /// to do so.
     pub(super) fn knows_workers(&self, state: &State, now: Millis) -> bool {
         now.since(self.leading_since) >= DISCOVERY_MS
             || state.workers().all(|incarnation| self.workers.contains_key(incarnation))
     }
 
-    /// Places the tasks of a group that wait, as far as there is room; what was in the way of the
-    /// first that found none.
+    /// Places the waiting tasks of a group as far as there is capacity. Returns the obstacles for
+    /// the first task that could not be placed.
     fn place(
         &self,
         now: Millis,
@@ -128,7 +128,8 @@
             }
             let name = group.task(index);
             let Some(found) = ranking.best(self.avoided.get(&name), candidates) else {
-                // What has no place for one task has none for the others, as they are equal.
+                // The tasks of a group are equal, so if one cannot be placed, neither can the
+                // others.
                 let obstacles = self.obstacles(now, group, name, candidates);
                 reserve_capacity(group, index, candidates);
                 return Some(obstacles);
@@ -147,7 +148,7 @@
         None
     }
 
-    /// A gang is placed whole or not at all, and only once all of its last run has ended.
+    /// Places a gang completely or not at all, and only after all tasks of its last run have ended.
     fn place_gang(
         &self,
         now: Millis,
@@ -196,7 +197,7 @@
         None
     }
 
-    /// What keeps each worker from taking a task.
+    /// Counts the obstacles that keep the workers from taking a task.
     pub(super) fn obstacles(
         &self,
         now: Millis,
@@ -214,7 +215,7 @@
         candidates.iter().map(obstacle).collect()
     }
 
-    /// Whether the adviser has to allow the task on that worker and has not.
+    /// Returns whether the task needs a ticket of the adviser for that worker and has none.
     pub(super) fn lacks_ticket(
         &self,
         now: Millis,
@@ -226,8 +227,8 @@
     }
 }
 
-/// Keeps room for the tasks of a step from `first` on. Only lasting tasks are worth idle room:
-/// others find some sooner or later, and room that waits is lost.
+/// Reserves capacity for the tasks of a step from `first` on. Only long-running tasks justify idle
+/// capacity: other tasks find a place sooner or later, and reserved capacity goes unused.
 fn reserve_capacity(group: &Ready<'_>, first: usize, candidates: &mut [Candidate]) {
     if !group.step.lasting {
         return;
--- a/crates/pond-job/src/lead/progress.rs
+++ b/crates/pond-job/src/lead/progress.rs
@@ -1,4 +1,4 @@
-//! Finds runs that stand still.
+//! Detection of stalled runs.
 
 use pond_proto::fleet::Report;
 use pond_proto::job::RunName;
@@ -7,20 +7,21 @@
 use super::{Decision, Leader, Output};
 use crate::state::State;
 
-/// A run that shows no progress for this long stands still, in milliseconds; estimates may be wrong
-/// by half, and reports come every second.
+/// A run without progress for this long is stalled, in milliseconds. Estimates may be wrong by
+/// half, and reports arrive every second.
 const STALL_MS: Span = 2_500;
 
-/// A run that takes this many times its estimate without progress stands still.
+/// A run without progress for this many tenths of its estimate is stalled.
 const STALL_ESTIMATE_TENTHS: u64 = 2;
 
-/// A filling run may be slowed down for the sake of others, so it gets more time, in milliseconds.
+/// Limit for best-effort runs, in milliseconds. It is longer because they may be slowed down in
+/// favour of serving runs.
 const BEST_EFFORT_STALL_MS: Span = 6_000;
 
-/// A lasting run should be at work after this time, in milliseconds.
+/// A long-running run should be working after this time, in milliseconds.
 const LONG_RUNNING_START_MS: Span = 5_000;
 
-/// How far a run was, and since when.
+/// Last reported progress of a run, and since when it has not changed.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
     percent: u32,
@@ -28,7 +29,7 @@
 }
 
 impl Leader {
-    /// Compares a report with what was known, and gives up runs that stand still.
+    /// Compares a report with the known progress, and stops stalled runs.
     pub(super) fn watch_progress(
         &mut self,
         state: &State,
@@ -41,8 +42,8 @@
         worker.progress.retain(|run, _| worker.rows.contains_key(run));
         for row in &report.runs {
             let known = worker.progress.get(&row.run);
-            // Of a worker that does not answer nothing is known, and one that went down is well once it is
-            // back: taken for stalled, its runs made it rest for 2 to 8 s.
+            // Nothing is known about a worker that does not answer, and one that crashed is healthy
+            // once it is back. If its runs counted as stalled, it would be in backoff for 2 to 8 s.
             let same = known.filter(|known| known.percent == row.percent && report.answers);
             let progress = same.copied().unwrap_or(Progress { percent: row.percent, since: now });
             worker.progress.insert(row.run, progress);
@@ -88,6 +89,7 @@
         return elapsed_ms >= BEST_EFFORT_STALL_MS;
     }
     let limit_ms = if step.fills { BEST_EFFORT_STALL_MS } else { STALL_MS };
-    // A hundredth of the work should show within a hundredth of the time; slow workers get more.
+    // A hundredth of the work should be visible within a hundredth of the time; slow workers get
+    // more.
     elapsed_ms >= limit_ms.max(step.estimate_ms * STALL_ESTIMATE_TENTHS / 10)
 }
--- a/crates/pond-job/src/lead/rank.rs
+++ b/crates/pond-job/src/lead/rank.rs
@@ -1,9 +1,9 @@
-//! Which workers suit the tasks of a group, best first, and for which groups no worker has a place.
+//! Ranking of workers for the tasks of a group, and memory of demands that no worker can meet.
 //!
-//! All waiting tasks of a step are alike, and steps of a kind come again and again. So workers are
-//! weighed once for a group, and after each placement only the one that changed; and what found no
-//! place in a plan is not weighed again for the next group that asks for the same, as workers only
-//! get fuller while a plan goes on.
+//! All waiting tasks of a step are alike, and similar steps recur often. So workers are scored once
+//! for a group, and after each placement only the changed one is scored again. A demand that could
+//! not be met is not tried again in the same plan, since workers only get fuller while a plan is
+//! made.
 
 use std::collections::BTreeSet;
 
@@ -17,22 +17,22 @@
 use super::obstacle::Obstacles;
 use super::ready::Ready;
 
-/// How well a task stands on a worker, higher is better: whether the worker is taken for sound, then
-/// the score of the candidate.
+/// Quality of a placement, higher is better: whether the worker is considered healthy, then the
+/// score of the candidate.
 type Key = (bool, (bool, i64, i64));
 
-/// How well the tasks of a group stand on each worker.
+/// Scores of all workers for the tasks of a group.
 pub(super) struct Ranking<'a> {
     leader: &'a Leader,
     now: Millis,
     group: &'a Ready<'a>,
     impact: Impact,
-    /// In the order of the candidates; none where a task may not run now.
+    /// Scores in the order of the candidates; `None` where a task may not run now.
     keys: Vec<Option<Key>>,
 }
 
 impl<'a> Ranking<'a> {
-    /// Weighs all workers.
+    /// Scores all workers.
     pub fn new(
         leader: &'a Leader,
         now: Millis,
@@ -45,13 +45,13 @@
         ranking
     }
 
-    /// Weighs a worker anew that was given something.
+    /// Scores a worker again after an assignment.
     pub fn update(&mut self, index: usize, candidates: &[Candidate]) {
         self.keys[index] = self.key(&candidates[index]);
     }
 
-    /// The place of the best worker for a task, the first of equals; those that the task failed on come
-    /// last. None if it may run nowhere now.
+    /// Returns the index of the best worker for a task, the first of equals; `None` if it may run
+    /// nowhere now. Workers on which the task failed come last.
     pub fn best(
         &self,
         avoided: Option<&BTreeSet<String>>,
@@ -71,7 +71,7 @@
 
     fn key(&self, candidate: &Candidate) -> Option<Key> {
         let Ready { step, job, serving, .. } = self.group;
-        // All tasks of the group are alike here.
+        // All tasks of the group are alike in this respect.
         let task = self.group.task(0);
         let fits = candidate.fits(&job.pool, task, step) && candidate.tolerates(step, &self.impact);
         if !fits || self.leader.lacks_ticket(self.now, self.group, task, &candidate.incarnation) {
@@ -83,7 +83,7 @@
     }
 }
 
-/// What a step asks of workers, and nothing that tells one group from another.
+/// What a step requires of workers, without anything that is specific to a group.
 #[derive(Clone, Copy, PartialEq)]
 struct Demand<'a> {
     pool: &'a str,
@@ -95,8 +95,8 @@
 }
 
 impl<'a> Demand<'a> {
-    /// The wish of a group; none if whether it finds a place hangs on more than that: on what of it
-    /// runs where, on an adviser, on all of its tasks together.
+    /// Returns the demand of a group; `None` if its placement depends on more than that: on where
+    /// its other tasks run, on an adviser, or on the placement of all its tasks together.
     fn of(group: &Ready<'a>) -> Option<Demand<'a>> {
         let Ready { step, job, .. } = group;
         if step.gang || step.most_per_worker > 0 || job.advice.is_some() {
@@ -113,21 +113,22 @@
     }
 }
 
-/// The wishes for which a plan has found no place.
+/// Demands that could not be met in a plan.
 #[derive(Default)]
 pub(super) struct Rejections<'a> {
     demands: Vec<(Demand<'a>, Obstacles)>,
 }
 
 impl<'a> Rejections<'a> {
-    /// What was in the way of a group that wished for the same; none if none was in vain.
+    /// Returns the obstacles of a group with the same demand; `None` if no such demand was
+    /// rejected.
     pub fn obstacles(&self, group: &Ready<'a>) -> Option<Obstacles> {
         let demand = Demand::of(group)?;
         let found = self.demands.iter().find(|(other, _)| *other == demand);
         found.map(|(_, obstacles)| obstacles.clone())
     }
 
-    /// A group found no place.
+    /// Records that a group could not be placed.
     pub fn note(&mut self, group: &Ready<'a>, obstacles: &Obstacles) {
         let Some(demand) = Demand::of(group) else { return };
         if !self.demands.iter().any(|(other, _)| *other == demand) {
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -1,4 +1,4 @@
-//! The groups of tasks that wait for a place, in the order in which they get one.
+//! Groups of tasks that wait for placement, in the order in which they are placed.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,65 +13,65 @@
 use crate::job::{Job, Task, longest_chain};
 use crate::state::State;
 
-/// A job that ends later than this many times its span after it fell due is worth nothing any more.
+/// A job is worthless if it ends later than this many times its span after it was due.
 const WORTHLESS_SPANS: u64 = 3;
 
-/// The part of what a job counts that does not hang on its work: users' pages give three tenths.
+/// Share of a job's value that does not depend on its work, according to the users' specification.
 const FIXED_VALUE_SHARE: f64 = 0.3;
 
 /// A group of tasks whose turn has come.
 pub(super) struct Ready<'a> {
-    /// What goes first.
+    /// Sort key; the lowest is placed first.
     pub urgency: Urgency,
-    /// The job's id.
+    /// Id of the job.
     pub id: u64,
-    /// Which of the job's times, from zero.
+    /// Index of the time of the job.
     pub time: usize,
-    /// Which of its steps, from zero.
+    /// Index of the step.
     pub step_index: usize,
-    /// What the job says of that step.
+    /// Specification of the step.
     pub step: &'a Step,
     /// The job.
     pub job: &'a Job,
-    /// The image of its tasks.
+    /// Image of the tasks.
     pub image: Image,
-    /// One of its tasks as a serving one; none for other tasks.
+    /// Expected load of one of its tasks if they serve; `None` otherwise.
     pub serving: Option<ServingLoad>,
 }
 
-/// Orders groups: lower goes first.
+/// Placement order of groups; lower goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Urgency {
-    /// The priority of the queue.
+    /// Priority of the queue.
     priority: u32,
-    /// What can still be gained by it.
+    /// What can still be achieved.
     prospect: Prospect,
-    /// The work that is left over what the job counts, in hundredths: what is begun is finished first, so that
-    /// under overload some jobs are done in time instead of all a little late.
+    /// Remaining work relative to the value of the job, in hundredths. Started jobs are finished
+    /// first, so that under overload some jobs are done in time instead of all jobs a little late.
     remaining: u64,
-    /// When it should be done.
+    /// When the job should be done.
     aim: Millis,
 }
 
-/// What can still be gained by work on a job. Under overload, work for a job that is late already
-/// makes the next one late, too.
+/// What work on a job can still achieve. Under overload, work on a job that is already late makes
+/// the next one late as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Prospect {
-    /// It can be done in time.
+    /// The job can be done in time.
     InTime,
-    /// It can be done, but late.
+    /// The job can be done, but late.
     Late,
-    /// It is too late for all but the record.
+    /// The job is too late to be of value.
     Worthless,
 }
 
 impl<'a> Ready<'a> {
-    /// All tasks of the group, those that have a place or are done, too.
+    /// Returns all tasks of the group, including those that are placed or done.
     pub fn tasks(&self) -> &'a [Task] {
         &self.job.times[self.time][self.step_index]
     }
 
-    /// The name of a task of the group.
+    /// Returns the name of a task of the group.
     pub fn task(&self, index: usize) -> TaskName {
         TaskName {
             job: self.id,
@@ -82,7 +82,7 @@
     }
 }
 
-/// The groups of tasks whose turn has come and of which some are not placed, most urgent first.
+/// Returns the groups whose turn has come and that have unplaced tasks, most urgent first.
 pub(super) fn ready<'a>(
     state: &'a State,
     now: Millis,
@@ -111,9 +111,9 @@
     ready
 }
 
-/// Brings serving groups of equal priority into the order in which they pack well: image by image,
-/// the image that asks for most first, so that only the last worker of each image is shared with
-/// the next one; within an image large tasks first, as small ones fill what they leave.
+/// Sorts serving groups of equal priority so that they pack well: image by image, the image with
+/// the largest request first, so that each image shares only its last worker with the next one.
+/// Within an image large tasks go first, as small ones fill the remaining gaps.
 fn pack(ready: &mut [Ready<'_>]) {
     let mut requested: BTreeMap<String, u64> = BTreeMap::new();
     for group in ready.iter().filter(|group| group.serving.is_some()) {
@@ -127,7 +127,7 @@
             let requested = requested.get(image).copied().unwrap_or(0);
             (Reverse(requested), image, Reverse(group.step.milli_cpu))
         });
-        // None sorts before Some, and serving groups go first.
+        // `None` sorts before `Some`, and serving groups go first.
         (group.urgency.priority, Reverse(order.is_some()), order)
     });
 }
@@ -154,11 +154,11 @@
     Urgency { priority: job.priority, prospect, remaining, aim }
 }
 
-/// The work that is left at a time of a job over what the job counts, in hundredths.
+/// Returns the remaining work at a time of a job relative to the value of the job, in hundredths.
 ///
-/// A job counts by its work, and in part as any other of its queue. So what is nearly done is finished first, and of
-/// those that are not begun the small ones go before large ones: more jobs are done in time with the same
-/// processors.
+/// The value of a job depends on its work, and in part is the same for all jobs of its queue. So
+/// jobs that are nearly done are finished first, and of jobs that have not started the small ones
+/// go first: the same processors finish more jobs in time.
 fn remaining_share(durations: &Durations, job: &Job, time: usize) -> u64 {
     let total = durations.work(job, time, |_| true);
     let remaining = durations.work(job, time, |task| !task.done);
@@ -167,7 +167,7 @@
     (remaining * 100.0 / value.max(1.0)) as u64
 }
 
-/// The longest chain of estimates through the steps that are not done, in milliseconds.
+/// Returns the longest chain of estimates through the steps that are not done, in milliseconds.
 fn remaining_ms(job: &Job, time: usize, takes_ms: impl Fn(&Step) -> u64) -> u64 {
     let Some(steps) = job.times.get(time) else { return 0 };
     let unfinished =
--- a/crates/pond-job/src/lead/regression.rs
+++ b/crates/pond-job/src/lead/regression.rs
@@ -1,52 +1,52 @@
-//! A linear model that follows its data: a Kalman filter over the coefficients.
+//! Adaptive linear regression: a Kalman filter over the coefficients.
 //!
-//! Unlike one estimate for each coefficient alone, it keeps how the errors of coefficients hang
-//! together, so that what is always seen together is told apart as soon as it is once seen apart.
+//! Unlike separate estimates of each coefficient, it tracks how their errors are correlated.
+//! Effects that always occur together are separated as soon as they occur once on their own.
 
 use pond_proto::Span;
 
 use super::image::{Image, Images};
 use crate::lesson;
 
-/// Growth of a coefficient's variance with each second in which nobody measured: about ten
-/// measurements a second come in otherwise.
+/// Growth of a coefficient's variance per second without measurements. Otherwise about ten
+/// measurements arrive per second.
 const VARIANCE_GROWTH_PER_S: f64 = 0.001;
 
-/// A model of a measurement as a sum of coefficients times amounts.
+/// Model of a measurement as a sum of coefficients times amounts.
 #[derive(Clone, Debug)]
 pub struct Regression {
-    /// The place of each image's term, by the place of the image; none for those without one.
+    /// Index of each image's term, by index of the image; `None` for images without a term.
     term_indices: Vec<Option<u32>>,
-    /// The image of each term.
+    /// Image of each term.
     terms: Vec<Image>,
     means: Vec<f64>,
-    /// Covariances of the coefficients, row by row.
+    /// Covariance matrix of the coefficients, row by row.
     covariances: Vec<Vec<f64>>,
     tuning: Tuning,
 }
 
-/// What is assumed before anything is measured, and how fast it may change.
+/// Prior assumptions about the coefficients and their rate of change.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// First mean of a coefficient.
+    /// Initial mean of a coefficient.
     pub mean: f64,
-    /// First variance of a coefficient.
+    /// Initial variance of a coefficient.
     pub variance: f64,
     /// Growth of a coefficient's variance with each measurement.
     pub growth: f64,
 }
 
-/// How a measurement compares with what was expected.
+/// Difference between a measurement and its prediction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Innovation {
-    /// Measured less expected.
+    /// Measured value minus predicted value.
     pub error: f64,
-    /// The variance of that difference, noise included.
+    /// Variance of that difference, including noise.
     pub variance: f64,
 }
 
 impl Regression {
-    /// Nothing measured yet.
+    /// Creates a model without measurements.
     pub fn new(tuning: Tuning) -> Regression {
         Regression {
             term_indices: Vec::new(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The model that was written down this long ago, in milliseconds.
+    /// Restores a model that was stored this long ago, in milliseconds.
     pub fn restore(
         image: &lesson::Image,
         age_ms: Span,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Writes the model down.
+    /// Returns the model as estimates to store.
     pub fn estimates(&self, idle_ms: f64, images: &Images) -> lesson::Image {
         let row = |row: &Vec<f64>| row.iter().map(|x| *x as f32).collect();
         lesson::Image {
@@ -95,13 +95,13 @@
         }
     }
 
-    /// The coefficient of an image.
+    /// Returns the coefficient of an image.
     pub fn coefficient(&self, image: Image) -> f64 {
         let index = self.term_indices.get(image.index()).copied().flatten();
         index.map_or(self.tuning.mean, |index| self.means[index as usize])
     }
 
-    /// The place of an image's term, a new one if it has none yet.
+    /// Returns the index of an image's term, and adds a term if there is none.
     fn term_index(&mut self, image: Image) -> usize {
         if let Some(index) = self.term_indices.get(image.index()).copied().flatten() {
             return index as usize;
@@ -119,7 +119,7 @@
         index
     }
 
-    /// Takes in a measurement with the variance of its noise.
+    /// Updates the model with a measurement and the variance of its noise.
     pub fn learn(&mut self, amounts: &[(Image, f64)], measured: f64, noise: f64) -> Innovation {
         let inputs: Vec<(usize, f64)> =
             amounts.iter().map(|(image, amount)| (self.term_index(*image), *amount)).collect();
@@ -132,12 +132,12 @@
         Innovation { error, variance }
     }
 
-    /// Moves the coefficients by an error with this variance, each as far as it hangs together with
+    /// Corrects each coefficient by an error of this variance in proportion to its covariance with
     /// the measurement.
     fn correct(&mut self, shared: &[f64], error: f64, variance: f64) {
         for (i, covariance) in shared.iter().enumerate() {
             let gain = covariance / variance;
-            // No filling run makes a serving one faster.
+            // No best-effort run makes a serving run faster.
             self.means[i] = (self.means[i] + gain * error).max(0.0);
             for (j, other) in shared.iter().enumerate() {
                 self.covariances[i][j] -= gain * other;
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Coefficients may have changed since the last measurement, but never get much less certain
-    /// than at first.
+    /// Increases the variances, as coefficients may have changed since the last measurement, but
+    /// not much beyond their initial value.
     fn grow_variances(&mut self) {
         for (i, row) in self.covariances.iter_mut().enumerate() {
             if row[i] < self.tuning.variance {
@@ -156,14 +156,14 @@
     }
 }
 
-/// An image's term stands there.
+/// Sets the index of an image's term.
 fn set_index(term_indices: &mut Vec<Option<u32>>, image: Image, index: usize) {
     let all = term_indices.len().max(image.index() + 1);
     term_indices.resize(all, None);
     term_indices[image.index()] = Some(index as u32);
 }
 
-/// The sum of the values at these places, each times its amount.
+/// Returns the sum of the values at these indices, each times its amount.
 fn weighted(values: &[f64], inputs: &[(usize, f64)]) -> f64 {
     inputs.iter().map(|(index, amount)| values[*index] * amount).sum()
 }
--- a/crates/pond-job/src/lead/suspect.rs
+++ b/crates/pond-job/src/lead/suspect.rs
@@ -1,9 +1,12 @@
-//! Starts tasks that may have taken down workers, each apart from other work until it is cleared.
+//! Placement of suspects: tasks that may have taken down workers. Each is isolated from other work
+//! until it is cleared.
 //!
-//! A suspect begins on a worker on which everything else has worked for a while, and nothing but suspects of
-//! its own job begins there until it has survived. So the worker's loss tells which job caused it, and a
-//! bystander costs itself less than a second. Suspects go before all other work, as they ask for a worker in peace; they
-//! get a part of the pool at a time, so that several of them cannot take all of it down at once.
+//! A suspect starts on a worker on which everything else has run well for a while, and only
+//! suspects of the same job may start there until it has survived. The loss of the worker then
+//! identifies the job that caused it, and an innocent task loses less than a second. Suspects are
+//! placed before all other work because they need a worker without recent starts. Only a part of
+//! each pool is given to suspects at a time, so that several of them cannot take down the whole
+//! pool.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,41 +24,44 @@
 use crate::job::Task;
 use crate::suspicion::Suspicion;
 
-/// Suspects get one of so many workers of a pool at a time, and one at least.
+/// One of this many workers of a pool is available to suspects at a time, but at least one.
 const WORKERS_PER_SUSPECT: usize = 3;
 
-/// A suspect of one loss waits for a worker of its own for so long, in milliseconds; then it joins others.
+/// A suspect of a single loss waits this long for a worker of its own before it may share one with
+/// other suspects, in milliseconds.
 const SOLO_WAIT_MS: Span = 1_000;
 
-/// The same of more losses, which is likely the cause; and then others, and gangs, begin beside any work.
-/// Users bear three seconds in which nothing of a job runs.
+/// A suspect of several losses is likely the cause and keeps waiting for a worker of its own. After
+/// this time, in milliseconds, suspects of a single loss and gangs may start next to any work.
+/// Users tolerate three seconds in which no task of a job runs.
 const MAX_SOLO_WAIT_MS: Span = 2_500;
 
-/// A suspect waits so long for a worker that it is not expected to disturb, in milliseconds: a second less
-/// than other work that only a belief keeps waiting, as it then waits for the worker to be in peace.
+/// A suspect waits this long for a worker without expected interference, in milliseconds. This is a
+/// second less than for other work, because the suspect then also waits until the worker has no
+/// recent starts.
 const INTERFERENCE_WAIT_MS: Span = MAX_WAIT_MS - 1_000;
 
-/// Suspects that begin together on a worker at most: if it goes down, each of them begins alone the next
-/// time.
+/// Maximum number of suspects that start together on a worker. If the worker is lost, each of them
+/// starts alone the next time.
 const MAX_COLOCATED: usize = 4;
 
-/// A worker beside an agent of which another went down no longer ago than this gets a suspect last, in
-/// milliseconds: it may go down by itself.
+/// A worker is the last choice for a suspect if another worker of its agent crashed within this
+/// time, in milliseconds, since it may crash for a reason of its own.
 const RECENT_CRASH_MS: Span = 10_000;
 
-/// A suspect that waits for a place.
+/// A suspect that waits for placement.
 #[derive(Clone, Copy)]
 pub(super) struct Suspect<'a> {
     now: Millis,
     group: &'a Ready<'a>,
     task: TaskName,
     suspicion: &'a Suspicion,
-    /// How long its job has waited, in milliseconds.
+    /// How long its job has been waiting, in milliseconds.
     waited_ms: Span,
 }
 
 impl Leader {
-    /// The task of a group as a suspect; none if it is none.
+    /// Returns the task of a group as a suspect; `None` if it is not one.
     pub(super) fn suspect<'a>(
         &self,
         now: Millis,
@@ -69,7 +75,7 @@
         Some(suspect).filter(|_| suspicion.suspect)
     }
 
-    /// Starts the suspects whose turn has come, as far as there are workers to try them on.
+    /// Starts the suspects whose turn has come, as far as there are workers to isolate them on.
     pub(super) fn place_suspects(
         &self,
         now: Millis,
@@ -82,8 +88,8 @@
         if groups.is_empty() {
             return;
         }
-        // Whoever is most likely the cause first, as it is soon given up; then who has waited for longest. By
-        // urgency a job whose suspects are lost again and again would come first each time.
+        // The most likely culprits go first, as they are given up soon; then those that have waited
+        // longest. By urgency, a job whose suspects are lost repeatedly would go first every time.
         let waited =
             |group: &Ready<'_>| self.waits.get(&group.id).map(|wait| now.since(wait.since));
         groups.sort_by_key(|group| Reverse((most_suspicious(group), waited(group))));
@@ -108,7 +114,7 @@
                 );
                 candidates[found].assign_suspect(group.id);
                 if suspect.is_some_and(|suspect| suspect.suspicion.repeated()) {
-                    // Nobody joins what is likely the cause of several losses.
+                    // No other suspect may join the likely cause of several losses.
                     candidates[found].suspects = MAX_COLOCATED;
                 }
                 let run = RunName { task: name, number: task.run + 1 };
@@ -117,9 +123,10 @@
         }
     }
 
-    /// The place for a suspect: beside others of its job that begin now, else a worker of its own, if one
-    /// more may be given to suspects. If none is in peace yet, one is kept until it is. A suspect that has
-    /// waited joins those of other jobs.
+    /// Returns the worker for a suspect: one on which other suspects of its job start now, else a
+    /// worker of its own if the limit for suspects allows one more. If none is without recent
+    /// starts yet, one is held until it is. A suspect that has waited long enough joins suspects of
+    /// other jobs.
     fn worker_for(
         &self,
         suspect: Suspect<'_>,
@@ -148,16 +155,18 @@
         self.shared_worker(suspect, candidates)
     }
 
-    /// Whether a task has to begin apart from other work. A suspect of one loss is most likely a bystander,
-    /// and when many workers go down there are many of them: one that has waited for long goes with other
-    /// work, as do gangs, which rarely find all their workers in peace at the same time.
+    /// Returns whether a task must be isolated at its start. A suspect of a single loss is most
+    /// likely innocent, and there are many of them when many workers are lost, so after a long wait
+    /// it starts with other work. So do gangs, which rarely find enough workers without recent
+    /// starts at the same time.
     pub(super) fn needs_isolation(&self, now: Millis, group: &Ready<'_>, index: usize) -> bool {
         let Some(suspect) = self.suspect(now, group, index) else { return false };
         let may_share = group.step.gang || suspect.suspicion.likely <= 1;
         !may_share || suspect.waited_ms < MAX_SOLO_WAIT_MS
     }
 
-    /// The place of a worker on which a suspect would be alone with what has worked for a while.
+    /// Returns the index of a worker on which a suspect would run only with tasks that have run
+    /// well for a while.
     pub(super) fn isolated_worker(
         &self,
         suspect: Suspect<'_>,
@@ -166,7 +175,8 @@
         self.best_worker(suspect, candidates, |candidate| candidate.isolates(suspect.group.id))
     }
 
-    /// The place of a worker on which a suspect begins together with others, once it has waited for long.
+    /// Returns the index of a worker on which a suspect that has waited long enough starts together
+    /// with others.
     fn shared_worker(&self, suspect: Suspect<'_>, candidates: &[Candidate]) -> Option<usize> {
         if suspect.suspicion.repeated() || suspect.waited_ms < SOLO_WAIT_MS {
             return None;
@@ -177,8 +187,8 @@
         self.best_worker(suspect, candidates, joins)
     }
 
-    /// The place of the best of those candidates for a suspect: none that it was lost on, none that went
-    /// down of late, and with little at stake.
+    /// Returns the index of the best allowed candidate for a suspect. It prefers workers of agents
+    /// on which the task was not lost, without a recent crash, and with few runs at risk.
     fn best_worker(
         &self,
         suspect: Suspect<'_>,
@@ -187,7 +197,7 @@
     ) -> Option<usize> {
         let Suspect { now, group, task, suspicion, waited_ms } = suspect;
         let impact = self.interference.impact(group.image);
-        // What is only believed of harm does not keep it waiting for long.
+        // Estimates of interference do not delay a suspect for long.
         let tolerate_interference = waited_ms >= INTERFERENCE_WAIT_MS;
         let suitable = |candidate: &Candidate| {
             allowed(candidate)
@@ -211,7 +221,8 @@
         found.min_by_key(|(_, candidate)| key(candidate)).map(|(index, _)| index)
     }
 
-    /// What keeps a suspect of a group waiting that the plan has not started; none if there is none.
+    /// Returns the obstacles for a suspect of the group that the plan has not started; `None` if
+    /// there is no such suspect.
     pub(super) fn suspect_obstacles(
         &self,
         now: Millis,
@@ -227,19 +238,19 @@
     }
 }
 
-/// How often the most suspicious task of a group that waits was likely the cause of a loss.
+/// Returns for how many losses the most suspicious waiting task of a group was a likely cause.
 fn most_suspicious(group: &Ready<'_>) -> u32 {
     let suspicions = group.tasks().iter().filter(|task| waits(task));
     let likely = suspicions.filter_map(|task| Some(task.suspicion.as_ref()?.likely));
     likely.max().unwrap_or(0)
 }
 
-/// Whether a task is a suspect that needs a worker.
+/// Returns whether a task is a suspect that needs a worker.
 fn waits(task: &Task) -> bool {
     task.waits() && task.suspect()
 }
 
-/// How many more workers of each pool may be given to suspects.
+/// Returns how many more workers of each pool may be given to suspects.
 fn open_slots(candidates: &[Candidate]) -> BTreeMap<String, usize> {
     let mut pools: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     for candidate in candidates.iter().filter(|candidate| !candidate.evacuated) {
--- a/crates/pond-job/src/lead/wait.rs
+++ b/crates/pond-job/src/lead/wait.rs
@@ -1,5 +1,5 @@
-//! Jobs with tasks whose turn has come and that find no place: since when they wait, since when nothing
-//! of them runs, and a line for each, bounded in number.
+//! Waiting times of jobs that have tasks whose turn has come but that cannot be placed. Each such
+//! job is logged, with a limit on the number of log lines.
 
 use pond_proto::job::Phase;
 use pond_proto::{Millis, Span};
@@ -12,30 +12,33 @@
 use crate::job::Job;
 use crate::state::State;
 
-/// A job that waits gets a line at most this often, in milliseconds, the first after as long.
+/// Minimum interval between the log lines of a waiting job, and delay of its first one, in
+/// milliseconds.
 const LOG_INTERVAL_MS: Span = 1_000;
 
-/// Lines in one plan at most. There are about ten plans a second, so a long queue does not flood
-/// the log.
+/// Maximum number of log lines per plan. There are about ten plans per second, so a long queue does
+/// not flood the log.
 const MAX_LOG_LINES: usize = 4;
 
-/// What a new leader counts at most of the time before it led, in milliseconds. The rest of the
-/// patience is for workers to report, so that nothing is tried only because they are not known yet.
+/// Maximum waiting time before its own term that a new leader counts, in milliseconds. The rest of
+/// the maximum wait is left for workers to report, so that no placement is forced only because they
+/// are not known yet.
 const MAX_INHERITED_WAIT_MS: Span = MAX_WAIT_MS - DISCOVERY_MS;
 
-/// Since when a job waits.
+/// Waiting time of a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wait {
-    /// Since when tasks of it find no place.
+    /// Since when tasks of the job could not be placed.
     pub since: Millis,
-    /// Since when nothing of it runs besides; none while something does.
+    /// Since when no task of the job has been running; `None` while one is.
     pub starved_since: Option<Millis>,
     logged_at: Millis,
 }
 
 impl Wait {
-    /// Of a job that is seen waiting for the first time. One that was never begun has waited since it
-    /// was accepted, whoever led; of others only the former leader knew.
+    /// Creates the entry for a job that is seen waiting for the first time. A job that has never
+    /// started has waited since it was accepted, whichever replica led; for others only the former
+    /// leader knew.
     fn new(now: Millis, wall: Millis, job: &Job) -> Wait {
         let started = job.phase != Phase::Queued || job.spec.repeat.is_some();
         let waited = if started { 0 } else { wall.since(job.at).min(MAX_INHERITED_WAIT_MS) };
@@ -43,20 +46,21 @@
         Wait { since, starved_since: Some(since), logged_at: now }
     }
 
-    /// Of a job whose runs went down with a worker that was last known to live then.
+    /// Creates the entry for a job whose runs were lost with a worker that was last known to be
+    /// alive at `last_alive`.
     pub fn after_loss(now: Millis, last_alive: Millis) -> Wait {
         Wait { since: last_alive, starved_since: Some(last_alive), logged_at: now }
     }
 
-    /// For how long nothing of the job has run, in milliseconds.
+    /// Returns for how long no task of the job has been running, in milliseconds.
     pub fn starved_ms(&self, now: Millis) -> Span {
         self.starved_since.map_or(0, |since| now.since(since))
     }
 }
 
 impl Leader {
-    /// Keeps since when jobs wait and stand still, and logs what is in the way. What is known of the
-    /// groups that the plan did not reach stays as it is.
+    /// Updates since when jobs have been waiting and starved, and logs their obstacles. The entries
+    /// of groups that the plan did not visit are kept.
     pub(super) fn note_waits<'a>(
         &mut self,
         state: &State,
@@ -87,9 +91,9 @@
         }
     }
 
-    /// Whether a worker that answers has something of the job. A place in the replicated state is no
-    /// proof that something runs: a worker that has fallen silent may be dead, and so may one of which
-    /// only its agent tells.
+    /// Returns whether a responsive worker has a task of the job. A placement in the replicated
+    /// state does not show that a task is running: a silent worker may be dead, and so may one that
+    /// only its agent reports on.
     fn runs_somewhere(&self, state: &State, now: Millis, job: &Job) -> bool {
         if job.placed == 0 {
             return false;
--- a/crates/pond-job/src/lead/worker.rs
+++ b/crates/pond-job/src/lead/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as its agent reports it.
+//! State of a worker as its agent reports it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,67 +10,67 @@
 use super::progress::Progress;
 use crate::change::End;
 
-/// The orders about a run since the link opened.
+/// Orders about a run since the link was opened.
 #[derive(Clone, Copy, Debug)]
 pub struct Ordered {
-    /// Whether by the last it was to go on, or to stop.
+    /// Whether the last order was to keep it running, as opposed to stopping it.
     pub keep_running: bool,
-    /// When the last was sent.
+    /// When the last order was sent.
     pub at: Millis,
-    /// How many were sent.
+    /// Number of orders sent.
     pub times: u32,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// The agent beside it.
+    /// Agent of the worker.
     pub agent: String,
-    /// The link to the agent, while it is open.
+    /// Link to the agent while it is open.
     pub link: Option<u64>,
-    /// The link is new, so the agent may be, too.
+    /// Whether the link is new, so that the agent may be new as well.
     pub new_link: bool,
-    /// When it last reported.
+    /// When the last report arrived.
     pub reported_at: Millis,
-    /// Its clock, as last reported, in milliseconds.
+    /// Clock of the worker according to its last report, in milliseconds.
     pub clock_ms: u64,
-    /// When its clock last went on. An agent may report for a worker that is dead; its clock then
-    /// stands still, and so does the end of its lease.
+    /// When its clock last advanced. An agent may report for a dead worker; the clock then stands
+    /// still, and so does the end of the lease.
     pub clock_advanced_at: Millis,
-    /// Its pool.
+    /// Pool of the worker.
     pub pool: String,
-    /// Its room.
+    /// Total capacity of the worker.
     pub capacity: Size,
-    /// Its labels.
+    /// Labels of the worker.
     pub labels: BTreeSet<String>,
-    /// Its data centre.
+    /// Data centre of the worker.
     pub data_centre: String,
-    /// It will leave and gets nothing more.
+    /// Whether it is about to leave and gets no more work.
     pub draining: bool,
-    /// It answers its agent.
+    /// Whether it answers its agent.
     pub answers: bool,
-    /// Runs that it was told of or has.
+    /// Runs that the worker has or that its agent was ordered to start.
     pub rows: BTreeMap<RunName, RunRow>,
-    /// Runs that ended there and whose ends are not known to be settled.
+    /// Runs that ended there and whose ends are not known to be committed.
     pub ended: BTreeSet<RunName>,
-    /// How the runs get on.
+    /// Progress of the runs.
     pub progress: BTreeMap<RunName, Progress>,
-    /// How the agent was told to watch each run.
+    /// Watches that the agent has received, by run.
     pub watched: BTreeMap<RunName, Watch>,
-    /// The orders to start or stop each run since the link opened.
+    /// Orders to start or stop each run since the link was opened.
     pub ordered: BTreeMap<RunName, Ordered>,
-    /// Ends up to this number are proposed.
+    /// Ends up to this number have been proposed.
     pub proposed_through: u64,
     /// When ends or unstarted runs were last proposed.
     pub proposed_at: Millis,
-    /// Unstarted runs that are proposed.
+    /// Unstarted runs that have been proposed.
     pub unstarted: BTreeSet<RunName>,
-    /// Unstarted runs that the agent need not report any more.
+    /// Unstarted runs that the agent no longer needs to report.
     pub forget: BTreeSet<RunName>,
 }
 
 impl Worker {
-    /// A worker of which nothing is known.
+    /// Creates a worker about which nothing is known.
     pub fn new(agent: &str) -> Worker {
         Worker {
             agent: agent.to_owned(),
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Takes in a report; whether its figures are new.
+    /// Stores a report. Returns whether its figures are new.
     pub fn apply_report(&mut self, now: Millis, link: u64, report: &Report) -> bool {
         if self.link != Some(link) {
             self.new_link = true;
-            // Orders on the former link may be lost.
+            // Orders on the previous link may be lost.
             self.ordered.clear();
         }
         self.link = Some(link);
@@ -118,7 +118,7 @@
         self.answers = report.answers;
         let rows: BTreeMap<RunName, RunRow> =
             report.runs.iter().map(|row| (row.run, row.clone())).collect();
-        // A report may come for another reason than a new list.
+        // Not every report contains new figures.
         let figures = |rows: &BTreeMap<RunName, RunRow>| -> Vec<u32> {
             rows.values().map(|row| row.figure).collect()
         };
@@ -128,7 +128,7 @@
         new
     }
 
-    /// Remembers what is proposed; what of it was not proposed before.
+    /// Records proposed ends and unstarted runs. Returns those that were not proposed before.
     pub fn note_proposed(
         &mut self,
         ends: &[End],
@@ -144,31 +144,32 @@
         (new_ends, new_unstarted)
     }
 
-    /// Whether a run may be ordered to go on or to stop: at once if the last order was another one,
-    /// so that a stop does not wait for up to a second after a start; else again after a while.
+    /// Returns whether an order to keep a run running or to stop it may be sent: immediately if the
+    /// last order was the opposite, so that a stop does not wait up to a second after a start;
+    /// otherwise after the retry interval.
     pub fn order_due(&self, run: RunName, keep_running: bool, now: Millis) -> bool {
         let last = self.ordered.get(&run).filter(|last| last.keep_running == keep_running);
         last.is_none_or(|last| now.since(last.at) >= ORDER_RETRY_MS)
     }
 
-    /// Remembers that a run was ordered to go on or to stop.
+    /// Records an order to keep a run running or to stop it.
     pub fn note_order(&mut self, run: RunName, keep_running: bool, now: Millis) {
         let times = self.ordered.get(&run).map_or(0, |before| before.times);
         self.ordered.insert(run, Ordered { keep_running, at: now, times: times.saturating_add(1) });
     }
 
-    /// Whether the agent tells of a run, or of its end.
+    /// Returns whether the agent reports the run or its end.
     pub fn knows(&self, run: RunName) -> bool {
         self.rows.contains_key(&run) || self.ended.contains(&run)
     }
 
-    /// Nothing is ordered of it any more.
+    /// Stops sending orders for this incarnation.
     pub fn disconnect(&mut self) {
         self.link = None;
         self.answers = false;
     }
 
-    /// Whether the worker itself has listed a run.
+    /// Returns whether the worker itself has listed a run.
     pub fn has_listed(&self, run: RunName) -> bool {
         self.rows.get(&run).is_some_and(|row| !row.unlisted)
     }
