--- a/crates/pond-job/src/lead/absent.rs
+++ b/crates/pond-job/src/lead/absent.rs
@@ -37,7 +37,7 @@
 
 impl Leader {
     /// Updates since when placed runs are not listed by their workers, and logs long absences.
-    pub(super) fn note_absent(&mut self, state: &State, now: Millis) {
+    pub(super) fn update_absences(&mut self, state: &State, now: Millis) {
         let known = std::mem::take(&mut self.absent);
         let mut absent = BTreeMap::new();
         let mut lines = 0;
--- a/crates/pond-job/src/lead/ask.rs
+++ b/crates/pond-job/src/lead/ask.rs
@@ -8,7 +8,7 @@
 use super::advice::{Permit, Question, StepName};
 use super::candidate::Candidate;
 use super::overdue::{MAX_WAIT_MS, UNHEALTHY};
-use super::ready::Ready;
+use super::ready::Group;
 use super::{Leader, Output};
 use crate::configuration::Advice;
 use crate::state::State;
@@ -39,7 +39,7 @@
     pub(super) fn ask_about_ready(
         &mut self,
         now: Millis,
-        ready: &[Ready<'_>],
+        ready: &[Group<'_>],
         candidates: &[Candidate],
     ) {
         let advised = ready.iter().filter(|group| group.job.advice.is_some());
--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -46,8 +46,8 @@
     }
 
     /// Records the crash of a worker without runs, which was spontaneous.
-    pub fn note_idle_loss(&mut self) {
-        self.rate.note();
+    pub fn record_idle_loss(&mut self) {
+        self.rate.record();
     }
 
     /// Returns whether several other workers recently crashed for reasons unrelated to their runs.
@@ -132,7 +132,7 @@
             };
             if !case.runs.iter().any(explained) {
                 self.losses.unexplained.insert(agent.to_owned(), now);
-                self.losses.rate.note();
+                self.losses.rate.record();
             }
         }
         let causes = self.causes(state, now, &case);
--- a/crates/pond-job/src/lead/cause.rs
+++ b/crates/pond-job/src/lead/cause.rs
@@ -35,7 +35,7 @@
 
 impl Rate {
     /// Records the loss of a worker on which nothing had just started.
-    pub fn note(&mut self) {
+    pub fn record(&mut self) {
         self.losses += 1;
     }
 
--- a/crates/pond-job/src/lead/colocation.rs
+++ b/crates/pond-job/src/lead/colocation.rs
@@ -36,6 +36,6 @@
 }
 
 /// Converts a utilization to whole thousandths; a negative one becomes zero.
-pub(super) fn permille(pressure: f64) -> u32 {
-    (pressure * 1_000.0) as u32
+pub(super) fn permille(utilization: f64) -> u32 {
+    (utilization * 1_000.0) as u32
 }
--- a/crates/pond-job/src/lead/duration.rs
+++ b/crates/pond-job/src/lead/duration.rs
@@ -94,13 +94,13 @@
     /// Work of jobs, by queue.
     jobs: BTreeMap<String, Mean>,
     /// First runs of tasks that were assigned to workers.
-    started: BTreeMap<RunName, Started>,
+    started: BTreeMap<RunName, Start>,
 }
 
 /// Start of a run. The data of its step is copied, because a job that ends with the run drops its
 /// steps.
 #[derive(Clone, Debug)]
-struct Started {
+struct Start {
     at: Millis,
     queue: String,
     estimate_ms: Span,
@@ -111,7 +111,7 @@
 
 impl Durations {
     /// Records that a run was assigned to a worker.
-    pub fn note_start(&mut self, state: &State, now: Millis, run: RunName) {
+    pub fn record_start(&mut self, state: &State, now: Millis, run: RunName) {
         // Later runs may continue from a checkpoint.
         let job = state.job(run.task.job).filter(|_| run.number == 1);
         let Some((job, step)) = job.and_then(|job| Some((job, job.step(run.task)?))) else {
@@ -121,11 +121,11 @@
             return;
         }
         let (queue, estimate_ms) = (job.queue.clone(), step.estimate_ms);
-        self.started.insert(run, Started { at: now, queue, estimate_ms, tasks: step.tasks.max(1) });
+        self.started.insert(run, Start { at: now, queue, estimate_ms, tasks: step.tasks.max(1) });
     }
 
     /// Records the end of a run; `done` tells whether it succeeded.
-    pub fn note_end(&mut self, now: Millis, run: RunName, done: bool) {
+    pub fn record_end(&mut self, now: Millis, run: RunName, done: bool) {
         let Some(started) = self.started.remove(&run).filter(|_| done) else { return };
         let duration = now.since(started.at).max(1) as f64;
         let line = self.lines.entry(started.queue).or_default();
@@ -138,7 +138,7 @@
     }
 
     /// Records the work of a submitted job, see [`Durations::work`].
-    pub fn note_job(&mut self, job: &Job) {
+    pub fn record_job(&mut self, job: &Job) {
         let work = self.work(job, 0, |_| true);
         self.jobs.entry(job.queue.clone()).or_default().learn(work);
     }
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -104,7 +104,7 @@
         }
         let known = self.workers.remove(incarnation).is_some();
         if known && !logged && !left {
-            self.losses.note_idle_loss();
+            self.losses.record_idle_loss();
         }
     }
 
@@ -214,7 +214,7 @@
 
     /// Handles a committed loss: the jobs of its runs have been starved since the worker was last
     /// known to be alive, unless other runs of theirs continue.
-    pub(super) fn note_lost(&mut self, state: &State, now: Millis, incarnation: &str) {
+    pub(super) fn record_lost(&mut self, state: &State, now: Millis, incarnation: &str) {
         let Some(loss) = self.proposed_losses.remove(incarnation) else { return };
         let jobs: BTreeSet<u64> = loss.runs.iter().map(|lost| lost.run.task.job).collect();
         for id in jobs {
@@ -298,19 +298,19 @@
         if ends.is_empty() && unstarted.is_empty() {
             return;
         }
-        let (new_ends, new_unstarted) = worker.note_proposed(&ends, &unstarted);
+        let (new_ends, new_unstarted) = worker.record_proposed(&ends, &unstarted);
         let has_new = !new_ends.is_empty() || !new_unstarted.is_empty();
         if !has_new && now.since(worker.proposed_at) < PROPOSAL_RETRY_MS {
             return;
         }
         worker.proposed_at = now;
-        self.note_ends(state, now, incarnation, &new_ends, &new_unstarted);
+        self.record_ends(state, now, incarnation, &new_ends, &new_unstarted);
         let worker = incarnation.to_owned();
         self.outputs.push(Output::Propose(Change::Ended { worker, ends, unstarted }));
     }
 
     /// Updates the health of a worker from ends.
-    fn note_ends(
+    fn record_ends(
         &mut self,
         state: &State,
         now: Millis,
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -214,7 +214,7 @@
             Change::Start(starts) => {
                 self.start_proposed_at = None;
                 for start in starts {
-                    self.durations.note_start(state, now, start.run);
+                    self.durations.record_start(state, now, start.run);
                     self.last_starts.insert(start.worker.clone(), now);
                     self.touch(&start.worker);
                     self.withdraw_excess(state, &start.worker);
@@ -223,7 +223,7 @@
             }
             Change::Submit { id, .. } => {
                 if let Some(job) = state.job(*id) {
-                    self.durations.note_job(job);
+                    self.durations.record_job(job);
                 }
             }
             Change::Evacuate { data_centre, .. } | Change::Readmit { data_centre } => {
@@ -235,7 +235,7 @@
             Change::Ended { worker, ends, .. } => {
                 self.touch(worker);
                 for end in ends {
-                    self.durations.note_end(now, end.run, end.how == How::Done);
+                    self.durations.record_end(now, end.run, end.how == How::Done);
                 }
                 // The end of one task of a gang ends all of its tasks.
                 let jobs: BTreeSet<u64> = ends.iter().map(|end| end.run.task.job).collect();
@@ -245,7 +245,7 @@
                 }
             }
             Change::WorkerLost { worker, .. } => {
-                self.note_lost(state, now, worker);
+                self.record_lost(state, now, worker);
                 self.touch(worker);
                 self.drop_lost_runs(state);
             }
@@ -315,7 +315,7 @@
                 self.forget_cleared(state);
                 self.drop_reconciled(state);
                 self.touch_unreconciled(state, now);
-                self.note_absent(state, now);
+                self.update_absences(state, now);
                 self.ask_about_placed(state, now);
                 self.propose_estimates(state, now, wall);
             }
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -155,7 +155,7 @@
         if advised && ticket.is_none() {
             continue;
         }
-        worker.note_order(run, true, now);
+        worker.record_order(run, true, now);
         let watch = watches.iter().find(|watch| watch.run == run).cloned();
         starts.extend(start_order(state, run, watch, ticket.unwrap_or_default()));
     }
@@ -169,7 +169,7 @@
     let orphans = worker.rows.keys().filter(|run| !wanted.contains_key(run)).copied();
     let mut stops: Vec<RunName> = unwanted.chain(orphans).collect();
     stops.retain(|run| worker.order_due(*run, false, now));
-    stops.iter().for_each(|run| worker.note_order(*run, false, now));
+    stops.iter().for_each(|run| worker.record_order(*run, false, now));
     stops
 }
 
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -24,7 +24,7 @@
 use super::candidate::{Candidate, Undo};
 use super::obstacle::{Obstacle, Obstacles};
 use super::plan::MAX_STARTS;
-use super::ready::Ready;
+use super::ready::Group;
 use super::wait::Wait;
 use super::{Decision, Leader, Output};
 use crate::change::Start;
@@ -74,17 +74,17 @@
 
 /// A forced placement that is due.
 #[derive(Clone, Copy)]
-struct Due {
+struct Placement {
     /// How long nothing that should run has run, in milliseconds.
     starved_ms: Span,
     tolerance: Tolerance,
 }
 
-impl Due {
+impl Placement {
     /// Returns the forced placement of a waiting group; `None` while a task of its job is running,
     /// or before the maximum wait is over. Each unplaced long-running task counts as starved,
     /// whatever else is running.
-    fn of(now: Millis, group: &Ready<'_>, wait: Wait, ample: bool) -> Option<Due> {
+    fn of(now: Millis, group: &Group<'_>, wait: Wait, ample: bool) -> Option<Placement> {
         let long_running = group.step.lasting;
         let waited_ms = now.since(wait.since);
         // Users tolerate the same wait of long-running tasks however full the pool is.
@@ -101,7 +101,7 @@
             uses_reserved: short || spends_attempts,
             spends_attempts,
         };
-        Some(Due { starved_ms, tolerance })
+        Some(Placement { starved_ms, tolerance })
     }
 }
 
@@ -112,7 +112,7 @@
         &mut self,
         state: &State,
         now: Millis,
-        blocked: &[(&Ready<'_>, Obstacles)],
+        blocked: &[(&Group<'_>, Obstacles)],
         candidates: &mut [Candidate],
         starts: &mut Vec<Start>,
     ) {
@@ -124,9 +124,13 @@
             }
             let started = starts.iter().any(|start| start.run.task.job == group.id);
             let ample = ample.contains(&group.job.pool);
-            let Some(due) = Due::of(now, group, wait, ample).filter(|_| !started) else { continue };
-            for start in self.force(now, group, due.tolerance, candidates) {
-                let (run, worker, starved_ms) = (start.run, start.worker.clone(), due.starved_ms);
+            let Some(placement) = Placement::of(now, group, wait, ample).filter(|_| !started)
+            else {
+                continue;
+            };
+            for start in self.force(now, group, placement.tolerance, candidates) {
+                let (run, worker, starved_ms) =
+                    (start.run, start.worker.clone(), placement.starved_ms);
                 self.forced.insert(run);
                 self.outputs.push(Output::Decided(Decision::Forced { run, worker, starved_ms }));
                 starts.push(start);
@@ -139,10 +143,10 @@
     fn by_starvation<'a>(
         &self,
         now: Millis,
-        blocked: &[(&'a Ready<'a>, Obstacles)],
-    ) -> Vec<(&'a Ready<'a>, Wait)> {
+        blocked: &[(&'a Group<'a>, Obstacles)],
+    ) -> Vec<(&'a Group<'a>, Wait)> {
         let wait =
-            |(group, _): &(&'a Ready<'a>, Obstacles)| Some((*group, *self.waits.get(&group.id)?));
+            |(group, _): &(&'a Group<'a>, Obstacles)| Some((*group, *self.waits.get(&group.id)?));
         let mut groups: Vec<_> = blocked.iter().filter_map(wait).collect();
         groups.sort_by_key(|(_, wait)| Reverse(wait.starved_ms(now)));
         groups
@@ -153,7 +157,7 @@
     fn force(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         tolerance: Tolerance,
         candidates: &mut [Candidate],
     ) -> Vec<Start> {
@@ -171,7 +175,7 @@
     fn force_each(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         tolerance: Tolerance,
         tasks: &[(usize, u32)],
         candidates: &mut [Candidate],
@@ -207,7 +211,7 @@
     fn ignored_obstacles(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         task: TaskName,
         tolerance: Tolerance,
         candidates: &[Candidate],
@@ -239,7 +243,7 @@
     fn least_interference(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         task: TaskName,
         tolerance: Tolerance,
         candidates: &[Candidate],
@@ -275,7 +279,7 @@
 /// none of its tasks is placed, and all long-running tasks, as each has its own purpose. Of other
 /// steps it is a single task, which shows what the others would do, and preferably one that has not
 /// failed, as a failure would reveal little.
-fn forced_tasks(group: &Ready<'_>) -> Vec<(usize, u32)> {
+fn forced_tasks(group: &Group<'_>) -> Vec<(usize, u32)> {
     let tasks = group.tasks();
     let waiting = || tasks.iter().enumerate().filter(|(_, task)| task.waits());
     let next = |(index, task): (usize, &Task)| (index, task.run + 1);
--- a/crates/pond-job/src/lead/plan.rs
+++ b/crates/pond-job/src/lead/plan.rs
@@ -6,7 +6,7 @@
 use super::candidate::{Candidate, Undo};
 use super::obstacle::{Obstacle, Obstacles};
 use super::rank::{Ranking, Rejections};
-use super::ready::{Ready, ready};
+use super::ready::{Group, ready};
 use super::{Leader, Output, PROPOSAL_RETRY_MS};
 use crate::change::{Change, Start};
 use crate::job::Task;
@@ -43,7 +43,7 @@
         let mut ready = ready(state, now, wall, &mut self.interference, &self.durations);
         let mut deferred = Vec::new();
         if self.batches_serving(state, now, &ready) {
-            let proceeds = |group: &Ready<'_>| group.serving.is_none() && !group.step.fills;
+            let proceeds = |group: &Group<'_>| group.serving.is_none() && !group.step.fills;
             (ready, deferred) = ready.into_iter().partition(proceeds);
         }
         if ready.is_empty() {
@@ -71,7 +71,7 @@
                 None => self.place(now, group, &mut candidates, &mut starts),
             };
             if let Some(obstacles) = obstacles {
-                rejections.note(group, &obstacles);
+                rejections.record(group, &obstacles);
                 blocked.push((group, obstacles));
             } else if let Some(obstacles) = self.suspect_obstacles(now, group, &candidates, &starts)
             {
@@ -79,7 +79,7 @@
             }
         }
         let unvisited = ready[visited..].iter().chain(&deferred);
-        self.note_waits(state, now, wall, &blocked, unvisited);
+        self.update_waits(state, now, wall, &blocked, unvisited);
         self.force_overdue(state, now, &blocked, &mut candidates, &mut starts);
         self.ask_about_ready(now, &ready, &candidates);
         self.cache.keep(candidates);
@@ -92,7 +92,7 @@
     /// Returns whether serving tasks have to wait, either for further ones to pack them together or
     /// for workers that have not reported to this leader yet. Best-effort tasks wait with them: if
     /// they took the workers in the meantime, they would have to move again within a second.
-    fn batches_serving(&mut self, state: &State, now: Millis, ready: &[Ready<'_>]) -> bool {
+    fn batches_serving(&mut self, state: &State, now: Millis, ready: &[Group<'_>]) -> bool {
         if ready.iter().all(|group| group.serving.is_none()) {
             self.batching_since = None;
             return false;
@@ -113,7 +113,7 @@
     fn place(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         candidates: &mut [Candidate],
         starts: &mut Vec<Start>,
     ) -> Option<Obstacles> {
@@ -152,7 +152,7 @@
     fn place_gang(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         candidates: &mut [Candidate],
         starts: &mut Vec<Start>,
     ) -> Option<Obstacles> {
@@ -201,7 +201,7 @@
     pub(super) fn obstacles(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         task: TaskName,
         candidates: &[Candidate],
     ) -> Obstacles {
@@ -219,7 +219,7 @@
     pub(super) fn lacks_ticket(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         task: TaskName,
         incarnation: &str,
     ) -> bool {
@@ -229,7 +229,7 @@
 
 /// Reserves capacity for the tasks of a step from `first` on. Only long-running tasks justify idle
 /// capacity: other tasks find a place sooner or later, and reserved capacity goes unused.
-fn reserve_capacity(group: &Ready<'_>, first: usize, candidates: &mut [Candidate]) {
+fn reserve_capacity(group: &Group<'_>, first: usize, candidates: &mut [Candidate]) {
     if !group.step.lasting {
         return;
     }
--- a/crates/pond-job/src/lead/rank.rs
+++ b/crates/pond-job/src/lead/rank.rs
@@ -15,7 +15,7 @@
 use super::image::Image;
 use super::interference::Impact;
 use super::obstacle::Obstacles;
-use super::ready::Ready;
+use super::ready::Group;
 
 /// Quality of a placement, higher is better: whether the worker is considered healthy, then the
 /// score of the candidate.
@@ -25,7 +25,7 @@
 pub(super) struct Ranking<'a> {
     leader: &'a Leader,
     now: Millis,
-    group: &'a Ready<'a>,
+    group: &'a Group<'a>,
     impact: Impact,
     /// Scores in the order of the candidates; `None` where a task may not run now.
     keys: Vec<Option<Key>>,
@@ -36,7 +36,7 @@
     pub fn new(
         leader: &'a Leader,
         now: Millis,
-        group: &'a Ready<'a>,
+        group: &'a Group<'a>,
         candidates: &[Candidate],
     ) -> Ranking<'a> {
         let impact = leader.interference.impact(group.image);
@@ -70,7 +70,7 @@
     }
 
     fn key(&self, candidate: &Candidate) -> Option<Key> {
-        let Ready { step, job, serving, .. } = self.group;
+        let Group { step, job, serving, .. } = self.group;
         // All tasks of the group are alike in this respect.
         let task = self.group.task(0);
         let fits = candidate.fits(&job.pool, task, step) && candidate.tolerates(step, &self.impact);
@@ -97,8 +97,8 @@
 impl<'a> Demand<'a> {
     /// Returns the demand of a group; `None` if its placement depends on more than that: on where
     /// its other tasks run, on an adviser, or on the placement of all its tasks together.
-    fn of(group: &Ready<'a>) -> Option<Demand<'a>> {
-        let Ready { step, job, .. } = group;
+    fn of(group: &Group<'a>) -> Option<Demand<'a>> {
+        let Group { step, job, .. } = group;
         if step.gang || step.most_per_worker > 0 || job.advice.is_some() {
             return None;
         }
@@ -122,14 +122,14 @@
 impl<'a> Rejections<'a> {
     /// Returns the obstacles of a group with the same demand; `None` if no such demand was
     /// rejected.
-    pub fn obstacles(&self, group: &Ready<'a>) -> Option<Obstacles> {
+    pub fn obstacles(&self, group: &Group<'a>) -> Option<Obstacles> {
         let demand = Demand::of(group)?;
         let found = self.demands.iter().find(|(other, _)| *other == demand);
         found.map(|(_, obstacles)| obstacles.clone())
     }
 
     /// Records that a group could not be placed.
-    pub fn note(&mut self, group: &Ready<'a>, obstacles: &Obstacles) {
+    pub fn record(&mut self, group: &Group<'a>, obstacles: &Obstacles) {
         let Some(demand) = Demand::of(group) else { return };
         if !self.demands.iter().any(|(other, _)| *other == demand) {
             self.demands.push((demand, obstacles.clone()));
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -20,7 +20,7 @@
 const FIXED_VALUE_SHARE: f64 = 0.3;
 
 /// A group of tasks whose turn has come.
-pub(super) struct Ready<'a> {
+pub(super) struct Group<'a> {
     /// Sort key; the lowest is placed first.
     pub urgency: Urgency,
     /// Id of the job.
@@ -65,7 +65,7 @@
     Worthless,
 }
 
-impl<'a> Ready<'a> {
+impl<'a> Group<'a> {
     /// Returns all tasks of the group, including those that are placed or done.
     pub fn tasks(&self) -> &'a [Task] {
         &self.job.times[self.time][self.step_index]
@@ -89,7 +89,7 @@
     wall: Millis,
     interference: &mut Interference,
     durations: &Durations,
-) -> Vec<Ready<'a>> {
+) -> Vec<Group<'a>> {
     let mut ready = Vec::new();
     for (id, job) in state.active().filter(|(_, job)| !job.phase.ended()) {
         for (time, steps) in job.times.iter().enumerate() {
@@ -101,7 +101,7 @@
                     let urgency = urgency(state, durations, job, time, wall);
                     let serving = interference.new_serving(now, step);
                     let image = interference.image(&step.image);
-                    ready.push(Ready { urgency, id, time, step_index, step, job, image, serving });
+                    ready.push(Group { urgency, id, time, step_index, step, job, image, serving });
                 }
             }
         }
@@ -114,7 +114,7 @@
 /// Sorts serving groups of equal priority so that they pack well: image by image, the image with
 /// the largest request first, so that each image shares only its last worker with the next one.
 /// Within an image large tasks go first, as small ones fill the remaining gaps.
-fn pack(ready: &mut [Ready<'_>]) {
+fn pack(ready: &mut [Group<'_>]) {
     let mut requested: BTreeMap<String, u64> = BTreeMap::new();
     for group in ready.iter().filter(|group| group.serving.is_some()) {
         let waiting = group.tasks().iter().filter(|task| task.waits()).count() as u64;
--- a/crates/pond-job/src/lead/suspect.rs
+++ b/crates/pond-job/src/lead/suspect.rs
@@ -19,7 +19,7 @@
 use super::obstacle::Obstacles;
 use super::overdue::MAX_WAIT_MS;
 use super::plan::MAX_STARTS;
-use super::ready::Ready;
+use super::ready::Group;
 use crate::change::Start;
 use crate::job::Task;
 use crate::suspicion::Suspicion;
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Suspect<'a> {
     now: Millis,
-    group: &'a Ready<'a>,
+    group: &'a Group<'a>,
     task: TaskName,
     suspicion: &'a Suspicion,
     /// How long its job has been waiting, in milliseconds.
@@ -65,7 +65,7 @@
     pub(super) fn suspect<'a>(
         &self,
         now: Millis,
-        group: &'a Ready<'a>,
+        group: &'a Group<'a>,
         index: usize,
     ) -> Option<Suspect<'a>> {
         let suspicion = group.tasks()[index].suspicion.as_deref()?;
@@ -79,19 +79,19 @@
     pub(super) fn place_suspects(
         &self,
         now: Millis,
-        ready: &[Ready<'_>],
+        ready: &[Group<'_>],
         candidates: &mut [Candidate],
         starts: &mut Vec<Start>,
     ) {
-        let waiting = |group: &&Ready<'_>| !group.step.gang && group.tasks().iter().any(waits);
-        let mut groups: Vec<&Ready<'_>> = ready.iter().filter(waiting).collect();
+        let waiting = |group: &&Group<'_>| !group.step.gang && group.tasks().iter().any(waits);
+        let mut groups: Vec<&Group<'_>> = ready.iter().filter(waiting).collect();
         if groups.is_empty() {
             return;
         }
         // The most likely culprits go first, as they are given up soon; then those that have waited
         // longest. By urgency, a job whose suspects are lost repeatedly would go first every time.
         let waited =
-            |group: &Ready<'_>| self.waits.get(&group.id).map(|wait| now.since(wait.since));
+            |group: &Group<'_>| self.waits.get(&group.id).map(|wait| now.since(wait.since));
         groups.sort_by_key(|group| Reverse((most_suspicious(group), waited(group))));
         let mut slots = open_slots(candidates);
         for group in groups {
@@ -159,7 +159,7 @@
     /// likely innocent, and there are many of them when many workers are lost, so after a long wait
     /// it starts with other work. So do gangs, which rarely find enough workers without recent
     /// starts at the same time.
-    pub(super) fn needs_isolation(&self, now: Millis, group: &Ready<'_>, index: usize) -> bool {
+    pub(super) fn needs_isolation(&self, now: Millis, group: &Group<'_>, index: usize) -> bool {
         let Some(suspect) = self.suspect(now, group, index) else { return false };
         let may_share = group.step.gang || suspect.suspicion.likely <= 1;
         !may_share || suspect.waited_ms < MAX_SOLO_WAIT_MS
@@ -226,7 +226,7 @@
     pub(super) fn suspect_obstacles(
         &self,
         now: Millis,
-        group: &Ready<'_>,
+        group: &Group<'_>,
         candidates: &[Candidate],
         starts: &[Start],
     ) -> Option<Obstacles> {
@@ -239,7 +239,7 @@
 }
 
 /// Returns for how many losses the most suspicious waiting task of a group was a likely cause.
-fn most_suspicious(group: &Ready<'_>) -> u32 {
+fn most_suspicious(group: &Group<'_>) -> u32 {
     let suspicions = group.tasks().iter().filter(|task| waits(task));
     let likely = suspicions.filter_map(|task| Some(task.suspicion.as_ref()?.likely));
     likely.max().unwrap_or(0)
--- a/crates/pond-job/src/lead/wait.rs
+++ b/crates/pond-job/src/lead/wait.rs
@@ -7,7 +7,7 @@
 use super::obstacle::Obstacles;
 use super::overdue::MAX_WAIT_MS;
 use super::plan::{DISCOVERY_MS, REPORT_VALID_MS};
-use super::ready::Ready;
+use super::ready::Group;
 use super::{Decision, Leader, Output};
 use crate::job::Job;
 use crate::state::State;
@@ -61,13 +61,13 @@
 impl Leader {
     /// Updates since when jobs have been waiting and starved, and logs their obstacles. The entries
     /// of groups that the plan did not visit are kept.
-    pub(super) fn note_waits<'a>(
+    pub(super) fn update_waits<'a>(
         &mut self,
         state: &State,
         now: Millis,
         wall: Millis,
-        blocked: &[(&Ready<'_>, Obstacles)],
-        unvisited: impl Iterator<Item = &'a Ready<'a>>,
+        blocked: &[(&Group<'_>, Obstacles)],
+        unvisited: impl Iterator<Item = &'a Group<'a>>,
     ) {
         let previous = std::mem::take(&mut self.waits);
         let carried_over =
@@ -109,7 +109,7 @@
         !self.knows_workers(state, now) || incarnations.any(answering)
     }
 
-    fn log_wait(&mut self, now: Millis, group: &Ready<'_>, wait: Wait, obstacles: &Obstacles) {
+    fn log_wait(&mut self, now: Millis, group: &Group<'_>, wait: Wait, obstacles: &Obstacles) {
         let waiting = group.tasks().iter().filter(|task| task.waits()).count();
         let decision = Decision::Waiting {
             job: group.id,
--- a/crates/pond-job/src/lead/worker.rs
+++ b/crates/pond-job/src/lead/worker.rs
@@ -12,7 +12,7 @@
 
 /// Orders about a run since the link was opened.
 #[derive(Clone, Copy, Debug)]
-pub struct Ordered {
+pub struct Orders {
     /// Whether the last order was to keep it running, as opposed to stopping it.
     pub keep_running: bool,
     /// When the last order was sent.
@@ -58,7 +58,7 @@
     /// Watches that the agent has received, by run.
     pub watched: BTreeMap<RunName, Watch>,
     /// Orders to start or stop each run since the link was opened.
-    pub ordered: BTreeMap<RunName, Ordered>,
+    pub ordered: BTreeMap<RunName, Orders>,
     /// Ends up to this number have been proposed.
     pub proposed_through: u64,
     /// When ends or unstarted runs were last proposed.
@@ -129,7 +129,7 @@
     }
 
     /// Records proposed ends and unstarted runs. Returns those that were not proposed before.
-    pub fn note_proposed(
+    pub fn record_proposed(
         &mut self,
         ends: &[End],
         unstarted: &[RunName],
@@ -153,9 +153,9 @@
     }
 
     /// Records an order to keep a run running or to stop it.
-    pub fn note_order(&mut self, run: RunName, keep_running: bool, now: Millis) {
+    pub fn record_order(&mut self, run: RunName, keep_running: bool, now: Millis) {
         let times = self.ordered.get(&run).map_or(0, |before| before.times);
-        self.ordered.insert(run, Ordered { keep_running, at: now, times: times.saturating_add(1) });
+        self.ordered.insert(run, Orders { keep_running, at: now, times: times.saturating_add(1) });
     }
 
     /// Returns whether the agent reports the run or its end.
