--- a/crates/pond-job/src/lead/advice.rs
+++ b/crates/pond-job/src/lead/advice.rs
@@ -123,8 +123,8 @@
         if self.pending.is_some() || now < self.retry_at {
             return None;
         }
-        let needs_answer = workers.filter(|worker| self.needs_answer(now, step, worker));
-        let workers: Vec<String> = needs_answer.take(MAX_WORKERS_PER_QUESTION).collect();
+        let askable = workers.filter(|worker| self.needs_answer(now, step, worker));
+        let workers: Vec<String> = askable.take(MAX_WORKERS_PER_QUESTION).collect();
         if workers.is_empty() {
             return None;
         }
--- a/crates/pond-job/src/lead/evacuation.rs
+++ b/crates/pond-job/src/lead/evacuation.rs
@@ -16,8 +16,8 @@
 impl Leader {
     /// Returns the incarnations of workers in a data centre.
     pub(super) fn incarnations_in(&self, data_centre: &str) -> Vec<String> {
-        let there = |(_, worker): &(&String, &Worker)| worker.data_centre == data_centre;
-        self.workers.iter().filter(there).map(|(incarnation, _)| incarnation.clone()).collect()
+        let located = |(_, worker): &(&String, &Worker)| worker.data_centre == data_centre;
+        self.workers.iter().filter(located).map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
     /// Withdraws runs that have not started on an incarnation if its data centre is evacuated. If
--- a/crates/pond-job/src/lead/suspect.rs
+++ b/crates/pond-job/src/lead/suspect.rs
@@ -24,7 +24,7 @@
 use crate::job::Task;
 use crate::suspicion::Suspicion;
 
-/// One of this many workers of a pool is available to suspects at a time, but at least one.
+/// Suspects may use one of this many workers of a pool at a time, and at least one.
 const WORKERS_PER_SUSPECT: usize = 3;
 
 /// A suspect of a single loss waits this long for a worker of its own before it may share one with
