--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -76,8 +76,8 @@
         self.workers.iter().filter(successor).map(|(_, worker)| worker.clock_advanced_at).max()
     }
 
-    /// Retires an incarnation that has ended, so that none of its runs is running unless a later
-    /// incarnation has taken it over, which is ordered to stop it first. The agent may have
+    /// Retires an incarnation that has ended. None of its runs is running any more, unless a later
+    /// incarnation has taken some over; that one is first ordered to stop them. The agent may have
     /// reported the end.
     pub(super) fn retire(
         &mut self,
@@ -91,7 +91,7 @@
             self.last_reports.extend(end.map(|end| (incarnation.to_owned(), end.clone())));
             return;
         }
-        // No other report contains the ends that it listed.
+        // Only the last report contains the ends that it listed.
         let last_report = self.last_reports.remove(incarnation);
         let end = end.or(last_report.as_ref());
         let left = end.is_some_and(|end| end.left)
--- a/crates/pond-job/src/lead/rank.rs
+++ b/crates/pond-job/src/lead/rank.rs
@@ -90,8 +90,8 @@
     label: &'a str,
     size: Size,
     image: Image,
-    fills: bool,
-    lasting: bool,
+    best_effort: bool,
+    long_running: bool,
 }
 
 impl<'a> Demand<'a> {
@@ -107,8 +107,8 @@
             label: &step.required_label,
             size: step.size(),
             image: group.image,
-            fills: step.fills,
-            lasting: step.lasting,
+            best_effort: step.fills,
+            long_running: step.lasting,
         })
     }
 }
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -50,7 +50,7 @@
     /// first, so that under overload some jobs are done in time instead of all jobs a little late.
     remaining: u64,
     /// When the job should be done.
-    aim: Millis,
+    target_at: Millis,
 }
 
 /// What work on a job can still achieve. Under overload, work on a job that is already late makes
@@ -141,9 +141,9 @@
     let span = queue.map_or(job.aim.since(job.at), |queue| {
         chain_ms.saturating_mul(queue.stretch_permille) / 1000 + queue.target_ms
     });
-    let aim = due + span;
+    let target_at = due + span;
     let end = wall + remaining_ms(job, time, takes_ms);
-    let prospect = if job.spec.steps.iter().any(|step| step.lasting) || end <= aim {
+    let prospect = if job.spec.steps.iter().any(|step| step.lasting) || end <= target_at {
         Prospect::InTime
     } else if end <= due + span * WORTHLESS_SPANS {
         Prospect::Late
@@ -151,7 +151,7 @@
         Prospect::Worthless
     };
     let remaining = remaining_share(durations, job, time);
-    Urgency { priority: job.priority, prospect, remaining, aim }
+    Urgency { priority: job.priority, prospect, remaining, target_at }
 }
 
 /// Returns the remaining work at a time of a job relative to the value of the job, in hundredths.
