--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use pond_job::{
-    Change, Configuration, Estimates, Leader, Output, Pool, Queue, Reply, Start, State, Terms,
+    Change, Configuration, Estimates, Leader, Output, Pool, Queue, Reply, Start, State, Timing,
 };
 use pond_proto::Millis;
 use pond_proto::fleet::{Report, RunRow};
@@ -169,9 +169,14 @@
         let mut state = State::new();
         state.apply(Change::Configure(configuration()));
         state.apply(Change::Learned(estimates()));
-        let terms = Terms { hold_ms: 6_000, drift_permille: 20, slack_ms: 100, keep_ms: 60_000 };
+        let terms = Timing {
+            lease_ms: 6_000,
+            drift_permille: 20,
+            timer_slack_ms: 100,
+            retention_ms: 60_000,
+        };
         let leader = Leader::new(7, terms, Millis(FIRST_TICK.0 - 2_000))
-            .with_lesson(&estimates(), FIRST_TICK);
+            .with_estimates(&estimates(), FIRST_TICK);
         let mut cluster = Cluster { state, leader, now: FIRST_TICK, workers, reports: 0 };
         for worker in 0..workers {
             cluster.run_on(worker);
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -1,38 +1,38 @@
-//! What a leading replica decides about workers and runs.
+//! Decisions of the leading replica about workers and runs.
 //!
-//! A run is ordered only after its start is in the log. An end is settled only after it is in the
-//! log, and only then may the worker forget it. A run whose worker cannot be reached counts as
-//! ended when its lease has surely run out: the lease is extended only in answer to a report, up to
-//! a time counted from the worker's clock in that report.
+//! A run is ordered only after its start is committed to the log. An end counts only once it is
+//! committed, and only then may the worker forget it. A run whose worker cannot be reached counts
+//! as ended once its lease has certainly expired: the lease is extended only in reply to a report,
+//! and its end is computed from the worker's own clock in that report.
 
 mod absent;
 mod advice;
 mod ask;
-mod beside;
 mod blame;
-mod board;
+mod cache;
 mod candidate;
+mod capacity;
 mod cause;
+mod colocation;
 mod duration;
 mod ends;
 mod evacuation;
 mod evict;
-mod harm;
 mod health;
 mod image;
+mod interference;
 mod load;
 mod obstacle;
 mod order;
 mod output;
 mod overdue;
 mod plan;
-mod pressure;
 mod progress;
 mod rank;
 mod ready;
 mod regression;
-mod room;
 mod suspect;
+mod utilization;
 mod wait;
 mod worker;
 
@@ -49,203 +49,203 @@
 use absent::Absence;
 use advice::Adviser;
 use blame::Losses;
-use board::Board;
+use cache::Cache;
 use duration::Durations;
 use ends::Loss;
-use harm::Harm;
 use health::Health;
+use interference::Interference;
 use wait::Wait;
 use worker::Worker;
 
 pub use advice::{Permit, Question, StepName};
 pub use obstacle::{Obstacle, Obstacles};
-pub use output::{Decision, Lost, Output, Terms};
+pub use output::{Decision, LossKind, Output, Timing};
 
-/// Time after which an order that shows no effect is sent again, in milliseconds. A report comes
-/// about every second and after each change.
-const ORDER_AGAIN_MS: Span = 1_000;
+/// Time after which an order without visible effect is sent again, in milliseconds. A report
+/// arrives about every second and after each change.
+const ORDER_RETRY_MS: Span = 1_000;
 
-/// Time between looks at what is overdue, in milliseconds: about a tenth of the time between
-/// reports, so that it adds little to any wait.
-const LOOK_MS: Span = 100;
+/// Interval between checks for overdue work, in milliseconds. It is about a tenth of the report
+/// interval, so it adds little to any wait.
+const CHECK_INTERVAL_MS: Span = 100;
 
-/// Time after which a proposal that shows no effect is made again, in milliseconds: well beyond
-/// a commit with a slow disk.
-const PROPOSE_AGAIN_MS: Span = 3_000;
+/// Time after which a proposal without visible effect is made again, in milliseconds. It is well
+/// above the duration of a commit on a slow disk.
+const PROPOSAL_RETRY_MS: Span = 3_000;
 
-/// Time between entries of the log with what was learned, in milliseconds: a few kilobytes each, and
-/// a new leader learns in about as long as that what is lost.
-const LESSON_MS: Span = 2_000;
+/// Interval between log entries that store the estimates, in milliseconds. An entry takes a few
+/// kilobytes, and a new leader relearns what is lost in about the same time.
+const ESTIMATES_INTERVAL_MS: Span = 2_000;
 
-/// Decides for a replica while it leads.
+/// Scheduler of a replica while it leads.
 #[derive(Debug)]
 pub struct Leader {
     term: u64,
-    /// When this replica began to lead.
-    since: Millis,
-    terms: Terms,
-    /// Workers that have reported, by life.
+    /// When this replica became the leader.
+    leading_since: Millis,
+    timing: Timing,
+    /// Workers that have reported, by incarnation.
     workers: BTreeMap<String, Worker>,
-    /// How sound workers are, by agent: it outlasts their lives.
+    /// Health of workers, by agent. It persists across incarnations.
     health: BTreeMap<String, Health>,
-    /// Start proposals on their way, and when the last was made.
-    starting: Option<Millis>,
-    /// Lives whose loss is proposed. They get no order until it is in the log: a run that starts or
-    /// goes on there would run beside the one that replaces it.
-    losing: BTreeMap<String, Loss>,
-    /// What was told last of lives that are over, while a later one still has runs of theirs.
-    told: BTreeMap<String, Report>,
-    /// When workers were lost, and what was cleared of it.
+    /// When the pending start proposal was made, if there is one.
+    start_proposed_at: Option<Millis>,
+    /// Incarnations whose loss is proposed. They get no orders until the loss is committed: a run
+    /// that starts or continues there would run in parallel with its replacement.
+    proposed_losses: BTreeMap<String, Loss>,
+    /// Last reports of incarnations that have ended while a later one still has their runs.
+    last_reports: BTreeMap<String, Report>,
+    /// When workers were lost, and which tasks are being cleared.
     losses: Losses,
-    /// When a start was last applied for a life.
-    begun: BTreeMap<String, Millis>,
-    /// Runs that are stopped to run elsewhere.
+    /// When a start was last applied for an incarnation.
+    last_starts: BTreeMap<String, Millis>,
+    /// Runs to stop so that they run elsewhere.
     unwanted: BTreeSet<RunName>,
-    /// Runs that were started although they were expected to disturb.
-    tried: BTreeSet<RunName>,
-    /// How often tasks were moved away from serving ones.
-    moved: BTreeMap<TaskName, u32>,
+    /// Runs that were started despite expected interference.
+    forced: BTreeSet<RunName>,
+    /// How often each task was moved away from serving tasks.
+    moves: BTreeMap<TaskName, u32>,
     /// Workers on which a run of the task failed or stalled.
     avoided: BTreeMap<TaskName, BTreeSet<String>>,
-    /// What filling tasks do to serving ones.
-    harm: Harm,
-    /// How long tasks take.
+    /// Interference of best-effort tasks with serving tasks.
+    interference: Interference,
+    /// Expected durations of tasks.
     durations: Durations,
-    /// Which workers may run the steps of some queues.
+    /// Which workers may run the steps of queues with an adviser.
     adviser: Adviser,
-    /// Since when serving tasks wait to be placed.
-    gathering: Option<Millis>,
-    /// Jobs of which tasks could not be placed in the last plan.
+    /// Since when serving tasks have been waiting for placement.
+    batching_since: Option<Millis>,
+    /// Jobs with tasks that could not be placed in the last plan.
     waits: BTreeMap<u64, Wait>,
-    /// Runs that are placed and that their workers have not listed.
+    /// Placed runs that their workers have not listed.
     absent: BTreeMap<RunName, Absence>,
-    /// Lives whose agents may need an order.
+    /// Incarnations whose agents may need an order.
     dirty: BTreeSet<String>,
-    /// Lives of which a placed run may not be listed, or may have to stop; all others are settled. Looks
-    /// at what is due walk these alone.
-    unsettled: BTreeSet<String>,
-    /// Candidates that are kept from plan to plan.
-    board: Board,
-    /// When this replica last looked at what is overdue.
-    looked: Millis,
-    /// When what was learned was last written down.
-    written: Millis,
-    /// Ended jobs, and when this replica learned of it.
+    /// Incarnations with a placed run that may not be listed or may have to stop. All others are
+    /// reconciled, and periodic checks skip them.
+    unreconciled: BTreeSet<String>,
+    /// Candidates that are reused from plan to plan.
+    cache: Cache,
+    /// When overdue work was last checked.
+    checked_at: Millis,
+    /// When the estimates were last proposed to the log.
+    estimates_written_at: Millis,
+    /// Ended jobs and when this replica learned of each end.
     ended: BTreeMap<u64, Millis>,
     outputs: Vec<Output>,
 }
 
 impl Leader {
-    /// A replica that leads from now on.
-    pub fn new(term: u64, terms: Terms, now: Millis) -> Leader {
+    /// Creates the leader of a term.
+    pub fn new(term: u64, timing: Timing, now: Millis) -> Leader {
         Leader {
             term,
-            since: now,
-            terms,
+            leading_since: now,
+            timing,
             workers: BTreeMap::new(),
             health: BTreeMap::new(),
-            starting: None,
-            losing: BTreeMap::new(),
-            told: BTreeMap::new(),
+            start_proposed_at: None,
+            proposed_losses: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
             losses: Losses::default(),
-            begun: BTreeMap::new(),
+            last_starts: BTreeMap::new(),
             unwanted: BTreeSet::new(),
-            tried: BTreeSet::new(),
-            moved: BTreeMap::new(),
+            forced: BTreeSet::new(),
+            moves: BTreeMap::new(),
             avoided: BTreeMap::new(),
-            harm: Harm::default(),
+            interference: Interference::default(),
             durations: Durations::default(),
             adviser: Adviser::default(),
-            gathering: None,
+            batching_since: None,
             waits: BTreeMap::new(),
             absent: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            unsettled: BTreeSet::new(),
-            board: Board::default(),
-            looked: Millis(0),
-            written: now,
+            unreconciled: BTreeSet::new(),
+            cache: Cache::default(),
+            checked_at: Millis(0),
+            estimates_written_at: now,
             ended: BTreeMap::new(),
             outputs: Vec::new(),
         }
     }
 
-    /// Goes on with what former leaders learned.
-    pub fn with_lesson(mut self, lesson: &Estimates, wall: Millis) -> Leader {
-        self.harm = Harm::recall(lesson, wall);
+    /// Restores the estimates of former leaders.
+    pub fn with_estimates(mut self, estimates: &Estimates, wall: Millis) -> Leader {
+        self.interference = Interference::restore(estimates, wall);
         self
     }
 
-    /// An agent reports.
+    /// Handles the report of an agent.
     pub fn report(&mut self, state: &State, now: Millis, link: u64, agent: &str, report: Report) {
-        let life = report.worker.clone();
+        let incarnation = report.worker.clone();
         if report.gone {
-            self.over(state, now, &life, Some(&report));
+            self.retire(state, now, &incarnation, Some(&report));
             return;
         }
-        if !self.workers.contains_key(&life) {
-            let worker = life.clone();
+        if !self.workers.contains_key(&incarnation) {
+            let worker = incarnation.clone();
             self.outputs.push(Output::Decided(Decision::WorkerUp { worker }));
         }
-        let worker = self.workers.entry(life.clone()).or_insert_with(|| Worker::new(agent));
-        let figures = worker.take(now, link, &report);
-        self.replace_former_lives(state, now, agent, &life);
-        if figures {
-            self.harm.learn(state, now, &report);
-            self.evict(state, now, &life, &report);
+        let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(agent));
+        let new_figures = worker.apply_report(now, link, &report);
+        self.replace_former_incarnations(state, now, agent, &incarnation);
+        if new_figures {
+            self.interference.learn(state, now, &report);
+            self.evict(state, now, &incarnation, &report);
         }
-        self.withdraw_misfits(state, &life);
-        self.withdraw_evacuated(state, &life);
-        self.propose_ends(state, now, &life, &report);
-        self.watch_progress(state, now, &life, &report);
+        self.withdraw_excess(state, &incarnation);
+        self.withdraw_evacuated(state, &incarnation);
+        self.propose_ends(state, now, &incarnation, &report);
+        self.watch_progress(state, now, &incarnation, &report);
         self.clear_survivors(state, now, &report);
-        self.touch(&life);
+        self.touch(&incarnation);
     }
 
-    /// A link to an agent is lost. Its worker keeps its lease.
+    /// Handles the loss of a link to an agent. The worker keeps its lease.
     pub fn link_down(&mut self, link: u64) {
         for worker in self.workers.values_mut().filter(|worker| worker.link == Some(link)) {
             worker.link = None;
         }
     }
 
-    /// A change was applied; whatever it concerns is looked at again.
+    /// Handles an applied change and re-examines everything that it affects.
     pub fn applied(&mut self, state: &State, now: Millis, change: &Change, reply: &Reply) {
         match change {
             Change::Start(starts) => {
-                self.starting = None;
+                self.start_proposed_at = None;
                 for start in starts {
-                    self.durations.note_start(state, now, start.run);
-                    self.begun.insert(start.worker.clone(), now);
+                    self.durations.record_start(state, now, start.run);
+                    self.last_starts.insert(start.worker.clone(), now);
                     self.touch(&start.worker);
-                    self.withdraw_misfits(state, &start.worker);
+                    self.withdraw_excess(state, &start.worker);
                     self.withdraw_evacuated(state, &start.worker);
                 }
             }
             Change::Submit { id, .. } => {
                 if let Some(job) = state.job(*id) {
-                    self.durations.note_job(job);
+                    self.durations.record_job(job);
                 }
             }
             Change::Evacuate { data_centre, .. } | Change::Readmit { data_centre } => {
-                for life in self.lives_in(data_centre) {
-                    self.touch(&life);
-                    self.withdraw_evacuated(state, &life);
+                for incarnation in self.incarnations_in(data_centre) {
+                    self.touch(&incarnation);
+                    self.withdraw_evacuated(state, &incarnation);
                 }
             }
             Change::Ended { worker, ends, .. } => {
                 self.touch(worker);
                 for end in ends {
-                    self.durations.note_end(now, end.run, end.how == How::Done);
+                    self.durations.record_end(now, end.run, end.how == How::Done);
                 }
-                // The end of one task of a gang stands for all of them.
+                // The end of one task of a gang ends all of its tasks.
                 let jobs: BTreeSet<u64> = ends.iter().map(|end| end.run.task.job).collect();
                 for id in jobs {
-                    let lives = placed_lives(state, id).map(str::to_owned);
-                    self.unsettled.extend(lives);
+                    let incarnations = placed_incarnations(state, id).map(str::to_owned);
+                    self.unreconciled.extend(incarnations);
                 }
             }
             Change::WorkerLost { worker, .. } => {
-                self.note_lost(state, now, worker);
+                self.record_lost(state, now, worker);
                 self.touch(worker);
                 self.drop_lost_runs(state);
             }
@@ -253,9 +253,9 @@
             Change::Cancel { id, .. } => self.touch_workers_of(state, *id),
             Change::Cleared(runs) => {
                 let task = |run: &RunName| state.job(run.task.job)?.task(run.task);
-                let lives = runs.iter().filter_map(|run| task(run)?.worker.clone());
-                let lives: Vec<String> = lives.collect();
-                lives.iter().for_each(|life| self.touch(life));
+                let incarnations = runs.iter().filter_map(|run| task(run)?.worker.clone());
+                let incarnations: Vec<String> = incarnations.collect();
+                incarnations.iter().for_each(|incarnation| self.touch(incarnation));
             }
             _ => {}
         }
@@ -267,56 +267,57 @@
         }
     }
 
-    /// How many jobs of a queue wait with no task begun. What was given to a worker waits until it is listed there:
-    /// another task may have taken the worker down in the same moment. On a worker that has not
-    /// reported since this replica leads it counts as begun, as most has.
+    /// Returns the number of queued jobs of which no task has started. A task that was assigned to
+    /// a worker counts as queued until the worker lists it, since another task may have taken the
+    /// worker down at that moment. On a worker that has not reported to this leader it counts as
+    /// started, as most have.
     pub fn waiting(&self, state: &State, queue: &str) -> u64 {
-        state.waiting_jobs(queue, |run, life| {
-            self.workers.get(life).is_none_or(|worker| worker.has_listed(run))
+        state.waiting_jobs(queue, |run, incarnation| {
+            self.workers.get(incarnation).is_none_or(|worker| worker.has_listed(run))
         })
     }
 
-    /// A start proposal could not be made.
+    /// Handles the rejection of a start proposal.
     pub fn start_rejected(&mut self) {
-        self.starting = None;
+        self.start_proposed_at = None;
     }
 
-    /// The workers that run something of a job get an order.
+    /// Marks all workers that run tasks of a job as changed.
     fn touch_workers_of(&mut self, state: &State, id: u64) {
-        for life in placed_lives(state, id) {
-            self.touch(life);
+        for incarnation in placed_incarnations(state, id) {
+            self.touch(incarnation);
         }
     }
 
-    /// Something has changed on a life of a worker.
-    fn touch(&mut self, life: &str) {
-        self.dirty.insert(life.to_owned());
-        self.unsettled.insert(life.to_owned());
-        self.board.touch(life);
+    /// Marks an incarnation as changed.
+    fn touch(&mut self, incarnation: &str) {
+        self.dirty.insert(incarnation.to_owned());
+        self.unreconciled.insert(incarnation.to_owned());
+        self.cache.touch(incarnation);
     }
 
-    /// Looks at what is due and hands out what the shell must do.
+    /// Performs the periodic work and returns the outputs for the shell.
     ///
-    /// `granting` tells whether no other replica can lead now; without it nothing is extended,
-    /// started or given up.
+    /// `exclusive` tells whether it is certain that no other replica can lead now. Without that
+    /// certainty nothing is extended, started or given up.
     pub fn tick(
         &mut self,
         state: &State,
         now: Millis,
         wall: Millis,
-        granting: bool,
+        exclusive: bool,
     ) -> Vec<Output> {
-        if granting {
-            if now.since(self.looked) >= LOOK_MS {
-                self.looked = now;
-                self.lose_silent(state, now);
-                self.forget_old(state, now);
+        if exclusive {
+            if now.since(self.checked_at) >= CHECK_INTERVAL_MS {
+                self.checked_at = now;
+                self.expire_leases(state, now);
+                self.forget_expired(state, now);
                 self.forget_cleared(state);
-                self.leave_settled(state);
-                self.touch_unsettled(state, now);
-                self.note_absent(state, now);
+                self.drop_reconciled(state);
+                self.touch_unreconciled(state, now);
+                self.update_absences(state, now);
                 self.ask_about_placed(state, now);
-                self.write_lesson(state, now, wall);
+                self.propose_estimates(state, now, wall);
             }
             self.plan(state, now, wall);
             self.send_orders(state, now);
@@ -324,19 +325,19 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Proposes to keep what was learned since the last time.
-    fn write_lesson(&mut self, state: &State, now: Millis, wall: Millis) {
-        if now.since(self.written) < LESSON_MS {
+    /// Proposes to store the estimates if they have changed since the last time.
+    fn propose_estimates(&mut self, state: &State, now: Millis, wall: Millis) {
+        if now.since(self.estimates_written_at) < ESTIMATES_INTERVAL_MS {
             return;
         }
-        self.written = now;
-        let lesson = self.harm.write(wall);
-        if lesson.images != state.estimates().images {
-            self.outputs.push(Output::Propose(Change::Learned(lesson)));
+        self.estimates_written_at = now;
+        let estimates = self.interference.estimates(wall);
+        if estimates.images != state.estimates().images {
+            self.outputs.push(Output::Propose(Change::Learned(estimates)));
         }
     }
 
-    /// Runs that are placed nowhere need no stop.
+    /// Drops unwanted runs that are no longer placed: they need no stop.
     fn drop_lost_runs(&mut self, state: &State) {
         self.unwanted.retain(|run| {
             let task = state.job(run.task.job).and_then(|job| job.task(run.task));
@@ -344,33 +345,37 @@
         });
     }
 
-    /// Drops the jobs whose phase has been kept long enough, and what was learned of runs and lives
-    /// that are over.
-    fn forget_old(&mut self, state: &State, now: Millis) {
+    /// Drops ended jobs whose retention period is over, and data about runs and incarnations that
+    /// have ended.
+    fn forget_expired(&mut self, state: &State, now: Millis) {
         if self.ended.is_empty() {
-            // What ended before this replica led is counted from now.
+            // The retention period of jobs that ended before this replica led starts now.
             self.ended = state.ended().map(|id| (id, now)).collect();
         }
-        let keep = self.terms.keep_ms;
-        let known = |run: RunName| state.job(run.task.job).is_some_and(|job| !job.phase.ended());
-        self.harm.forget(known, |life| self.workers.contains_key(life));
-        self.durations.forget(known);
-        self.moved.retain(|task, _| known(RunName { task: *task, number: 0 }));
-        let old: Vec<u64> =
-            self.ended.iter().filter(|(_, at)| now.since(**at) > keep).map(|(id, _)| *id).collect();
-        if old.is_empty() {
+        let retention_ms = self.timing.retention_ms;
+        let active = |run: RunName| state.job(run.task.job).is_some_and(|job| !job.phase.ended());
+        self.interference.forget(active, |incarnation| self.workers.contains_key(incarnation));
+        self.durations.forget(active);
+        self.moves.retain(|task, _| active(RunName { task: *task, number: 0 }));
+        let expired: Vec<u64> = self
+            .ended
+            .iter()
+            .filter(|(_, at)| now.since(**at) > retention_ms)
+            .map(|(id, _)| *id)
+            .collect();
+        if expired.is_empty() {
             return;
         }
-        // If the proposal is lost, it is made again after as long.
-        self.ended.extend(old.iter().map(|id| (*id, now)));
-        self.avoided.retain(|task, _| !old.contains(&task.job));
-        self.adviser.forget(|job| old.contains(&job));
-        self.outputs.push(Output::Propose(Change::Forget(old)));
+        // If the proposal is lost, it is made again after another retention period.
+        self.ended.extend(expired.iter().map(|id| (*id, now)));
+        self.avoided.retain(|task, _| !expired.contains(&task.job));
+        self.adviser.forget(|job| expired.contains(&job));
+        self.outputs.push(Output::Propose(Change::Forget(expired)));
     }
 }
 
-/// The lives of workers that have something of a job.
-fn placed_lives(state: &State, id: u64) -> impl Iterator<Item = &str> {
+/// Returns the incarnations that have tasks of a job.
+fn placed_incarnations(state: &State, id: u64) -> impl Iterator<Item = &str> {
     let times = state.job(id).into_iter().flat_map(|job| &job.times);
     times.flatten().flatten().filter_map(|task| task.worker.as_deref())
 }
--- a/crates/pond-job/src/lead/rank.rs
+++ b/crates/pond-job/src/lead/rank.rs
@@ -1,9 +1,9 @@
-//! Which workers suit the tasks of a group, best first, and for which groups no worker has a place.
+//! Ranking of workers for the tasks of a group, and memory of demands that no worker can meet.
 //!
-//! All waiting tasks of a step are alike, and steps of a kind come again and again. So workers are
-//! weighed once for a group, and after each placement only the one that changed; and what found no
-//! place in a plan is not weighed again for the next group that asks for the same, as workers only
-//! get fuller while a plan goes on.
+//! All waiting tasks of a step are alike, and similar steps recur often. So workers are scored once
+//! for a group, and after each placement only the changed one is scored again. A demand that could
+//! not be met is not tried again in the same plan, since workers only get fuller while a plan is
+//! made.
 
 use std::collections::BTreeSet;
 
@@ -12,125 +12,127 @@
 
 use super::Leader;
 use super::candidate::Candidate;
-use super::harm::Column;
 use super::image::Image;
+use super::interference::Impact;
 use super::obstacle::Obstacles;
-use super::ready::Ready;
+use super::ready::Group;
 
-/// How well a task stands on a worker, higher is better: whether the worker is taken for sound, then
-/// the score of the candidate.
+/// Quality of a placement, higher is better: whether the worker is considered healthy, then the
+/// score of the candidate.
 type Key = (bool, (bool, i64, i64));
 
-/// How well the tasks of a group stand on each worker.
+/// Scores of all workers for the tasks of a group.
 pub(super) struct Ranking<'a> {
     leader: &'a Leader,
     now: Millis,
-    group: &'a Ready<'a>,
-    column: Column,
-    /// In the order of the candidates; none where a task may not run now.
+    group: &'a Group<'a>,
+    impact: Impact,
+    /// Scores in the order of the candidates; `None` where a task may not run now.
     keys: Vec<Option<Key>>,
 }
 
 impl<'a> Ranking<'a> {
-    /// Weighs all workers.
+    /// Scores all workers.
     pub fn new(
         leader: &'a Leader,
         now: Millis,
-        group: &'a Ready<'a>,
+        group: &'a Group<'a>,
         candidates: &[Candidate],
     ) -> Ranking<'a> {
-        let column = leader.harm.column(group.image);
-        let mut ranking = Ranking { leader, now, group, column, keys: Vec::new() };
+        let impact = leader.interference.impact(group.image);
+        let mut ranking = Ranking { leader, now, group, impact, keys: Vec::new() };
         ranking.keys = candidates.iter().map(|candidate| ranking.key(candidate)).collect();
         ranking
     }
 
-    /// Weighs a worker anew that was given something.
-    pub fn update(&mut self, place: usize, candidates: &[Candidate]) {
-        self.keys[place] = self.key(&candidates[place]);
+    /// Scores a worker again after an assignment.
+    pub fn update(&mut self, index: usize, candidates: &[Candidate]) {
+        self.keys[index] = self.key(&candidates[index]);
     }
 
-    /// The place of the best worker for a task, the first of equals; those that the task failed on come
-    /// last. None if it may run nowhere now.
+    /// Returns the index of the best worker for a task, the first of equals; `None` if it may run
+    /// nowhere now. Workers on which the task failed come last.
     pub fn best(
         &self,
         avoided: Option<&BTreeSet<String>>,
         candidates: &[Candidate],
     ) -> Option<usize> {
         let mut best: Option<((bool, Key), usize)> = None;
-        for (place, key) in self.keys.iter().enumerate() {
+        for (index, key) in self.keys.iter().enumerate() {
             let Some(key) = *key else { continue };
-            let failed = avoided.is_some_and(|lives| lives.contains(&candidates[place].life));
+            let failed = avoided
+                .is_some_and(|incarnations| incarnations.contains(&candidates[index].incarnation));
             if best.is_none_or(|(other, _)| (!failed, key) > other) {
-                best = Some(((!failed, key), place));
+                best = Some(((!failed, key), index));
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, index)| index)
     }
 
     fn key(&self, candidate: &Candidate) -> Option<Key> {
-        let Ready { step, job, served, .. } = self.group;
-        // All tasks of the group are alike here.
+        let Group { step, job, serving, .. } = self.group;
+        // All tasks of the group are alike in this respect.
         let task = self.group.task(0);
-        let fits = candidate.fits(&job.pool, task, step) && candidate.bears(step, &self.column);
-        if !fits || self.leader.lacks_ticket(self.now, self.group, task, &candidate.life) {
+        let fits = candidate.fits(&job.pool, task, step) && candidate.tolerates(step, &self.impact);
+        if !fits || self.leader.lacks_ticket(self.now, self.group, task, &candidate.incarnation) {
             return None;
         }
-        let harm = &self.leader.harm;
-        let score = candidate.score(step, served.as_ref(), harm, &self.column);
-        Some((candidate.more > 0, score))
+        let interference = &self.leader.interference;
+        let score = candidate.score(step, serving.as_ref(), interference, &self.impact);
+        Some((candidate.finite_allowance > 0, score))
     }
 }
 
-/// What a step asks of workers, and nothing that tells one group from another.
+/// What a step requires of workers, without anything that is specific to a group.
 #[derive(Clone, Copy, PartialEq)]
-struct Wish<'a> {
+struct Demand<'a> {
     pool: &'a str,
     label: &'a str,
     size: Size,
     image: Image,
-    fills: bool,
-    lasting: bool,
+    best_effort: bool,
+    long_running: bool,
 }
 
-impl<'a> Wish<'a> {
-    /// The wish of a group; none if whether it finds a place hangs on more than that: on what of it
-    /// runs where, on an adviser, on all of its tasks together.
-    fn of(group: &Ready<'a>) -> Option<Wish<'a>> {
-        let Ready { step, job, .. } = group;
+impl<'a> Demand<'a> {
+    /// Returns the demand of a group; `None` if its placement depends on more than that: on where
+    /// its other tasks run, on an adviser, or on the placement of all its tasks together.
+    fn of(group: &Group<'a>) -> Option<Demand<'a>> {
+        let Group { step, job, .. } = group;
         if step.gang || step.most_per_worker > 0 || job.advice.is_some() {
             return None;
         }
-        Some(Wish {
+        Some(Demand {
             pool: &job.pool,
             label: &step.required_label,
             size: step.size(),
             image: group.image,
-            fills: step.fills,
-            lasting: step.lasting,
+            best_effort: step.fills,
+            long_running: step.lasting,
         })
     }
 }
 
-/// The wishes for which a plan has found no place.
+/// Demands that could not be met in a plan.
 #[derive(Default)]
-pub(super) struct Full<'a> {
-    wishes: Vec<(Wish<'a>, Obstacles)>,
+pub(super) struct Rejections<'a> {
+    demands: Vec<(Demand<'a>, Obstacles)>,
 }
 
-impl<'a> Full<'a> {
-    /// What was in the way of a group that wished for the same; none if none was in vain.
-    pub fn obstacles(&self, group: &Ready<'a>) -> Option<Obstacles> {
-        let wish = Wish::of(group)?;
-        let found = self.wishes.iter().find(|(other, _)| *other == wish);
+impl<'a> Rejections<'a> {
+    /// Returns the obstacles of a group with the same demand; `None` if no such demand was
+    /// rejected.
+    pub fn obstacles(&self, group: &Group<'a>) -> Option<Obstacles> {
+        let demand = Demand::of(group)?;
+        let found = self.demands.iter().find(|(other, _)| *other == demand);
         found.map(|(_, obstacles)| obstacles.clone())
     }
 
-    /// A group found no place.
-    pub fn note(&mut self, group: &Ready<'a>, obstacles: &Obstacles) {
-        let Some(wish) = Wish::of(group) else { return };
-        if !self.wishes.iter().any(|(other, _)| *other == wish) {
-            self.wishes.push((wish, obstacles.clone()));
+    /// Records that a group could not be placed.
+    pub fn record(&mut self, group: &Group<'a>, obstacles: &Obstacles) {
+        let Some(demand) = Demand::of(group) else { return };
+        if !self.demands.iter().any(|(other, _)| *other == demand) {
+            self.demands.push((demand, obstacles.clone()));
         }
     }
 }
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -1,4 +1,4 @@
-//! The groups of tasks that wait for a place, in the order in which they get one.
+//! Groups of tasks that wait for placement, in the order in which they are placed.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,72 +6,72 @@
 use pond_proto::Millis;
 use pond_proto::job::{Step, TaskName};
 
-use super::beside::Served;
+use super::colocation::ServingLoad;
 use super::duration::Durations;
-use super::harm::Harm;
 use super::image::Image;
+use super::interference::Interference;
 use crate::job::{Job, Task, critical_path_ms};
 use crate::state::State;
 
-/// A job that ends later than this many times its span after it fell due is worth nothing any more.
+/// A job is worthless if it ends later than this many times its span after it was due.
 const WORTHLESS_SPANS: u64 = 3;
 
-/// The part of what a job counts that does not hang on its work: users' pages give three tenths.
-const ALIKE: f64 = 0.3;
+/// Share of a job's value that does not depend on its work, according to the users' specification.
+const FIXED_VALUE_SHARE: f64 = 0.3;
 
 /// A group of tasks whose turn has come.
-pub(super) struct Ready<'a> {
-    /// What goes first.
+pub(super) struct Group<'a> {
+    /// Sort key; the lowest is placed first.
     pub urgency: Urgency,
-    /// The job's id.
+    /// Id of the job.
     pub id: u64,
-    /// Which of the job's times, from zero.
+    /// Index of the time of the job.
     pub time: usize,
-    /// Which of its steps, from zero.
+    /// Index of the step.
     pub step_index: usize,
-    /// What the job says of that step.
+    /// Specification of the step.
     pub step: &'a Step,
     /// The job.
     pub job: &'a Job,
-    /// The image of its tasks.
+    /// Image of the tasks.
     pub image: Image,
-    /// One of its tasks as a serving one; none for other tasks.
-    pub served: Option<Served>,
+    /// Expected load of one of its tasks if they serve; `None` otherwise.
+    pub serving: Option<ServingLoad>,
 }
 
-/// Orders groups: lower goes first.
+/// Placement order of groups; lower goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Urgency {
-    /// The priority of the queue.
+    /// Priority of the queue.
     priority: u32,
-    /// What can still be gained by it.
-    hope: Hope,
-    /// The work that is left over what the job counts, in hundredths: what is begun is finished first, so that
-    /// under overload some jobs are done in time instead of all a little late.
-    left: u64,
-    /// When it should be done.
-    aim: Millis,
+    /// What can still be achieved.
+    prospect: Prospect,
+    /// Remaining work relative to the value of the job, in hundredths. Started jobs are finished
+    /// first, so that under overload some jobs are done in time instead of all jobs a little late.
+    remaining: u64,
+    /// When the job should be done.
+    target_at: Millis,
 }
 
-/// What can still be gained by work on a job. Under overload, work for a job that is late already
-/// makes the next one late, too.
+/// What work on a job can still achieve. Under overload, work on a job that is already late makes
+/// the next one late as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Hope {
-    /// It can be done in time.
+enum Prospect {
+    /// The job can be done in time.
     InTime,
-    /// It can be done, but late.
+    /// The job can be done, but late.
     Late,
-    /// It is too late for all but the record.
+    /// The job is too late to be of value.
     Worthless,
 }
 
-impl<'a> Ready<'a> {
-    /// All tasks of the group, those that have a place or are done, too.
+impl<'a> Group<'a> {
+    /// Returns all tasks of the group, including those that are placed or done.
     pub fn tasks(&self) -> &'a [Task] {
         &self.job.times[self.time][self.step_index]
     }
 
-    /// The name of a task of the group.
+    /// Returns the name of a task of the group.
     pub fn task(&self, index: usize) -> TaskName {
         TaskName {
             job: self.id,
@@ -82,14 +82,14 @@
     }
 }
 
-/// The groups of tasks whose turn has come and of which some are not placed, most urgent first.
+/// Returns the groups whose turn has come and that have unplaced tasks, most urgent first.
 pub(super) fn ready<'a>(
     state: &'a State,
     now: Millis,
     wall: Millis,
-    harm: &mut Harm,
+    interference: &mut Interference,
     durations: &Durations,
-) -> Vec<Ready<'a>> {
+) -> Vec<Group<'a>> {
     let mut ready = Vec::new();
     for (id, job) in state.active().filter(|(_, job)| !job.phase.ended()) {
         for (time, steps) in job.times.iter().enumerate() {
@@ -99,9 +99,9 @@
             for (step_index, (step, tasks)) in job.spec.steps.iter().zip(steps).enumerate() {
                 if tasks.iter().any(Task::is_pending) && job.is_step_ready(time, step_index) {
                     let urgency = urgency(state, durations, job, time, wall);
-                    let served = harm.newly_served(now, step);
-                    let image = harm.image(&step.image);
-                    ready.push(Ready { urgency, id, time, step_index, step, job, image, served });
+                    let serving = interference.new_serving(now, step);
+                    let image = interference.image(&step.image);
+                    ready.push(Group { urgency, id, time, step_index, step, job, image, serving });
                 }
             }
         }
@@ -111,24 +111,24 @@
     ready
 }
 
-/// Brings serving groups of equal priority into the order in which they pack well: image by image,
-/// the image that asks for most first, so that only the last worker of each image is shared with
-/// the next one; within an image large tasks first, as small ones fill what they leave.
-fn pack(ready: &mut [Ready<'_>]) {
-    let mut asked: BTreeMap<String, u64> = BTreeMap::new();
-    for group in ready.iter().filter(|group| group.served.is_some()) {
+/// Sorts serving groups of equal priority so that they pack well: image by image, the image with
+/// the largest request first, so that each image shares only its last worker with the next one.
+/// Within an image large tasks go first, as small ones fill the remaining gaps.
+fn pack(ready: &mut [Group<'_>]) {
+    let mut requested: BTreeMap<String, u64> = BTreeMap::new();
+    for group in ready.iter().filter(|group| group.serving.is_some()) {
         let waiting = group.tasks().iter().filter(|task| task.is_pending()).count() as u64;
         let milli_cpu = u64::from(group.step.milli_cpu);
-        *asked.entry(group.step.image.clone()).or_default() += waiting * milli_cpu;
+        *requested.entry(group.step.image.clone()).or_default() += waiting * milli_cpu;
     }
     ready.sort_by_key(|group| {
         let image = group.step.image.as_str();
-        let place = group.served.is_some().then(|| {
-            let asked = asked.get(image).copied().unwrap_or(0);
-            (Reverse(asked), image, Reverse(group.step.milli_cpu))
+        let order = group.serving.is_some().then(|| {
+            let requested = requested.get(image).copied().unwrap_or(0);
+            (Reverse(requested), image, Reverse(group.step.milli_cpu))
         });
-        // None sorts before Some, and serving groups go first.
-        (group.urgency.priority, Reverse(place.is_some()), place)
+        // `None` sorts before `Some`, and serving groups go first.
+        (group.urgency.priority, Reverse(order.is_some()), order)
     });
 }
 
@@ -141,35 +141,36 @@
     let span = queue.map_or(job.target_at.since(job.submitted_at), |queue| {
         chain_ms.saturating_mul(queue.stretch_permille) / 1000 + queue.target_ms
     });
-    let aim = due + span;
-    let end = wall + left_ms(job, time, takes_ms);
-    let hope = if job.spec.steps.iter().any(|step| step.lasting) || end <= aim {
-        Hope::InTime
+    let target_at = due + span;
+    let end = wall + remaining_ms(job, time, takes_ms);
+    let prospect = if job.spec.steps.iter().any(|step| step.lasting) || end <= target_at {
+        Prospect::InTime
     } else if end <= due + span * WORTHLESS_SPANS {
-        Hope::Late
+        Prospect::Late
     } else {
-        Hope::Worthless
+        Prospect::Worthless
     };
-    let left = left_share(durations, job, time);
-    Urgency { priority: job.priority, hope, left, aim }
+    let remaining = remaining_share(durations, job, time);
+    Urgency { priority: job.priority, prospect, remaining, target_at }
 }
 
-/// The work that is left at a time of a job over what the job counts, in hundredths.
+/// Returns the remaining work at a time of a job relative to the value of the job, in hundredths.
 ///
-/// A job counts by its work, and in part as any other of its queue. So what is nearly done is finished first, and of
-/// those that are not begun the small ones go before large ones: more jobs are done in time with the same
-/// processors.
-fn left_share(durations: &Durations, job: &Job, time: usize) -> u64 {
-    let all = durations.work(job, time, |_| true);
-    let left = durations.work(job, time, |task| !task.done);
-    let mean = durations.mean_work(&job.queue).unwrap_or(all);
-    let counts = ALIKE * mean + (1.0 - ALIKE) * all;
-    (left * 100.0 / counts.max(1.0)) as u64
+/// The value of a job depends on its work, and in part is the same for all jobs of its queue. So
+/// jobs that are nearly done are finished first, and of jobs that have not started the small ones
+/// go first: the same processors finish more jobs in time.
+fn remaining_share(durations: &Durations, job: &Job, time: usize) -> u64 {
+    let total = durations.work(job, time, |_| true);
+    let remaining = durations.work(job, time, |task| !task.done);
+    let mean = durations.mean_work(&job.queue).unwrap_or(total);
+    let value = FIXED_VALUE_SHARE * mean + (1.0 - FIXED_VALUE_SHARE) * total;
+    (remaining * 100.0 / value.max(1.0)) as u64
 }
 
-/// The longest chain of estimates through the steps that are not done, in milliseconds.
-fn left_ms(job: &Job, time: usize, takes_ms: impl Fn(&Step) -> u64) -> u64 {
+/// Returns the longest chain of estimates through the steps that are not done, in milliseconds.
+fn remaining_ms(job: &Job, time: usize, takes_ms: impl Fn(&Step) -> u64) -> u64 {
     let Some(steps) = job.times.get(time) else { return 0 };
-    let open = |i: usize| steps.get(i).is_some_and(|tasks| tasks.iter().any(|task| !task.done));
-    critical_path_ms(&job.spec.steps, |i, step| if open(i) { takes_ms(step) } else { 0 })
+    let unfinished =
+        |i: usize| steps.get(i).is_some_and(|tasks| tasks.iter().any(|task| !task.done));
+    critical_path_ms(&job.spec.steps, |i, step| if unfinished(i) { takes_ms(step) } else { 0 })
 }
--- a/crates/pond-job/src/lead/wait.rs
+++ b/crates/pond-job/src/lead/wait.rs
@@ -1,84 +1,90 @@
-//! Jobs with tasks whose turn has come and that find no place: since when they wait, since when nothing
-//! of them runs, and a line for each, bounded in number.
+//! Waiting times of jobs that have tasks whose turn has come but that cannot be placed. Each such
+//! job is logged, with a limit on the number of log lines.
 
 use pond_proto::job::Phase;
 use pond_proto::{Millis, Span};
 
 use super::obstacle::Obstacles;
-use super::overdue::PATIENCE_MS;
-use super::plan::{FRESH_MS, KNOWN_MS};
-use super::ready::Ready;
+use super::overdue::MAX_WAIT_MS;
+use super::plan::{DISCOVERY_MS, REPORT_VALID_MS};
+use super::ready::Group;
 use super::{Decision, Leader, Output};
 use crate::job::Job;
 use crate::state::State;
 
-/// A job that waits gets a line at most this often, in milliseconds, the first after as long.
-const LINE_MS: Span = 1_000;
+/// Minimum interval between the log lines of a waiting job, and delay of its first one, in
+/// milliseconds.
+const LOG_INTERVAL_MS: Span = 1_000;
 
-/// Lines in one plan at most. There are about ten plans a second, so a long queue does not flood
-/// the log.
-const LINES: usize = 4;
+/// Maximum number of log lines per plan. There are about ten plans per second, so a long queue does
+/// not flood the log.
+const MAX_LOG_LINES: usize = 4;
 
-/// What a new leader counts at most of the time before it led, in milliseconds. The rest of the
-/// patience is for workers to report, so that nothing is tried only because they are not known yet.
-const INHERITED_MS: Span = PATIENCE_MS - KNOWN_MS;
+/// Maximum waiting time before its own term that a new leader counts, in milliseconds. The rest of
+/// the maximum wait is left for workers to report, so that no placement is forced only because they
+/// are not known yet.
+const MAX_INHERITED_WAIT_MS: Span = MAX_WAIT_MS - DISCOVERY_MS;
 
-/// Since when a job waits.
+/// Waiting time of a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wait {
-    /// Since when tasks of it find no place.
+    /// Since when tasks of the job could not be placed.
     pub since: Millis,
-    /// Since when nothing of it runs besides; none while something does.
-    pub still: Option<Millis>,
-    logged: Millis,
+    /// Since when no task of the job has been running; `None` while one is.
+    pub starved_since: Option<Millis>,
+    logged_at: Millis,
 }
 
 impl Wait {
-    /// Of a job that is seen waiting for the first time. One that was never begun has waited since it
-    /// was accepted, whoever led; of others only the former leader knew.
+    /// Creates the entry for a job that is seen waiting for the first time. A job that has never
+    /// started has waited since it was accepted, whichever replica led; for others only the former
+    /// leader knew.
     fn new(now: Millis, wall: Millis, job: &Job) -> Wait {
-        let begun = job.phase != Phase::Queued || job.spec.repeat.is_some();
-        let waited = if begun { 0 } else { wall.since(job.submitted_at).min(INHERITED_MS) };
+        let started = job.phase != Phase::Queued || job.spec.repeat.is_some();
+        let waited =
+            if started { 0 } else { wall.since(job.submitted_at).min(MAX_INHERITED_WAIT_MS) };
         let since = Millis(now.0.saturating_sub(waited));
-        Wait { since, still: Some(since), logged: now }
+        Wait { since, starved_since: Some(since), logged_at: now }
     }
 
-    /// Of a job whose runs went down with a worker that was last known to live then.
-    pub fn stopped(now: Millis, lived: Millis) -> Wait {
-        Wait { since: lived, still: Some(lived), logged: now }
+    /// Creates the entry for a job whose runs were lost with a worker that was last known to be
+    /// alive at `last_alive`.
+    pub fn after_loss(now: Millis, last_alive: Millis) -> Wait {
+        Wait { since: last_alive, starved_since: Some(last_alive), logged_at: now }
     }
 
-    /// For how long nothing of the job has run, in milliseconds.
-    pub fn still_ms(&self, now: Millis) -> Span {
-        self.still.map_or(0, |since| now.since(since))
+    /// Returns for how long no task of the job has been running, in milliseconds.
+    pub fn starved_ms(&self, now: Millis) -> Span {
+        self.starved_since.map_or(0, |since| now.since(since))
     }
 }
 
 impl Leader {
-    /// Keeps since when jobs wait and stand still, and logs what is in the way. What is known of the
-    /// groups that the plan did not reach stays as it is.
-    pub(super) fn note_waits<'a>(
+    /// Updates since when jobs have been waiting and starved, and logs their obstacles. The entries
+    /// of groups that the plan did not visit are kept.
+    pub(super) fn update_waits<'a>(
         &mut self,
         state: &State,
         now: Millis,
         wall: Millis,
-        blocked: &[(&Ready<'_>, Obstacles)],
-        unreached: impl Iterator<Item = &'a Ready<'a>>,
+        blocked: &[(&Group<'_>, Obstacles)],
+        unvisited: impl Iterator<Item = &'a Group<'a>>,
     ) {
-        let known = std::mem::take(&mut self.waits);
-        let kept = unreached.filter_map(|group| Some((group.id, *known.get(&group.id)?)));
-        self.waits.extend(kept);
+        let previous = std::mem::take(&mut self.waits);
+        let carried_over =
+            unvisited.filter_map(|group| Some((group.id, *previous.get(&group.id)?)));
+        self.waits.extend(carried_over);
         let mut lines = 0;
         for (group, obstacles) in blocked {
-            let before = known.get(&group.id).copied();
-            let mut wait = before.unwrap_or_else(|| Wait::new(now, wall, group.job));
+            let earlier = previous.get(&group.id).copied();
+            let mut wait = earlier.unwrap_or_else(|| Wait::new(now, wall, group.job));
             if self.runs_somewhere(state, now, group.job) {
-                wait.still = None;
-            } else if before.is_some() {
-                wait.still.get_or_insert(now);
+                wait.starved_since = None;
+            } else if earlier.is_some() {
+                wait.starved_since.get_or_insert(now);
             }
-            if lines < LINES && now.since(wait.logged) >= LINE_MS {
-                wait.logged = now;
+            if lines < MAX_LOG_LINES && now.since(wait.logged_at) >= LOG_INTERVAL_MS {
+                wait.logged_at = now;
                 lines += 1;
                 self.log_wait(now, group, wait, obstacles);
             }
@@ -86,31 +92,33 @@
         }
     }
 
-    /// Whether a worker that answers has something of the job. A place in the replicated state is no
-    /// proof that something runs: a worker that has fallen silent may be dead, and so may one of which
-    /// only its agent tells.
+    /// Returns whether a responsive worker has a task of the job. A placement in the replicated
+    /// state does not show that a task is running: a silent worker may be dead, and so may one that
+    /// only its agent reports on.
     fn runs_somewhere(&self, state: &State, now: Millis, job: &Job) -> bool {
         if job.placed == 0 {
             return false;
         }
-        let fresh = |life: &str| {
-            let worker = self.workers.get(life);
-            worker.is_some_and(|worker| worker.answers && now.since(worker.heard) <= FRESH_MS)
+        let answering = |incarnation: &str| {
+            let worker = self.workers.get(incarnation);
+            worker.is_some_and(|worker| {
+                worker.answers && now.since(worker.reported_at) <= REPORT_VALID_MS
+            })
         };
         let tasks = job.times.iter().flatten().flatten();
-        let mut lives = tasks.filter_map(|task| task.worker.as_deref());
-        !self.knows_workers(state, now) || lives.any(fresh)
+        let mut incarnations = tasks.filter_map(|task| task.worker.as_deref());
+        !self.knows_workers(state, now) || incarnations.any(answering)
     }
 
-    fn log_wait(&mut self, now: Millis, group: &Ready<'_>, wait: Wait, obstacles: &Obstacles) {
+    fn log_wait(&mut self, now: Millis, group: &Group<'_>, wait: Wait, obstacles: &Obstacles) {
         let waiting = group.tasks().iter().filter(|task| task.is_pending()).count();
         let decision = Decision::Waiting {
             job: group.id,
             step: group.step_index,
             tasks: waiting,
             placed: group.job.placed,
-            since_ms: now.since(wait.since),
-            still_ms: wait.still_ms(now),
+            waited_ms: now.since(wait.since),
+            starved_ms: wait.starved_ms(now),
             image: group.step.image.clone(),
             obstacles: obstacles.clone(),
         };
--- a/crates/pond-job/src/lead/worker.rs
+++ b/crates/pond-job/src/lead/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as its agent reports it.
+//! State of a worker as its agent reports it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,81 +6,81 @@
 use pond_proto::job::RunName;
 use pond_proto::{Millis, Size};
 
-use super::ORDER_AGAIN_MS;
+use super::ORDER_RETRY_MS;
 use super::progress::Progress;
 use crate::change::End;
 
-/// The orders about a run since the link opened.
+/// Orders about a run since the link was opened.
 #[derive(Clone, Copy, Debug)]
-pub struct Ordered {
-    /// Whether by the last it was to go on, or to stop.
-    pub go_on: bool,
-    /// When the last was sent.
+pub struct Orders {
+    /// Whether the last order was to keep it running, as opposed to stopping it.
+    pub keep_running: bool,
+    /// When the last order was sent.
     pub at: Millis,
-    /// How many were sent.
+    /// Number of orders sent.
     pub times: u32,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// The agent beside it.
+    /// Agent of the worker.
     pub agent: String,
-    /// The link to the agent, while it is open.
+    /// Link to the agent while it is open.
     pub link: Option<u64>,
-    /// The link is new, so the agent may be, too.
-    pub fresh_link: bool,
-    /// When it last reported.
-    pub heard: Millis,
-    /// Its clock, as last reported, in milliseconds.
+    /// Whether the link is new, so that the agent may be new as well.
+    pub new_link: bool,
+    /// When the last report arrived.
+    pub reported_at: Millis,
+    /// Clock of the worker according to its last report, in milliseconds.
     pub clock_ms: u64,
-    /// When its clock last went on. An agent may report for a worker that is dead; its clock then
-    /// stands still, and so does the end of its lease.
-    pub clocked: Millis,
-    /// Its pool.
+    /// When its clock last advanced. An agent may report for a dead worker; the clock then stands
+    /// still, and so does the end of the lease.
+    pub clock_advanced_at: Millis,
+    /// Pool of the worker.
     pub pool: String,
-    /// Its room.
-    pub room: Size,
-    /// Its labels.
+    /// Total capacity of the worker.
+    pub capacity: Size,
+    /// Labels of the worker.
     pub labels: BTreeSet<String>,
-    /// Its data centre.
+    /// Data centre of the worker.
     pub data_centre: String,
-    /// It will leave and gets nothing more.
+    /// Whether it is about to leave and gets no more work.
     pub draining: bool,
-    /// It answers its agent.
+    /// Whether it answers its agent.
     pub answers: bool,
-    /// Runs that it was told of or has.
+    /// Runs that the worker has or that its agent was ordered to start.
     pub rows: BTreeMap<RunName, RunRow>,
-    /// Runs that ended there and whose ends are not known to be settled.
+    /// Runs that ended there and whose ends are not known to be committed.
     pub ended: BTreeSet<RunName>,
-    /// How the runs get on.
+    /// Progress of the runs.
     pub progress: BTreeMap<RunName, Progress>,
-    /// How the agent was told to watch each run.
+    /// Watches that the agent has received, by run.
     pub watched: BTreeMap<RunName, Watch>,
-    /// The orders to start or stop each run since the link opened.
-    pub ordered: BTreeMap<RunName, Ordered>,
-    /// Ends up to this number are proposed.
-    pub proposed: u64,
+    /// Orders to start or stop each run since the link was opened.
+    pub ordered: BTreeMap<RunName, Orders>,
+    /// Ends up to this number have been proposed.
+    pub proposed_through: u64,
     /// When ends or unstarted runs were last proposed.
     pub proposed_at: Millis,
-    /// Unstarted runs that are proposed.
+    /// Unstarted runs that have been proposed.
     pub unstarted: BTreeSet<RunName>,
-    /// Unstarted runs that the agent need not report any more.
+    /// Unstarted runs that the agent no longer needs to report.
     pub forget: BTreeSet<RunName>,
 }
 
 impl Worker {
-    /// A worker of which nothing is known.
+    /// Creates a worker about which nothing is known.
     pub fn new(agent: &str) -> Worker {
         Worker {
             agent: agent.to_owned(),
             link: None,
-            fresh_link: false,
-            heard: Millis(0),
+            new_link: false,
+            reported_at: Millis(0),
             clock_ms: 0,
-            clocked: Millis(0),
+            clock_advanced_at: Millis(0),
             pool: String::new(),
-            room: Size::default(),
+            capacity: Size::default(),
             labels: BTreeSet::new(),
             data_centre: String::new(),
             draining: false,
@@ -90,35 +90,35 @@
             progress: BTreeMap::new(),
             watched: BTreeMap::new(),
             ordered: BTreeMap::new(),
-            proposed: 0,
+            proposed_through: 0,
             proposed_at: Millis(0),
             unstarted: BTreeSet::new(),
             forget: BTreeSet::new(),
         }
     }
 
-    /// Takes in a report; whether its figures are new.
-    pub fn take(&mut self, now: Millis, link: u64, report: &Report) -> bool {
+    /// Stores a report. Returns whether its figures are new.
+    pub fn apply_report(&mut self, now: Millis, link: u64, report: &Report) -> bool {
         if self.link != Some(link) {
-            self.fresh_link = true;
-            // Orders on the former link may be lost.
+            self.new_link = true;
+            // Orders on the previous link may be lost.
             self.ordered.clear();
         }
         self.link = Some(link);
-        self.heard = now;
-        if report.clock_ms > self.clock_ms || self.clocked == Millis(0) {
-            self.clocked = now;
+        self.reported_at = now;
+        if report.clock_ms > self.clock_ms || self.clock_advanced_at == Millis(0) {
+            self.clock_advanced_at = now;
         }
         self.clock_ms = self.clock_ms.max(report.clock_ms);
         self.pool = report.pool.clone();
-        self.room = Size::new(report.milli_cpu, report.memory_mib, report.accelerators);
+        self.capacity = Size::new(report.milli_cpu, report.memory_mib, report.accelerators);
         self.labels = report.labels.iter().cloned().collect();
         self.data_centre = report.data_centre.clone();
         self.draining = report.draining;
         self.answers = report.answers;
         let rows: BTreeMap<RunName, RunRow> =
             report.runs.iter().map(|row| (row.run, row.clone())).collect();
-        // A report may come for another reason than a new list.
+        // Not every report contains new figures.
         let figures = |rows: &BTreeMap<RunName, RunRow>| -> Vec<u32> {
             rows.values().map(|row| row.figure).collect()
         };
@@ -128,45 +128,48 @@
         new
     }
 
-    /// Remembers what is proposed; what of it was not proposed before.
-    pub fn note_proposed(
+    /// Records proposed ends and unstarted runs. Returns those that were not proposed before.
+    pub fn record_proposed(
         &mut self,
         ends: &[End],
         unstarted: &[RunName],
     ) -> (Vec<End>, Vec<RunName>) {
-        let new_ends = ends.iter().filter(|end| end.number > self.proposed).cloned().collect();
+        let new_ends =
+            ends.iter().filter(|end| end.number > self.proposed_through).cloned().collect();
         let new_unstarted = unstarted.iter().filter(|run| !self.unstarted.contains(run));
         let new_unstarted = new_unstarted.copied().collect();
-        self.proposed = ends.last().map_or(self.proposed, |end| end.number.max(self.proposed));
+        self.proposed_through =
+            ends.last().map_or(self.proposed_through, |end| end.number.max(self.proposed_through));
         self.unstarted = unstarted.iter().copied().collect();
         (new_ends, new_unstarted)
     }
 
-    /// Whether a run may be ordered to go on or to stop: at once if the last order was another one,
-    /// so that a stop does not wait for up to a second after a start; else again after a while.
-    pub fn order_due(&self, run: RunName, go_on: bool, now: Millis) -> bool {
-        let last = self.ordered.get(&run).filter(|last| last.go_on == go_on);
-        last.is_none_or(|last| now.since(last.at) >= ORDER_AGAIN_MS)
+    /// Returns whether an order to keep a run running or to stop it may be sent: immediately if the
+    /// last order was the opposite, so that a stop does not wait up to a second after a start;
+    /// otherwise after the retry interval.
+    pub fn order_due(&self, run: RunName, keep_running: bool, now: Millis) -> bool {
+        let last = self.ordered.get(&run).filter(|last| last.keep_running == keep_running);
+        last.is_none_or(|last| now.since(last.at) >= ORDER_RETRY_MS)
     }
 
-    /// Remembers that a run was ordered to go on or to stop.
-    pub fn note_order(&mut self, run: RunName, go_on: bool, now: Millis) {
+    /// Records an order to keep a run running or to stop it.
+    pub fn record_order(&mut self, run: RunName, keep_running: bool, now: Millis) {
         let times = self.ordered.get(&run).map_or(0, |before| before.times);
-        self.ordered.insert(run, Ordered { go_on, at: now, times: times.saturating_add(1) });
+        self.ordered.insert(run, Orders { keep_running, at: now, times: times.saturating_add(1) });
     }
 
-    /// Whether the agent tells of a run, or of its end.
-    pub fn tells_of(&self, run: RunName) -> bool {
+    /// Returns whether the agent reports the run or its end.
+    pub fn knows(&self, run: RunName) -> bool {
         self.rows.contains_key(&run) || self.ended.contains(&run)
     }
 
-    /// Nothing is ordered of it any more.
-    pub fn dismiss(&mut self) {
+    /// Stops sending orders for this incarnation.
+    pub fn disconnect(&mut self) {
         self.link = None;
         self.answers = false;
     }
 
-    /// Whether the worker itself has listed a run.
+    /// Returns whether the worker itself has listed a run.
     pub fn has_listed(&self, run: RunName) -> bool {
         self.rows.get(&run).is_some_and(|row| !row.unlisted)
     }
--- a/crates/pond-job/src/lib.rs
+++ b/crates/pond-job/src/lib.rs
@@ -16,7 +16,7 @@
 pub use estimates::Estimates;
 pub use job::{Job, Task};
 pub use lead::{
-    Decision, Leader, Lost, Obstacle, Obstacles, Output, Permit, Question, StepName, Terms,
+    Decision, Leader, LossKind, Obstacle, Obstacles, Output, Permit, Question, StepName, Timing,
 };
 pub use state::State;
 pub use suspicion::{BLAME_WINDOW_MS, Blame, STARTUP_WINDOW_MS, Suspicion, Verdict};
--- a/crates/pond-job/tests/advice.rs
+++ b/crates/pond-job/tests/advice.rs
@@ -110,7 +110,7 @@
         harness.run_until_idle();
         allow(&mut harness, &[]);
     }
-    let unhealthy = |decision: &Decision| matches!(decision, Decision::Sick { .. });
+    let unhealthy = |decision: &Decision| matches!(decision, Decision::Unhealthy { .. });
     assert!(!harness.decisions.iter().any(unhealthy));
 }
 
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -67,7 +67,7 @@
 
 fn starved_ms(harness: &Harness, job: u64) -> Vec<u64> {
     let starved_ms = |decision: &Decision| match decision {
-        Decision::Tried { run, still_ms, .. } if run.task.job == job => Some(*still_ms),
+        Decision::Forced { run, starved_ms, .. } if run.task.job == job => Some(*starved_ms),
         _ => None,
     };
     harness.decisions.iter().filter_map(starved_ms).collect()
@@ -116,7 +116,9 @@
         advance(&mut harness, &["a"], 6, 0);
     }
     end_all(&mut harness, "a", &[run(3, 0, 1), run(9, 0, 1)], How::Failed);
-    assert!(harness.decisions.iter().any(|decision| matches!(decision, Decision::Sick { .. })));
+    assert!(
+        harness.decisions.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. }))
+    );
     let starved_ms = starved_ms(&harness, 9);
     assert_eq!(
         harness.worker_of(task(9, 0, 0)),
@@ -210,7 +212,7 @@
     harness.report("a");
     harness.run_until_idle();
     let unhealthy =
-        harness.decisions.iter().any(|decision| matches!(decision, Decision::Sick { .. }));
+        harness.decisions.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. }));
     assert!(!unhealthy, "{:?}", harness.decisions);
 }
 
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -47,7 +47,7 @@
     harness.advance(30, &["a", "b"]);
     assert!(harness.started("a").is_empty());
     assert_eq!(obstacle_count(&harness, 1, Obstacle::Evacuated), Some(1));
-    assert_eq!(obstacle_count(&harness, 1, Obstacle::Elsewhere), Some(1));
+    assert_eq!(obstacle_count(&harness, 1, Obstacle::Unsuitable), Some(1));
     harness.readmit("north");
     harness.run_until_idle();
     assert_eq!(harness.started("a"), [run(1, 0)]);
--- a/crates/pond-job/tests/simulation/mod.rs
+++ b/crates/pond-job/tests/simulation/mod.rs
@@ -312,7 +312,7 @@
         }
         self.term += 1;
         let leader = Leader::new(self.term, terms(), self.now);
-        self.leader = Some(leader.with_lesson(self.state.estimates(), self.now));
+        self.leader = Some(leader.with_estimates(self.state.estimates(), self.now));
     }
 
     /// Closes the link of a machine. Its agent reconnects within this time, in milliseconds.
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -35,13 +35,13 @@
 /// The obstacles on workers that may run a task.
 const OBSTACLES: [Obstacle; 8] = [
     Obstacle::Evacuated,
-    Obstacle::Resting,
-    Obstacle::Probed,
+    Obstacle::Backoff,
+    Obstacle::Probing,
     Obstacle::NoRoom,
-    Obstacle::Kept,
+    Obstacle::Reserved,
     Obstacle::Busy,
     Obstacle::NoTicket,
-    Obstacle::Harm,
+    Obstacle::Interference,
 ];
 
 /// What waits: a job of which nothing runs, or one long-running task.
@@ -317,7 +317,7 @@
     fn cause(&self, id: u64, job_decisions: &[&(Millis, Decision)]) -> String {
         let Some(job) = self.state.job(id) else { return "unknown job".to_owned() };
         let last = job_decisions.iter().rev().find(|(_, decision)| {
-            matches!(decision, Decision::Waiting { .. } | Decision::Tried { .. })
+            matches!(decision, Decision::Waiting { .. } | Decision::Forced { .. })
         });
         if job.placed > 0 {
             let recent = last.is_some_and(|(at, _)| self.now.since(*at) <= RECENT_MS);
@@ -325,10 +325,10 @@
             return cause.to_owned();
         }
         let waiting = job_decisions.iter().rev().find_map(|(at, decision)| match decision {
-            Decision::Waiting { obstacles, since_ms, .. } => Some((*at, obstacles, *since_ms)),
+            Decision::Waiting { obstacles, waited_ms, .. } => Some((*at, obstacles, *waited_ms)),
             _ => None,
         });
-        let Some((at, obstacles, since_ms)) = waiting else { return "no plan".to_owned() };
+        let Some((at, obstacles, waited_ms)) = waiting else { return "no plan".to_owned() };
         let obstacles_found = OBSTACLES.iter().filter(|obstacle| obstacles.count(**obstacle) > 0);
         let mut cause = format!("{:?}", obstacles_found.collect::<Vec<_>>());
         if job.spec.steps.iter().any(|step| step.gang) {
@@ -337,7 +337,7 @@
         if job.advice.is_some() {
             cause += " advised";
         }
-        if since_ms + self.now.since(at) < self.monitor.max_wait_ms {
+        if waited_ms + self.now.since(at) < self.monitor.max_wait_ms {
             cause += " wait restarted";
         }
         if self.free_percent() <= PLENTY_PERCENT {
@@ -388,7 +388,7 @@
         Decision::Waiting { job, .. } => *job == id,
         Decision::Stalled { run, .. }
         | Decision::Moved { run, .. }
-        | Decision::Tried { run, .. } => run.task.job == id,
+        | Decision::Forced { run, .. } => run.task.job == id,
         _ => false,
     }
 }
--- a/crates/pond-job/tests/unhealthy.rs
+++ b/crates/pond-job/tests/unhealthy.rs
@@ -130,7 +130,7 @@
 }
 
 fn has_backoff(harness: &Harness) -> bool {
-    harness.decisions.iter().any(|decision| matches!(decision, Decision::Sick { .. }))
+    harness.decisions.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. }))
 }
 
 #[test]
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -242,7 +242,7 @@
 fn lost_proposal_of_a_worker_loss_is_repeated_every_three_seconds() {
     let mut harness = running();
     harness.add_vm("b", 1_000);
-    let lease_over_ms = terms().surely_over_ms();
+    let lease_over_ms = terms().lease_expiry_ms();
     let lost = |change: &Change| matches!(change, Change::WorkerLost { .. });
     let proposed = |harness: &Harness| harness.proposals.iter().any(lost);
     let took = wait_until(&mut harness, 20_000, &["b"], lost, proposed);
@@ -404,7 +404,7 @@
     harness.add_vm("b", 1_000);
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
-    let lease_over_ms = terms().surely_over_ms();
+    let lease_over_ms = terms().lease_expiry_ms();
     assert!(
         took.is_some_and(|took| (lease_over_ms..=lease_over_ms + 150).contains(&took)),
         "{took:?}"
@@ -420,7 +420,7 @@
     harness.replace_leader();
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
-    let lease_over_ms = terms().surely_over_ms();
+    let lease_over_ms = terms().lease_expiry_ms();
     assert!(
         took.is_some_and(|took| (lease_over_ms..=lease_over_ms + 150).contains(&took)),
         "{took:?}"
@@ -479,7 +479,7 @@
 /// was ordered.
 fn absences(harness: &Harness) -> Vec<(RunName, Span, u32)> {
     let line = |decision: &Decision| match decision {
-        Decision::Absent { run, since_ms, orders, .. } => Some((*run, *since_ms, *orders)),
+        Decision::Absent { run, absent_ms, orders, .. } => Some((*run, *absent_ms, *orders)),
         _ => None,
     };
     harness.decisions.iter().filter_map(line).collect()
@@ -493,8 +493,8 @@
     wait_until(&mut harness, 3_000, &["a"], drop_nothing, |_| false);
     let lines = absences(&harness);
     assert_eq!(lines.len(), 3, "{lines:?}");
-    assert!(lines.iter().all(|(name, since_ms, orders)| {
-        *name == run(1, 0, 1) && *since_ms >= 2_000 && *orders >= 2
+    assert!(lines.iter().all(|(name, absent_ms, orders)| {
+        *name == run(1, 0, 1) && *absent_ms >= 2_000 && *orders >= 2
     }));
 }
 
@@ -506,7 +506,9 @@
     vm.runs.values_mut().for_each(|row| row.unlisted = true);
     wait_until(&mut harness, 2_900, &["a"], drop_nothing, |_| false);
     let flags = |decision: &Decision| match decision {
-        Decision::Absent { linked, answers, told, .. } => Some((*linked, *answers, *told)),
+        Decision::Absent { linked, answers, known_to_agent, .. } => {
+            Some((*linked, *answers, *known_to_agent))
+        }
         _ => None,
     };
     assert_eq!(harness.decisions.iter().find_map(flags), Some((true, true, true)));
