--- a/crates/pond-job/src/configuration.rs
+++ b/crates/pond-job/src/configuration.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Invalid {
     /// A queue refers to a pool that is not defined.
-    #[snafu(display("queue {queue}: there is no pool {pool}; define it or choose another one"))]
+    #[snafu(display("queue {queue}: there is no pool {pool}; add it or name another"))]
     UnknownPool {
         /// The queue.
         queue: String,
@@ -101,7 +101,7 @@
         pool: String,
     },
     /// Two queues have the same host and prefix.
-    #[snafu(display("queue {queue}: another queue already has host {host} and prefix {prefix}"))]
+    #[snafu(display("queue {queue}: another queue has host {host} and prefix {prefix}"))]
     DuplicateTarget {
         /// The queue.
         queue: String,
@@ -111,7 +111,7 @@
         prefix: String,
     },
     /// The request timeout of a queue is zero.
-    #[snafu(display("queue {queue}: the time limit is zero; set timeout_ms to at least 1"))]
+    #[snafu(display("queue {queue}: the time limit is zero; give at least one millisecond"))]
     ZeroTimeout {
         /// The queue.
         queue: String,
