--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -235,7 +235,9 @@
     for node in 0..NODES {
         let terms = Terms::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
         let terms = terms.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
-        let terms = Arc::new(terms.with_times(pond_follow::BEAT, pond_follow::SILENCE));
+        let terms = Arc::new(
+            terms.with_times(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT),
+        );
         for replica in &replicas {
             tokio::spawn(dial(replica.internal, LinkKey(key), terms.clone(), events.clone()));
             key += 1;
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -128,7 +128,7 @@
             Terms::new(Role::Control, &settings.name, &settings.data_centre, Life::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_address(&address.unwrap_or_default())
-                .with_times(pond_follow::BEAT, pond_follow::SILENCE)
+                .with_times(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
                 .with_token(&token);
         let terms = Arc::new(terms);
         // One link for each pair: the replica whose name comes first dials.
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use pond_clock::Clock;
-use pond_follow::{Control, Told};
+use pond_follow::{Control, Notification};
 use pond_http::{Call, Client, HeaderMap, HeaderName, HeaderValue, Method};
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, accept};
 use pond_log::{Logger, event};
@@ -118,12 +118,12 @@
     fn tick(&mut self) {
         let now = self.now();
         self.admission.tick(now);
-        self.control.ack(self.admission.version(), self.admission.quiet());
+        self.control.ack(self.admission.version(), self.admission.drained());
     }
 
     fn event(&mut self, event: Event) {
         if self.control.owns(event.link) {
-            if let Some(Told::View(delta)) = self.control.event(event) {
+            if let Some(Notification::View(delta)) = self.control.event(event) {
                 self.view(delta);
             }
             return;
@@ -149,9 +149,9 @@
 
     fn view(&mut self, delta: pond_proto::view::Delta) {
         let version = delta.to;
-        if self.admission.view(self.now(), delta) {
+        if self.admission.apply_view(self.now(), delta) {
             event!(self.log, VIEW_IN_FORCE, "version" => version);
-            self.control.ack(self.admission.version(), self.admission.quiet());
+            self.control.ack(self.admission.version(), self.admission.drained());
         } else {
             self.control.ask_all();
         }
@@ -162,7 +162,7 @@
         match body {
             Body::Offer(offer) => self.admission.offer(now, link.0, offer),
             Body::Revoke(offer) => self.admission.revoke(link.0, offer),
-            Body::FateAsk(ask) => self.admission.fate_ask(link.0, ask),
+            Body::FateAsk(ask) => self.admission.report_fates(link.0, ask),
             _ => {}
         }
     }
@@ -177,7 +177,7 @@
                 self.admission.answered(now, end.offer, status, content_type, body);
             }
             Err(error) if error.not_sent() => self.admission.unreachable(now, end.offer),
-            Err(_) => self.admission.broke(now, end.offer),
+            Err(_) => self.admission.answer_lost(now, end.offer),
         }
     }
 
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pond_clock::Clock;
-use pond_follow::{Control, Told};
+use pond_follow::{Control, Notification};
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
 use pond_log::{Logger, Metrics, event};
 use pond_proto::wire::{Body, Content, FateAsk, OfferId, RequestId};
@@ -144,7 +144,7 @@
         }
         let closed = self.waiting.iter().filter(|(_, reply)| reply.is_closed());
         let gone: Vec<RequestId> = closed.map(|(id, _)| *id).collect();
-        gone.into_iter().for_each(|id| self.router.abandoned(now, id));
+        gone.into_iter().for_each(|id| self.router.caller_left(now, id));
         self.metrics.gauge("requests.under_way", self.router.under_way() as u64);
         self.metrics.gauge("configuration.version", self.router.version());
     }
@@ -178,29 +178,29 @@
 
     fn frame(&mut self, now: Micros, process: ProcessKey, body: Body) {
         match body {
-            Body::Refuse(refuse) => self.router.refused(now, process, refuse),
+            Body::Refuse(refuse) => self.router.offer_refused(now, process, refuse),
             Body::Answer(answer) => self.router.answered(now, process, answer),
-            Body::Broken(broken) => self.router.broken(now, process, broken.offer),
-            Body::FateTell(tell) => self.router.fate_told(now, process, tell),
-            Body::Leave(leave) => self.router.leaving(process, leave.task),
+            Body::Broken(broken) => self.router.answer_lost(now, process, broken.offer),
+            Body::FateTell(tell) => self.router.fate_reported(now, process, tell),
+            Body::Leave(leave) => self.router.endpoint_leaving(process, leave.task),
             _ => {}
         }
     }
 
-    fn told(&mut self, told: Told) {
+    fn told(&mut self, told: Notification) {
         let now = self.now();
         match told {
-            Told::View(delta) => {
+            Notification::View(delta) => {
                 let version = delta.to;
-                if self.router.view(now, delta) {
+                if self.router.apply_view(now, delta) {
                     event!(self.log, VIEW_IN_FORCE, "version" => version);
                     self.control.ack(self.router.version(), Vec::new());
                 } else {
                     self.control.ask_all();
                 }
             }
-            Told::Claim(tell) => self.router.claim_told(now, tell),
-            Told::LeaderLost => self.router.control_lost(now),
+            Notification::Claim(tell) => self.router.claim_decided(now, tell),
+            Notification::LeaderLost => self.router.control_lost(now),
         }
     }
 
@@ -219,7 +219,7 @@
             Output::Offer { process, offer } => {
                 let name = OfferId { id: offer.id, attempt: offer.attempt };
                 if !self.send(process, Body::Offer(offer)) {
-                    self.router.not_sent(self.now(), name);
+                    self.router.offer_not_sent(self.now(), name);
                 }
             }
             Output::Revoke { process, offer } => {
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -12,17 +12,17 @@
 use tokio::sync::mpsc;
 
 /// Time between heartbeats to control. Each process has a link to each replica, so they are few.
-pub const BEAT: Duration = Duration::from_millis(2_000);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// Silence after which a link to control is lost.
-pub const SILENCE: Duration = Duration::from_millis(5_000);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// Frames for the leader that are kept while there is none.
 const KEPT: usize = 4096;
 
 /// What control tells a process.
 #[derive(Debug)]
-pub enum Told {
+pub enum Notification {
     /// A step of the configuration.
     View(Delta),
     /// The decision on a claim.
@@ -59,7 +59,7 @@
         events: &mpsc::Sender<Event>,
         log: Logger,
     ) -> Control {
-        let calm = terms.as_ref().clone().with_times(BEAT, SILENCE);
+        let calm = terms.as_ref().clone().with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let terms = Arc::new(calm);
         let mut peers = BTreeMap::new();
         for (i, replica) in replicas.iter().enumerate() {
@@ -86,14 +86,14 @@
     }
 
     /// Takes in an event of one of these links.
-    pub fn event(&mut self, event: Event) -> Option<Told> {
+    pub fn event(&mut self, event: Event) -> Option<Notification> {
         let link = event.link;
         match event.kind {
             EventKind::Up { sender, .. } => self.up(link, sender),
             EventKind::Down(error) => return self.down(link, &error),
             EventKind::Frame(Body::Beat(beat)) => return self.beat(&beat.leader, beat.term),
-            EventKind::Frame(Body::View(delta)) => return Some(Told::View(delta)),
-            EventKind::Frame(Body::ClaimTell(tell)) => return Some(Told::Claim(tell)),
+            EventKind::Frame(Body::View(delta)) => return Some(Notification::View(delta)),
+            EventKind::Frame(Body::ClaimTell(tell)) => return Some(Notification::Claim(tell)),
             EventKind::Frame(_) => {}
         }
         None
@@ -106,20 +106,20 @@
         peer.sender = Some(sender);
     }
 
-    fn down(&mut self, link: LinkKey, error: &pond_link::Error) -> Option<Told> {
+    fn down(&mut self, link: LinkKey, error: &pond_link::Error) -> Option<Notification> {
         let peer = self.peers.get_mut(&link)?;
         if peer.sender.take().is_some() {
             event!(self.log, LINK_DOWN, "peer" => peer.name.clone(), "why" => error.to_string());
         }
         if self.leader == Some(link) {
             self.leader = None;
-            return Some(Told::LeaderLost);
+            return Some(Notification::LeaderLost);
         }
         None
     }
 
     /// A replica says who leads, in which term.
-    fn beat(&mut self, leader: &str, term: u64) -> Option<Told> {
+    fn beat(&mut self, leader: &str, term: u64) -> Option<Notification> {
         let found = self.peers.iter().find(|(_, peer)| peer.address == leader);
         let link = found.filter(|(_, peer)| peer.sender.is_some()).map(|(link, _)| *link);
         if term < self.term || link.is_none() {
@@ -134,7 +134,7 @@
         for body in std::mem::take(&mut self.kept) {
             self.to_leader(body);
         }
-        had.then_some(Told::LeaderLost)
+        had.then_some(Notification::LeaderLost)
     }
 
     /// Puts a frame on the leader's link; false if there is none or it is full.
--- a/crates/pond-follow/src/lib.rs
+++ b/crates/pond-follow/src/lib.rs
@@ -6,4 +6,4 @@
 
 mod control;
 
-pub use control::{BEAT, Control, SILENCE, Told};
+pub use control::{Control, HEARTBEAT_INTERVAL, Notification, SILENCE_TIMEOUT};
--- a/crates/pond-http/src/client.rs
+++ b/crates/pond-http/src/client.rs
@@ -170,10 +170,10 @@
     Ok(request)
 }
 
-fn not_sent(address: &str, what: impl ToString) -> Error {
-    Error::NotSent { address: address.to_owned(), what: what.to_string() }
+fn not_sent(address: &str, reason: impl ToString) -> Error {
+    Error::NotSent { address: address.to_owned(), reason: reason.to_string() }
 }
 
-fn broken(address: &str, what: impl ToString) -> Error {
-    Error::Broken { address: address.to_owned(), what: what.to_string() }
+fn broken(address: &str, reason: impl ToString) -> Error {
+    Error::Broken { address: address.to_owned(), reason: reason.to_string() }
 }
--- a/crates/pond-http/src/error.rs
+++ b/crates/pond-http/src/error.rs
@@ -6,30 +6,30 @@
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// Nothing of the request was sent: it did not run.
-    #[snafu(display("{address}: not sent: {what}"))]
+    #[snafu(display("{address}: not sent: {reason}"))]
     NotSent {
         /// Whom it was for.
         address: String,
         /// Why.
-        what: String,
+        reason: String,
     },
     /// The request was sent, at least in part, and no whole answer came: it may have run.
-    #[snafu(display("{address}: no whole answer: {what}"))]
+    #[snafu(display("{address}: no whole answer: {reason}"))]
     Broken {
         /// Whom it was for.
         address: String,
         /// Why.
-        what: String,
+        reason: String,
     },
     /// An answer came that is not what the contract says.
-    #[snafu(display("{address}: status {status}: {what}"))]
+    #[snafu(display("{address}: status {status}: {reason}"))]
     Status {
         /// Whom it was for.
         address: String,
         /// The status.
         status: u16,
         /// The answer's body.
-        what: String,
+        reason: String,
     },
 }
 
--- a/crates/pond-http/src/json.rs
+++ b/crates/pond-http/src/json.rs
@@ -41,10 +41,10 @@
 }
 
 fn read<T: DeserializeOwned>(address: &str, reply: Reply) -> Result<T, Error> {
-    let wrong = |what: String| Error::Status {
+    let wrong = |reason: String| Error::Status {
         address: address.to_owned(),
         status: reply.status.as_u16(),
-        what,
+        reason,
     };
     if !reply.status.is_success() {
         return Err(wrong(String::from_utf8_lossy(&reply.body).into_owned()));
--- a/crates/pond-intake/src/desk.rs
+++ b/crates/pond-intake/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use pond_proto::{Millis, Span};
 
 /// How long after the leader was lost requests still wait for the next one, in milliseconds: about
-/// an election. Later ones are given up at once, as longer waits would cost callers more than coming
+/// an election. Later ones are answer up at once, as longer waits would cost callers more than coming
 /// back.
 const LEADERLESS_MS: Span = 600;
 
@@ -14,22 +14,22 @@
 /// may have lapsed for a moment, which a heartbeat mends.
 const AGAIN_MS: Span = 50;
 
-/// Requests that may wait; more are given up at once, as control is overloaded: answers take
+/// Requests that may wait; more are answer up at once, as control is overloaded: answers take
 /// milliseconds, so even one election at a thousand requests a second leaves fewer.
 const WAITING: usize = 2_000;
 
 /// What a caller is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Given {
+pub enum Answer {
     /// Control's answer.
-    Told(Tell),
+    Replied(Tell),
     /// Surely nothing happened, and nothing will.
     NotRun,
     /// It may have happened, or may still.
     Unknown,
 }
 
-/// What the shell does for the desk.
+/// What the shell does for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send this to the leader.
@@ -39,7 +39,7 @@
         /// The request's.
         ticket: u64,
         /// The answer.
-        given: Given,
+        answer: Answer,
     },
 }
 
@@ -58,7 +58,7 @@
 
 /// All requests that wait, by their tickets.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct Dispatcher {
     next: u64,
     waiting: BTreeMap<u64, Waiting>,
     leads: bool,
@@ -67,10 +67,10 @@
     outputs: Vec<Output>,
 }
 
-impl Desk {
+impl Dispatcher {
     /// No requests yet.
-    pub fn new() -> Desk {
-        Desk::default()
+    pub fn new() -> Dispatcher {
+        Dispatcher::default()
     }
 
     /// Requests that wait.
@@ -83,19 +83,19 @@
         self.waiting.is_empty()
     }
 
-    /// Takes in a request that may take `patience_ms`; its ticket.
-    pub fn ask(&mut self, now: Millis, target: Target, verb: Verb, patience_ms: Span) -> u64 {
+    /// Takes in a request that may take `timeout_ms`; its ticket.
+    pub fn request(&mut self, now: Millis, target: Target, verb: Verb, timeout_ms: Span) -> u64 {
         self.next += 1;
         let ticket = self.next;
         if self.waiting.len() >= WAITING {
-            self.outputs.push(Output::Answer { ticket, given: Given::NotRun });
+            self.outputs.push(Output::Answer { ticket, answer: Answer::NotRun });
             return ticket;
         }
         let ask = Ask { ticket, target, verb: Some(verb) };
         if self.leads {
             self.outputs.push(Output::Send(ask.clone()));
         }
-        let until = now + patience_ms;
+        let until = now + timeout_ms;
         self.waiting
             .insert(ticket, Waiting { ask, sent: false, until, refused: false, again: None });
         ticket
@@ -104,7 +104,7 @@
     /// A request was put on the link, or could not be.
     pub fn sent(&mut self, ticket: u64, sent: bool) {
         if !sent {
-            self.answer(ticket, Given::Unknown);
+            self.answer(ticket, Answer::Unknown);
         } else if let Some(waiting) = self.waiting.get_mut(&ticket) {
             waiting.sent = true;
         }
@@ -136,21 +136,21 @@
             }
             return;
         }
-        self.answer(tell.ticket, Given::Told(tell));
+        self.answer(tell.ticket, Answer::Replied(tell));
     }
 
-    fn answer(&mut self, ticket: u64, given: Given) {
+    fn answer(&mut self, ticket: u64, answer: Answer) {
         let Some(waiting) = self.waiting.remove(&ticket) else { return };
         // What is answered must not be sent any more.
         let sends = |output: &Output| matches!(output, Output::Send(ask) if ask.ticket == ticket);
         self.outputs.retain(|output| !sends(output));
         // Only looking changes nothing, wherever it was sent.
         let harmless = matches!(waiting.ask.verb, Some(Verb::Look(_) | Verb::Count(_)));
-        let given = match given {
-            Given::Unknown if harmless || !waiting.sent => Given::NotRun,
-            given => given,
+        let answer = match answer {
+            Answer::Unknown if harmless || !waiting.sent => Answer::NotRun,
+            answer => answer,
         };
-        self.outputs.push(Output::Answer { ticket, given });
+        self.outputs.push(Output::Answer { ticket, answer });
     }
 
     /// Gives up what has waited too long, and hands out what the shell must do.
@@ -160,7 +160,7 @@
         let over: Vec<u64> =
             self.waiting.values().filter(over).map(|waiting| waiting.ask.ticket).collect();
         for ticket in over {
-            self.answer(ticket, Given::Unknown);
+            self.answer(ticket, Answer::Unknown);
         }
         self.send_refused_again(now);
         std::mem::take(&mut self.outputs)
--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -1,4 +1,4 @@
-//! The shell around the desk.
+//! The shell around the dispatcher.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-use crate::desk::{Desk, Given, Output};
+use crate::dispatcher::{Answer, Dispatcher, Output};
 
-/// Inputs that may wait for the desk: twice the requests that the desk itself lets wait.
+/// Inputs that may wait for the dispatcher: twice the requests that the dispatcher itself lets wait.
 const QUEUE: usize = 4096;
 
 /// Longest time between looks at what is due, in milliseconds.
@@ -27,10 +27,10 @@
 /// to send callers elsewhere, as all entries wait for the same one.
 const READY_WITHOUT_MS: Span = 3_000;
 
-/// Something that the desk is asked or told.
+/// Something that the dispatcher is asked or told.
 enum Input {
-    Ask { target: Target, verb: Verb, patience_ms: Span, reply: oneshot::Sender<Given> },
-    Learn(Vec<String>),
+    Request { target: Target, verb: Verb, timeout_ms: Span, reply: oneshot::Sender<Answer> },
+    AddAddresses(Vec<String>),
 }
 
 /// Hands requests in.
@@ -42,12 +42,12 @@
 
 impl Handle {
     /// Hands a request to the leader and waits for what became of it.
-    pub async fn ask(&self, target: Target, verb: Verb, patience_ms: Span) -> Given {
+    pub async fn request(&self, target: Target, verb: Verb, timeout_ms: Span) -> Answer {
         let (reply, answer) = oneshot::channel();
-        if self.inputs.send(Input::Ask { target, verb, patience_ms, reply }).await.is_err() {
-            return Given::NotRun;
+        if self.inputs.send(Input::Request { target, verb, timeout_ms, reply }).await.is_err() {
+            return Answer::NotRun;
         }
-        answer.await.unwrap_or(Given::Unknown)
+        answer.await.unwrap_or(Answer::Unknown)
     }
 
     /// Whether requests can be served: a leader with a configuration was reached not long ago.
@@ -56,18 +56,18 @@
     }
 
     /// Further addresses of control replicas.
-    pub async fn learn(&self, addresses: Vec<String>) -> bool {
-        self.inputs.send(Input::Learn(addresses)).await.is_ok()
+    pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
+        self.inputs.send(Input::AddAddresses(addresses)).await.is_ok()
     }
 }
 
-/// Runs the desk.
+/// Runs the dispatcher.
 pub struct Intake {
-    desk: Desk,
+    dispatcher: Dispatcher,
     uplink: Uplink,
     links: mpsc::Receiver<Event>,
     inputs: mpsc::Receiver<Input>,
-    replies: BTreeMap<u64, oneshot::Sender<Given>>,
+    replies: BTreeMap<u64, oneshot::Sender<Answer>>,
     ready: Arc<AtomicBool>,
     /// A leader with a configuration was reached once.
     configured: bool,
@@ -78,7 +78,7 @@
 }
 
 impl Intake {
-    /// A desk that reaches control through `uplink`, whose events come through `links`.
+    /// A dispatcher that reaches control through `uplink`, whose events come through `links`.
     pub fn new(
         uplink: Uplink,
         links: mpsc::Receiver<Event>,
@@ -89,7 +89,7 @@
         let ready = Arc::new(AtomicBool::new(false));
         let handle = Handle { inputs: sender, ready: ready.clone() };
         let intake = Intake {
-            desk: Desk::new(),
+            dispatcher: Dispatcher::new(),
             uplink,
             links,
             inputs,
@@ -114,7 +114,7 @@
             self.uplink.tick(now);
             self.carry_out(now);
             self.judge_ready(now);
-            let due = self.desk.due().into_iter().chain(self.uplink.due()).min();
+            let due = self.dispatcher.due().into_iter().chain(self.uplink.due()).min();
             let due = due.map_or(TICK_MS, |due| due.since(now));
             tokio::select! {
                 Some(event) = self.links.recv() => self.link(event),
@@ -145,34 +145,34 @@
             Told::Leader { configured, new, .. } => {
                 self.configured |= configured;
                 if new {
-                    self.desk.leader_up();
+                    self.dispatcher.leader_up();
                 }
             }
             Told::Lost => {
                 self.led = now;
-                self.desk.leader_lost(now);
+                self.dispatcher.leader_lost(now);
             }
-            Told::Frame(Body::Tell(tell)) => self.desk.tell(tell),
+            Told::Frame(Body::Tell(tell)) => self.dispatcher.tell(tell),
             Told::Frame(_) => {}
         }
     }
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Ask { target, verb, patience_ms, reply } => {
-                let ticket = self.desk.ask(self.now(), target, verb, patience_ms);
+            Input::Request { target, verb, timeout_ms, reply } => {
+                let ticket = self.dispatcher.request(self.now(), target, verb, timeout_ms);
                 self.replies.insert(ticket, reply);
             }
-            Input::Learn(addresses) => self.uplink.learn(&addresses),
+            Input::AddAddresses(addresses) => self.uplink.learn(&addresses),
         }
     }
 
     fn carry_out(&mut self, now: Millis) {
-        for output in self.desk.tick(now) {
+        for output in self.dispatcher.tick(now) {
             self.output(output);
         }
         // What could not be sent is answered at once.
-        for output in self.desk.tick(now) {
+        for output in self.dispatcher.tick(now) {
             self.output(output);
         }
     }
@@ -182,12 +182,12 @@
             Output::Send(ask) => {
                 let ticket = ask.ticket;
                 let sent = self.uplink.send(Body::Ask(ask));
-                self.desk.sent(ticket, sent);
+                self.dispatcher.sent(ticket, sent);
             }
-            Output::Answer { ticket, given } => {
+            Output::Answer { ticket, answer } => {
                 if let Some(reply) = self.replies.remove(&ticket) {
                     // The caller may have left.
-                    let _ = reply.send(given);
+                    let _ = reply.send(answer);
                 }
             }
         }
--- a/crates/pond-platform/src/http.rs
+++ b/crates/pond-platform/src/http.rs
@@ -48,8 +48,8 @@
 fn read_error(error: pond_http::Error) -> Error {
     match &error {
         pond_http::Error::NotSent { .. } => Error::NotSent(error.to_string()),
-        pond_http::Error::Status { status: REFUSED, what, .. } => {
-            match serde_json::from_str::<Refusal>(what) {
+        pond_http::Error::Status { status: REFUSED, reason, .. } => {
+            match serde_json::from_str::<Refusal>(reason) {
                 Ok(refusal) => Error::Refused(refusal),
                 Err(_) => Error::Unknown(error.to_string()),
             }
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -120,7 +120,7 @@
     }
 
     /// Leaving endpoints that run and hold nothing any more.
-    pub fn quiet(&self) -> Vec<u64> {
+    pub fn drained(&self) -> Vec<u64> {
         let quiet = |endpoint: &Endpoint| {
             (endpoint.leaving || self.leaving) && endpoint.running == 0 && endpoint.queue.is_empty()
         };
@@ -133,7 +133,7 @@
     }
 
     /// Takes in a step of the configuration; false if it does not follow on what is in force.
-    pub fn view(&mut self, now: Micros, delta: Delta) -> bool {
+    pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
         }
@@ -384,7 +384,7 @@
     }
 
     /// The call may have reached the endpoint and has no whole answer.
-    pub fn broke(&mut self, now: Micros, offer: OfferId) {
+    pub fn answer_lost(&mut self, now: Micros, offer: OfferId) {
         if self.release(now, offer).is_some() {
             self.keep(offer, State::Lost);
             self.send_to_life(offer.id.life, Body::Broken(Broken { offer }));
@@ -451,7 +451,7 @@
     }
 
     /// An entry asks for the fate of offers made on an earlier link.
-    pub fn fate_ask(&mut self, link: Link, ask: FateAsk) {
+    pub fn report_fates(&mut self, link: Link, ask: FateAsk) {
         for offer in ask.offers {
             if self.links.get(&offer.id.life) != Some(&link) {
                 continue;
--- a/crates/pond-route/src/router/answer.rs
+++ b/crates/pond-route/src/router/answer.rs
@@ -65,7 +65,7 @@
     }
 
     /// An offer started and its answer is lost.
-    pub fn broken(&mut self, now: Micros, process: ProcessKey, offer: OfferId) {
+    pub fn answer_lost(&mut self, now: Micros, process: ProcessKey, offer: OfferId) {
         if !self.is_from(process, offer) {
             return;
         }
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -29,7 +29,7 @@
     }
 
     /// Control decided a claim.
-    pub fn claim_told(&mut self, now: Micros, tell: ClaimTell) {
+    pub fn claim_decided(&mut self, now: Micros, tell: ClaimTell) {
         let verdict = tell.verdict();
         let Some(id) = self.tickets.remove(&tell.ticket) else { return };
         let Some(flight) = self.flights.get_mut(&id).filter(|f| f.stage == Stage::Claiming) else {
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -56,7 +56,7 @@
         }
         ask.sort_unstable();
         lost.sort_unstable();
-        lost.into_iter().for_each(|offer| self.broken(now, process, offer));
+        lost.into_iter().for_each(|offer| self.answer_lost(now, process, offer));
         if !ask.is_empty() {
             self.outputs.push(Output::AskFate { process, offers: ask });
         }
@@ -81,7 +81,7 @@
     }
 
     /// An endpoint process told the fate of an offer.
-    pub fn fate_told(&mut self, now: Micros, process: ProcessKey, tell: FateTell) {
+    pub fn fate_reported(&mut self, now: Micros, process: ProcessKey, tell: FateTell) {
         if !self.is_from(process, tell.offer) {
             return;
         }
@@ -91,7 +91,7 @@
                     self.again(now, tell.offer.id, NotRun::NoEndpoint);
                 }
             }
-            Fate::Lost => self.broken(now, process, tell.offer),
+            Fate::Lost => self.answer_lost(now, process, tell.offer),
             Fate::Running => {
                 let flight = self.flights.get_mut(&tell.offer.id);
                 let offers = flight.into_iter().flat_map(|flight| &mut flight.offers);
@@ -105,7 +105,7 @@
     }
 
     /// An endpoint process takes nothing new for one endpoint, or (task zero) for all.
-    pub fn leaving(&mut self, process: ProcessKey, task: u64) {
+    pub fn endpoint_leaving(&mut self, process: ProcessKey, task: u64) {
         for endpoint in self.table.behind(process) {
             endpoint.refused |= task == 0 || endpoint.key.0 == task;
         }
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -62,7 +62,7 @@
 /// Something the shell must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send an offer; if that is not possible, call [`Router::not_sent`].
+    /// Send an offer; if that is not possible, call [`Router::offer_not_sent`].
     Offer {
         /// To which process.
         process: ProcessKey,
@@ -176,7 +176,7 @@
     /// Takes in a step of the configuration; false if it does not follow on what is in force.
     ///
     /// Nothing older than what is in force is ever taken in, from no leader.
-    pub fn view(&mut self, now: Micros, delta: Delta) -> bool {
+    pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
         }
--- a/crates/pond-route/src/router/offer.rs
+++ b/crates/pond-route/src/router/offer.rs
@@ -139,7 +139,7 @@
     }
 
     /// An offer could not be put on its link: it did not run.
-    pub fn not_sent(&mut self, now: Micros, offer: OfferId) {
+    pub fn offer_not_sent(&mut self, now: Micros, offer: OfferId) {
         if let Some(closed) = self.close(offer) {
             if let Some(endpoint) = self.table.get_mut(closed.endpoint) {
                 endpoint.full_until = now + FULL_US;
@@ -149,7 +149,7 @@
     }
 
     /// An endpoint process refused an offer: it did not and will not run.
-    pub fn refused(&mut self, now: Micros, process: ProcessKey, refuse: Refuse) {
+    pub fn offer_refused(&mut self, now: Micros, process: ProcessKey, refuse: Refuse) {
         if !self.is_from(process, refuse.offer) {
             return;
         }
--- a/crates/pond-route/src/router/timer.rs
+++ b/crates/pond-route/src/router/timer.rs
@@ -122,7 +122,7 @@
     }
 
     /// The caller is gone: what has not started is revoked, and nobody is told.
-    pub fn abandoned(&mut self, now: Micros, id: RequestId) {
+    pub fn caller_left(&mut self, now: Micros, id: RequestId) {
         if self.flights.contains_key(&id) {
             self.revoke_all(id);
             self.expire(now, id);
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -329,7 +329,7 @@
     };
     let mut admission = Admission::new("a");
     let delta = view::Delta { to: 1, endpoints: vec![endpoint], ..view::Delta::default() };
-    admission.view(Micros(0), delta);
+    admission.apply_view(Micros(0), delta);
     admission.link_up(1, 7);
     let id = |number| RequestId { life: 7, number };
     for (number, remaining_ms) in [(1, 1000), (2, 5)] {
--- a/crates/pond-test/src/path.rs
+++ b/crates/pond-test/src/path.rs
@@ -203,10 +203,10 @@
         };
         let now = Micros(self.now);
         for i in 0..self.entries.len() {
-            self.entries[i].view(now, delta.clone());
+            self.entries[i].apply_view(now, delta.clone());
         }
         for i in 0..self.places.len() {
-            self.places[i].admission.view(now, delta.clone());
+            self.places[i].admission.apply_view(now, delta.clone());
         }
         self.carry_out();
     }
@@ -238,7 +238,7 @@
         };
         let now = Micros(self.now);
         for router in &mut self.entries {
-            router.view(now, delta.clone());
+            router.apply_view(now, delta.clone());
         }
     }
 
@@ -408,7 +408,7 @@
                 match body {
                     Body::Offer(offer) => admission.offer(now, link, offer),
                     Body::Revoke(offer) => admission.revoke(link, offer),
-                    Body::FateAsk(ask) => admission.fate_ask(link, ask),
+                    Body::FateAsk(ask) => admission.report_fates(link, ask),
                     _ => {}
                 }
             }
@@ -423,7 +423,7 @@
                         place.admission.answered(now, offer, 500, String::new(), body);
                     }
                     Behaviour::Unreachable => place.admission.unreachable(now, offer),
-                    Behaviour::Break(_) => place.admission.broke(now, offer),
+                    Behaviour::Break(_) => place.admission.answer_lost(now, offer),
                     _ => place.admission.answered(now, offer, 200, String::new(), body),
                 }
             }
@@ -447,11 +447,11 @@
         let Some(key) = self.key_of(entry, process) else { return };
         let router = &mut self.entries[entry];
         match body {
-            Body::Refuse(refuse) => router.refused(now, key, refuse),
+            Body::Refuse(refuse) => router.offer_refused(now, key, refuse),
             Body::Answer(answer) => router.answered(now, key, answer),
-            Body::Broken(broken) => router.broken(now, key, broken.offer),
-            Body::FateTell(tell) => router.fate_told(now, key, tell),
-            Body::Leave(leave) => router.leaving(key, leave.task),
+            Body::Broken(broken) => router.answer_lost(now, key, broken.offer),
+            Body::FateTell(tell) => router.fate_reported(now, key, tell),
+            Body::Leave(leave) => router.endpoint_leaving(key, leave.task),
             _ => {}
         }
     }
@@ -484,7 +484,7 @@
                 let name = OfferId { id: offer.id, attempt: offer.attempt };
                 self.offers += 1;
                 if !self.send(entry, process, Body::Offer(offer)) {
-                    self.entries[entry].not_sent(now, name);
+                    self.entries[entry].offer_not_sent(now, name);
                 }
             }
             Output::Revoke { process, offer } => {
@@ -501,7 +501,7 @@
                 let holder = *self.claims.entry(ask.key).or_insert(ask.id);
                 let verdict = if holder == ask.id { Verdict::Granted } else { Verdict::Held };
                 let tell = ClaimTell { ticket: ask.ticket, verdict: verdict as i32, answer: None };
-                self.entries[entry].claim_told(now, tell);
+                self.entries[entry].claim_decided(now, tell);
             }
             Output::EndClaim(end) => {
                 if end.not_run && self.claims.get(&end.key) == Some(&end.id) {
