--- a/crates/pond-route/benches/policies.rs
+++ b/crates/pond-route/benches/policies.rs
@@ -1,7 +1,7 @@
-//! Compares routing policies at the same offered load, in virtual time.
+//! Compares load-balancing policies at the same offered load, in virtual time.
 //!
-//! `cargo bench -p pond-route --bench policies` writes the table of docs/MEASUREMENTS.md: three
-//! entries share ten endpoints of eight slots without a central queue.
+//! `cargo bench -p pond-route --bench policies` prints the table in docs/MEASUREMENTS.md: three
+//! entries share ten endpoints of eight slots each, without a central queue.
 
 use pond_proto::Outcome;
 use pond_route::{PolicyKind, Tuning};
@@ -14,10 +14,10 @@
 /// Mean service time of a healthy endpoint, in microseconds.
 const SERVICE_US: u64 = 2_000;
 
-/// Virtual time of the load, in microseconds.
+/// Duration of the measured load in virtual time, in microseconds.
 const RUN_US: u64 = 1_000_000;
 
-/// Requests a second that ten healthy endpoints can serve.
+/// Requests a second that all endpoints can serve when healthy.
 const CAPACITY: f64 = ENDPOINTS as f64 * SLOTS as f64 * 1e6 / SERVICE_US as f64;
 
 struct Case {
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission in an endpoint process: slots, queues, and the fate of every offer.
+//! Admission control in an endpoint process: slots, queues, and the fate of every offer.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -8,95 +8,107 @@
     Answer, Body, Broken, Content, Fate, FateAsk, FateTell, Leave, Offer, OfferId, Refusal, Refuse,
 };
 
-/// Offers that may wait for each slot of an endpoint.
+/// Maximum number of queued offers for each slot of an endpoint.
 const QUEUE_PER_SLOT: u32 = 1;
 
-/// How long an answer is kept after its request's deadline, in microseconds.
-const KEPT_US: u64 = 5_000_000;
+/// How long the result of an offer is retained after the request's deadline, in microseconds.
+const RETENTION_US: u64 = 5_000_000;
 
-/// Bytes of answers that are kept for links that may be made again.
-const KEPT_BYTES: usize = 8 << 20;
+/// Maximum total size of the answers that are retained in case an entry reconnects, in bytes.
+const MAX_RETAINED_BYTES: usize = 8 << 20;
 
-/// Names one link of the process; the shell's key.
+/// Identifies one link of the process; assigned by the I/O layer.
 pub type Link = u64;
 
-/// An offer that shall run now.
+/// An offer to run now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
-    /// Which offer.
+    /// The offer to run.
     pub offer: OfferId,
-    /// The endpoint's address.
+    /// Address of the endpoint.
     pub address: String,
-    /// What is passed on.
+    /// Service, key, content type and body, as forwarded to the endpoint.
     pub content: Content,
-    /// Until when an answer is of use.
+    /// The caller's deadline; an answer after it is of no use.
     pub deadline: Micros,
 }
 
-/// Something the shell must do.
+/// An action for the I/O layer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionOutput {
-    /// Call the endpoint, then tell the end by one of the methods of [`Admission`].
+    /// Call the endpoint, then report the result with [`Admission::answered`],
+    /// [`Admission::unreachable`] or [`Admission::answer_lost`].
     Run(Run),
-    /// Put a frame on a link.
+    /// Send a frame on a link.
     Send {
-        /// Which link.
+        /// The link to send on.
         link: Link,
         /// The frame.
         body: Body,
     },
 }
 
-/// Where an offer stands.
+/// The state of an offer.
 #[derive(Clone, Debug)]
 enum State {
-    Queued { task: u64, content: Content, arrived: Micros },
-    Running { task: u64, arrived: Micros, started: Micros },
+    Queued {
+        task: u64,
+        content: Content,
+        arrived: Micros,
+    },
+    Running {
+        task: u64,
+        arrived: Micros,
+        started: Micros,
+    },
     Done(Answer),
+    /// The offer may have run, and its answer is lost or no longer retained.
     Lost,
 }
 
+/// An offer with its state.
 #[derive(Clone, Debug)]
-struct Held {
+struct Record {
     state: State,
     deadline: Micros,
 }
 
-/// What is known of an offer that has ended.
+/// A running offer that has just given its slot back.
 struct Released {
     task: u64,
     arrived: Micros,
     started: Micros,
 }
 
-fn clamp(us: u64) -> u32 {
+fn saturating_u32(us: u64) -> u32 {
     us.min(u64::from(u32::MAX)) as u32
 }
 
-/// One endpoint behind the process.
+/// An endpoint that this process forwards to.
 #[derive(Clone, Debug, Default)]
 struct Endpoint {
     address: String,
     slots: u32,
     running: u32,
-    /// Running offers by their entry's life.
-    held: BTreeMap<u64, u32>,
+    /// Number of running offers for each incarnation of an entry.
+    running_by_entry: BTreeMap<u64, u32>,
     queue: VecDeque<OfferId>,
     leaving: bool,
     gone: bool,
 }
 
-/// The admission of one endpoint process.
+/// The admission control of one endpoint process.
 #[derive(Debug, Default)]
 pub struct Admission {
     own_address: String,
     endpoints: BTreeMap<u64, Endpoint>,
-    offers: HashMap<OfferId, Held>,
-    /// The newest link of each entry's life. Older ones count as lost, whatever still comes in.
+    offers: HashMap<OfferId, Record>,
+    /// The newest link of each entry incarnation. Older links count as lost, and frames that still
+    /// arrive on them are ignored.
     links: HashMap<u64, Link>,
-    lives: HashMap<Link, u64>,
-    kept: VecDeque<(Micros, OfferId)>,
-    kept_bytes: usize,
+    incarnations: HashMap<Link, u64>,
+    retained: VecDeque<(Micros, OfferId)>,
+    retained_bytes: usize,
     term: u64,
     version: u64,
     leaving: bool,
@@ -104,35 +116,37 @@
 }
 
 impl Admission {
-    /// The admission of the process that has that internal address.
+    /// Creates the admission control of the process with the internal address `own_address`.
     pub fn new(own_address: &str) -> Admission {
         Admission { own_address: own_address.to_owned(), ..Admission::default() }
     }
 
-    /// Takes what the shell must do, in order.
+    /// Returns the pending actions for the I/O layer, in order, and clears them.
     pub fn take_outputs(&mut self) -> Vec<AdmissionOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The version of the configuration in force here; zero before the first.
+    /// Returns the version of the configuration in force here; zero before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Leaving endpoints that run and hold nothing any more.
+    /// Returns the tasks of leaving endpoints that have neither running nor queued offers.
     pub fn drained(&self) -> Vec<u64> {
-        let quiet = |endpoint: &Endpoint| {
+        let drained = |endpoint: &Endpoint| {
             (endpoint.leaving || self.leaving) && endpoint.running == 0 && endpoint.queue.is_empty()
         };
-        self.endpoints.iter().filter(|(_, e)| quiet(e)).map(|(task, _)| *task).collect()
+        self.endpoints.iter().filter(|(_, e)| drained(e)).map(|(task, _)| *task).collect()
     }
 
-    /// Offers that run or wait.
+    /// Returns the number of running and queued offers.
     pub fn under_way(&self) -> usize {
         self.endpoints.values().map(|e| e.running as usize + e.queue.len()).sum()
     }
 
-    /// Takes in a step of the configuration; false if it does not follow on what is in force.
+    /// Applies an update of the configuration.
+    ///
+    /// Returns false if the update does not follow on the version in force.
     pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
@@ -143,25 +157,28 @@
         self.term = self.term.max(delta.term);
         self.version = delta.to;
         if delta.from == 0 {
-            let named: Vec<u64> = delta.endpoints.iter().map(|endpoint| endpoint.task).collect();
+            let listed: Vec<u64> = delta.endpoints.iter().map(|endpoint| endpoint.task).collect();
             let gone: Vec<u64> =
-                self.endpoints.keys().filter(|task| !named.contains(task)).copied().collect();
+                self.endpoints.keys().filter(|task| !listed.contains(task)).copied().collect();
             gone.into_iter().for_each(|task| self.endpoint_gone(task));
         }
         delta.gone.iter().for_each(|task| self.endpoint_gone(*task));
-        let own: Vec<_> =
-            delta.endpoints.into_iter().filter(|told| told.process == self.own_address).collect();
-        for told in own {
-            let endpoint = self.endpoints.entry(told.task).or_default();
-            endpoint.address = told.address;
-            endpoint.slots = told.slots.max(1);
-            if told.leaving && !endpoint.leaving {
-                self.leave(told.task);
+        let own: Vec<_> = delta
+            .endpoints
+            .into_iter()
+            .filter(|update| update.process == self.own_address)
+            .collect();
+        for update in own {
+            let endpoint = self.endpoints.entry(update.task).or_default();
+            endpoint.address = update.address;
+            endpoint.slots = update.slots.max(1);
+            if update.leaving && !endpoint.leaving {
+                self.leave(update.task);
             }
-            if let Some(endpoint) = self.endpoints.get_mut(&told.task) {
-                endpoint.leaving = told.leaving;
+            if let Some(endpoint) = self.endpoints.get_mut(&update.task) {
+                endpoint.leaving = update.leaving;
             }
-            self.start_queued(now, told.task);
+            self.start_queued(now, update.task);
         }
         true
     }
@@ -175,7 +192,7 @@
         }
     }
 
-    /// From now on one endpoint takes nothing new; what waits for it is refused.
+    /// Stops one endpoint from taking new offers and refuses its queued ones.
     pub fn leave(&mut self, task: u64) {
         let Some(endpoint) = self.endpoints.get_mut(&task) else { return };
         endpoint.leaving = true;
@@ -184,18 +201,18 @@
             self.offers.remove(&offer);
             self.refuse(offer, task, Refusal::Leaving);
         }
-        self.tell_all(Body::Leave(Leave { task }));
+        self.broadcast(Body::Leave(Leave { task }));
     }
 
-    /// From now on the whole process takes nothing new.
+    /// Stops all endpoints of the process from taking new offers.
     pub fn leave_all(&mut self) {
         self.leaving = true;
         let tasks: Vec<u64> = self.endpoints.keys().copied().collect();
         tasks.into_iter().for_each(|task| self.leave(task));
-        self.tell_all(Body::Leave(Leave { task: 0 }));
+        self.broadcast(Body::Leave(Leave { task: 0 }));
     }
 
-    fn tell_all(&mut self, body: Body) {
+    fn broadcast(&mut self, body: Body) {
         let mut links: Vec<Link> = self.links.values().copied().collect();
         links.sort_unstable();
         for link in links {
@@ -203,69 +220,69 @@
         }
     }
 
-    /// An entry's link is up. Older links of the same life count as lost from now on.
-    pub fn link_up(&mut self, link: Link, life: u64) {
-        if let Some(old) = self.links.insert(life, link) {
-            self.lives.remove(&old);
-            self.drop_queued(life);
+    /// Registers the link of an entry. Older links of the same incarnation count as lost from now on.
+    pub fn link_up(&mut self, link: Link, incarnation: u64) {
+        if let Some(old) = self.links.insert(incarnation, link) {
+            self.incarnations.remove(&old);
+            self.drop_queued(incarnation);
         }
-        self.lives.insert(link, life);
+        self.incarnations.insert(link, incarnation);
         if self.leaving {
             let body = Body::Leave(Leave { task: 0 });
             self.outputs.push(AdmissionOutput::Send { link, body });
         }
     }
 
-    /// An entry's link is lost. What waits for it dies; what runs goes on.
+    /// Handles the loss of an entry's link: its queued offers are dropped, running ones continue.
     pub fn link_down(&mut self, link: Link) {
-        let Some(life) = self.lives.remove(&link) else { return };
-        if self.links.get(&life) == Some(&link) {
-            self.links.remove(&life);
+        let Some(incarnation) = self.incarnations.remove(&link) else { return };
+        if self.links.get(&incarnation) == Some(&link) {
+            self.links.remove(&incarnation);
         }
-        self.drop_queued(life);
+        self.drop_queued(incarnation);
     }
 
-    fn drop_queued(&mut self, life: u64) {
+    fn drop_queued(&mut self, incarnation: u64) {
         for endpoint in self.endpoints.values_mut() {
             let offers = &mut self.offers;
             endpoint.queue.retain(|offer| {
-                let dies = offer.id.life == life;
-                if dies {
+                let dropped = offer.id.life == incarnation;
+                if dropped {
                     offers.remove(offer);
                 }
-                !dies
+                !dropped
             });
         }
     }
 
-    /// An entry offers a request. Only the newest link of its life is listened to.
+    /// Handles an offer of an entry. Offers on any but the newest link of its incarnation are ignored.
     pub fn offer(&mut self, now: Micros, link: Link, offer: Offer) {
-        let life = offer.id.life;
-        if self.links.get(&life) != Some(&link) {
+        let incarnation = offer.id.life;
+        if self.links.get(&incarnation) != Some(&link) {
             return;
         }
-        self.forget_settled(life, offer.oldest_open);
-        let name = OfferId { id: offer.id, attempt: offer.attempt };
-        if self.offers.contains_key(&name) {
+        self.forget_completed(incarnation, offer.oldest_open);
+        let offer_id = OfferId { id: offer.id, attempt: offer.attempt };
+        if self.offers.contains_key(&offer_id) {
             return;
         }
         if let Some(refusal) = self.refusal(&offer) {
-            self.refuse(name, offer.task, refusal);
+            self.refuse(offer_id, offer.task, refusal);
             return;
         }
         let deadline = now.plus_ms(u64::from(offer.remaining_ms));
         let state = State::Queued { task: offer.task, content: offer.content, arrived: now };
-        self.offers.insert(name, Held { state, deadline });
+        self.offers.insert(offer_id, Record { state, deadline });
         if let Some(endpoint) = self.endpoints.get_mut(&offer.task) {
-            endpoint.queue.push_back(name);
+            endpoint.queue.push_back(offer_id);
         }
         self.start_queued(now, offer.task);
     }
 
-    /// Forgets ended offers of requests that their entry has settled.
-    fn forget_settled(&mut self, life: u64, oldest_open: u64) {
-        while let Some((_, offer)) = self.kept.front() {
-            if offer.id.life != life || offer.id.number >= oldest_open {
+    /// Drops the results of requests below `oldest_open`, which their entry has completed.
+    fn forget_completed(&mut self, incarnation: u64, oldest_open: u64) {
+        while let Some((_, offer)) = self.retained.front() {
+            if offer.id.life != incarnation || offer.id.number >= oldest_open {
                 return;
             }
             self.forget_oldest();
@@ -273,9 +290,9 @@
     }
 
     fn forget_oldest(&mut self) {
-        let Some((_, offer)) = self.kept.pop_front() else { return };
-        if let Some(Held { state: State::Done(answer), .. }) = self.offers.remove(&offer) {
-            self.kept_bytes -= answer.body.len();
+        let Some((_, offer)) = self.retained.pop_front() else { return };
+        if let Some(Record { state: State::Done(answer), .. }) = self.offers.remove(&offer) {
+            self.retained_bytes -= answer.body.len();
         }
     }
 
@@ -289,19 +306,19 @@
         if endpoint.leaving {
             return Some(Refusal::Leaving);
         }
-        let room = endpoint.slots + endpoint.slots * QUEUE_PER_SLOT;
+        let capacity = endpoint.slots + endpoint.slots * QUEUE_PER_SLOT;
         let held = endpoint.running + endpoint.queue.len() as u32;
-        (held >= room).then_some(Refusal::Full)
+        (held >= capacity).then_some(Refusal::Full)
     }
 
     fn refuse(&mut self, offer: OfferId, task: u64, refusal: Refusal) {
         let grant = self.grant(task, offer.id.life);
         let refuse = Refuse { offer, refusal: refusal as i32, grant };
-        self.send_to_life(offer.id.life, Body::Refuse(refuse));
+        self.send_to_entry(offer.id.life, Body::Refuse(refuse));
     }
 
-    fn send_to_life(&mut self, life: u64, body: Body) {
-        if let Some(link) = self.links.get(&life) {
+    fn send_to_entry(&mut self, incarnation: u64, body: Body) {
+        if let Some(link) = self.links.get(&incarnation) {
             self.outputs.push(AdmissionOutput::Send { link: *link, body });
         }
     }
@@ -312,33 +329,34 @@
             if endpoint.running >= endpoint.slots {
                 return;
             }
-            let Some(name) = endpoint.queue.pop_front() else { return };
-            let Some(held) = self.offers.get_mut(&name) else { continue };
-            if now >= held.deadline {
-                self.offers.remove(&name);
-                self.refuse(name, task, Refusal::Expired);
+            let Some(offer_id) = endpoint.queue.pop_front() else { return };
+            let Some(record) = self.offers.get_mut(&offer_id) else { continue };
+            if now >= record.deadline {
+                self.offers.remove(&offer_id);
+                self.refuse(offer_id, task, Refusal::Expired);
                 continue;
             }
             endpoint.running += 1;
-            *endpoint.held.entry(name.id.life).or_default() += 1;
+            *endpoint.running_by_entry.entry(offer_id.id.life).or_default() += 1;
             let address = endpoint.address.clone();
-            let deadline = held.deadline;
-            let State::Queued { arrived, .. } = held.state else { continue };
+            let deadline = record.deadline;
+            let State::Queued { arrived, .. } = record.state else { continue };
             let running = State::Running { task, arrived, started: now };
-            let State::Queued { content, .. } = std::mem::replace(&mut held.state, running) else {
+            let State::Queued { content, .. } = std::mem::replace(&mut record.state, running)
+            else {
                 continue;
             };
-            let run = Run { offer: name, address, content, deadline };
+            let run = Run { offer: offer_id, address, content, deadline };
             self.outputs.push(AdmissionOutput::Run(run));
         }
     }
 
-    /// An entry asks not to start an offer. One that runs goes on.
+    /// Handles a revocation by an entry: a queued offer is refused, a running one continues.
     pub fn revoke(&mut self, link: Link, offer: OfferId) {
         if self.links.get(&offer.id.life) != Some(&link) {
             return;
         }
-        let queued = self.offers.get(&offer).and_then(|held| match held.state {
+        let queued = self.offers.get(&offer).and_then(|record| match record.state {
             State::Queued { task, .. } => Some(task),
             _ => None,
         });
@@ -350,7 +368,7 @@
         self.refuse(offer, task, Refusal::Revoked);
     }
 
-    /// The endpoint gave its whole answer.
+    /// Handles the complete answer of an endpoint.
     pub fn answered(
         &mut self,
         now: Micros,
@@ -366,16 +384,16 @@
             status,
             content_type,
             body,
-            service_us: clamp(now.since(started)),
-            queue_us: clamp(started.since(arrived)),
+            service_us: saturating_u32(now.since(started)),
+            queue_us: saturating_u32(started.since(arrived)),
             load: self.load(task),
             grant: self.grant(task, offer.id.life),
         };
-        self.keep(offer, State::Done(answer.clone()));
-        self.send_to_life(offer.id.life, Body::Answer(answer));
+        self.retain_result(offer, State::Done(answer.clone()));
+        self.send_to_entry(offer.id.life, Body::Answer(answer));
     }
 
-    /// The call surely did not reach the endpoint: the offer did not run.
+    /// Handles a call that certainly did not reach the endpoint: the offer did not run.
     pub fn unreachable(&mut self, now: Micros, offer: OfferId) {
         if let Some(Released { task, .. }) = self.release(now, offer) {
             self.offers.remove(&offer);
@@ -383,24 +401,24 @@
         }
     }
 
-    /// The call may have reached the endpoint and has no whole answer.
+    /// Handles a call that may have reached the endpoint but got no complete answer.
     pub fn answer_lost(&mut self, now: Micros, offer: OfferId) {
         if self.release(now, offer).is_some() {
-            self.keep(offer, State::Lost);
-            self.send_to_life(offer.id.life, Body::Broken(Broken { offer }));
+            self.retain_result(offer, State::Lost);
+            self.send_to_entry(offer.id.life, Body::Broken(Broken { offer }));
         }
     }
 
-    /// Gives the slot of an offer back.
+    /// Frees the slot of a running offer and starts queued ones.
     fn release(&mut self, now: Micros, offer: OfferId) -> Option<Released> {
-        let held = self.offers.get(&offer)?;
-        let State::Running { task, arrived, started } = held.state else { return None };
+        let record = self.offers.get(&offer)?;
+        let State::Running { task, arrived, started } = record.state else { return None };
         if let Some(endpoint) = self.endpoints.get_mut(&task) {
             endpoint.running = endpoint.running.saturating_sub(1);
-            if let Some(held) = endpoint.held.get_mut(&offer.id.life) {
-                *held -= 1;
-                if *held == 0 {
-                    endpoint.held.remove(&offer.id.life);
+            if let Some(running) = endpoint.running_by_entry.get_mut(&offer.id.life) {
+                *running -= 1;
+                if *running == 0 {
+                    endpoint.running_by_entry.remove(&offer.id.life);
                 }
             }
             if endpoint.gone && endpoint.running == 0 {
@@ -411,52 +429,54 @@
         Some(Released { task, arrived, started })
     }
 
-    /// How many offers an entry may have open at an endpoint: what it has there, and its share of
-    /// what is free. At least one, so that every entry hears of the endpoint again.
-    fn grant(&self, task: u64, life: u64) -> u32 {
+    /// Returns how many offers an entry may have open at an endpoint: those it has running there plus
+    /// its share of the free slots. At least one, so that every entry learns of later changes.
+    fn grant(&self, task: u64, incarnation: u64) -> u32 {
         let Some(endpoint) = self.endpoints.get(&task) else { return 1 };
-        let held = endpoint.held.get(&life).copied().unwrap_or(0);
+        let own = endpoint.running_by_entry.get(&incarnation).copied().unwrap_or(0);
         let free = endpoint.slots.saturating_sub(endpoint.running + endpoint.queue.len() as u32);
         let entries = self.links.len().max(1) as u32;
-        (held + free.div_ceil(entries)).max(1)
+        (own + free.div_ceil(entries)).max(1)
     }
 
+    /// Returns the number of running and queued offers of an endpoint.
     fn load(&self, task: u64) -> u32 {
         self.endpoints.get(&task).map_or(0, |e| e.running + e.queue.len() as u32)
     }
 
-    /// Keeps what became of an offer, until nobody asks for it any more.
-    fn keep(&mut self, offer: OfferId, state: State) {
-        let Some(held) = self.offers.get_mut(&offer) else { return };
+    /// Retains the result of an offer until [`RETENTION_US`] after its deadline, in case the entry
+    /// asks for its fate.
+    fn retain_result(&mut self, offer: OfferId, state: State) {
+        let Some(record) = self.offers.get_mut(&offer) else { return };
         if let State::Done(answer) = &state {
-            self.kept_bytes += answer.body.len();
+            self.retained_bytes += answer.body.len();
         }
-        held.state = state;
-        self.kept.push_back((held.deadline + KEPT_US, offer));
-        self.drop_answers();
+        record.state = state;
+        self.retained.push_back((record.deadline + RETENTION_US, offer));
+        self.drop_oldest_answers();
     }
 
-    /// Drops the oldest answers beyond the limit; that they ran is still known.
-    fn drop_answers(&mut self) {
-        let mut place = 0;
-        while self.kept_bytes > KEPT_BYTES && place < self.kept.len() {
-            let (_, offer) = self.kept[place];
-            place += 1;
-            let Some(held) = self.offers.get_mut(&offer) else { continue };
-            if let State::Done(answer) = &held.state {
-                self.kept_bytes -= answer.body.len();
-                held.state = State::Lost;
+    /// Drops the oldest answers beyond [`MAX_RETAINED_BYTES`]; their offers are still known to have run.
+    fn drop_oldest_answers(&mut self) {
+        let mut index = 0;
+        while self.retained_bytes > MAX_RETAINED_BYTES && index < self.retained.len() {
+            let (_, offer) = self.retained[index];
+            index += 1;
+            let Some(record) = self.offers.get_mut(&offer) else { continue };
+            if let State::Done(answer) = &record.state {
+                self.retained_bytes -= answer.body.len();
+                record.state = State::Lost;
             }
         }
     }
 
-    /// An entry asks for the fate of offers made on an earlier link.
+    /// Answers an entry that asks for the fate of offers made on an earlier link.
     pub fn report_fates(&mut self, link: Link, ask: FateAsk) {
         for offer in ask.offers {
             if self.links.get(&offer.id.life) != Some(&link) {
                 continue;
             }
-            let (fate, answer) = match self.offers.get(&offer).map(|held| &held.state) {
+            let (fate, answer) = match self.offers.get(&offer).map(|record| &record.state) {
                 None | Some(State::Queued { .. }) => (Fate::NotRun, None),
                 Some(State::Running { .. }) => (Fate::Running, None),
                 Some(State::Done(answer)) => (Fate::Running, Some(answer.clone())),
@@ -470,17 +490,17 @@
         }
     }
 
-    /// Lets time pass: offers that waited too long are refused, old fates are forgotten.
+    /// Refuses queued offers whose deadline has passed, and drops results after their retention time.
     pub fn tick(&mut self, now: Micros) {
         let expired: Vec<OfferId> = self
             .endpoints
             .values()
             .flat_map(|endpoint| &endpoint.queue)
-            .filter(|offer| self.offers.get(offer).is_some_and(|held| now >= held.deadline))
+            .filter(|offer| self.offers.get(offer).is_some_and(|record| now >= record.deadline))
             .copied()
             .collect();
         for offer in expired {
-            let Some(Held { state: State::Queued { task, .. }, .. }) = self.offers.remove(&offer)
+            let Some(Record { state: State::Queued { task, .. }, .. }) = self.offers.remove(&offer)
             else {
                 continue;
             };
@@ -489,7 +509,7 @@
             }
             self.refuse(offer, task, Refusal::Expired);
         }
-        while self.kept.front().is_some_and(|(until, _)| now >= *until) {
+        while self.retained.front().is_some_and(|(until, _)| now >= *until) {
             self.forget_oldest();
         }
     }
--- a/crates/pond-route/src/budget.rs
+++ b/crates/pond-route/src/budget.rs
@@ -1,9 +1,9 @@
-//! The budget for retries and hedges.
+//! Budget for retries and hedged requests.
 
-/// Retries and hedges that may be saved up.
-const SAVED: f64 = 10.0;
+/// Maximum number of retries and hedges that can be saved up.
+const MAX_TOKENS: f64 = 10.0;
 
-/// Allows a share of the requests to be sent once more.
+/// Limits retries and hedges to a share of the requests, as a token bucket.
 #[derive(Clone, Debug)]
 pub struct Budget {
     share: f64,
@@ -11,18 +11,18 @@
 }
 
 impl Budget {
-    /// A budget of that share of the requests, such as 0.1.
+    /// Creates a full budget that allows `share` retries a request, such as 0.1.
     pub fn new(share: f64) -> Budget {
-        Budget { share, tokens: SAVED }
+        Budget { share, tokens: MAX_TOKENS }
     }
 
-    /// A request came in.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(SAVED);
+    /// Records a new request, which adds its share to the budget.
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
-    /// Whether one more sending is allowed; it is then spent.
-    pub fn spend(&mut self) -> bool {
+    /// Takes one retry from the budget; returns false if there is none left.
+    pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/pond-route/src/endpoint.rs
+++ b/crates/pond-route/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints and their processes as an entry knows them.
+//! An entry's table of endpoints and endpoint processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,54 +6,54 @@
 use pond_proto::view;
 use pond_proto::wire::Answer;
 
-use crate::health::{Health, Standing};
+use crate::health::{Health, Status};
 
-/// Names an endpoint in the router's table: its task.
+/// Identifies an endpoint in the router's table, by its task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey(pub u64);
 
-/// Names an endpoint process in the router's table.
+/// Identifies an endpoint process in the router's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessKey(pub u32);
 
-/// Weight of a new sample in smoothed times.
+/// Weight of a new sample in moving averages of times.
 const WEIGHT: f64 = 0.05;
 
-/// Offers on the link at most, for each slot.
+/// Maximum number of offers in transit on the link for each slot.
 const ON_LINK_LIMIT: u32 = 8;
 
-/// One endpoint.
+/// An endpoint as seen by one entry.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its key.
+    /// Key in the table.
     pub key: EndpointKey,
-    /// Its service.
+    /// Name of the service.
     pub service: String,
-    /// The process that leads to it.
+    /// The endpoint process that forwards requests to it.
     pub process: ProcessKey,
     /// Whether it is in the entry's data centre.
-    pub near: bool,
-    /// It takes nothing new, by the view.
+    pub local: bool,
+    /// Whether the configuration says that it takes no new requests.
     pub leaving: bool,
-    /// It refused as leaving, whatever the view says.
-    pub refused: bool,
-    /// Requests it runs at a time.
+    /// Whether its process has said that it takes no new requests, whatever the configuration says.
+    pub reported_leaving: bool,
+    /// Number of requests it runs at a time.
     pub slots: u32,
-    /// Offers of this entry that are open there.
-    pub open: u32,
-    /// Offers of other entries there, as of its last answer.
-    pub others: u32,
-    /// When that answer came.
-    pub others_at: Micros,
-    /// Smoothed time of an offer and its answer on the link, in microseconds.
+    /// Number of open offers of this entry.
+    pub open_offers: u32,
+    /// Number of offers of other entries, as of its last answer.
+    pub other_offers: u32,
+    /// Time of that answer.
+    pub other_offers_at: Micros,
+    /// Moving average of the round-trip time on the link, in microseconds.
     pub link_us: f64,
-    /// Smoothed time in a slot, in microseconds.
+    /// Moving average of the service time in a slot, in microseconds.
     pub service_us: f64,
-    /// Offers that this entry may have open there, as its process last said.
+    /// Number of offers that this entry may have open, as last granted by the process.
     pub grant: u32,
-    /// The evidence on it.
+    /// Consecutive results and ejections.
     pub health: Health,
-    /// Until when it is taken as full, after a refusal.
+    /// Time until which it counts as full after a refusal.
     pub full_until: Micros,
 }
 
@@ -63,13 +63,13 @@
             key,
             service: String::new(),
             process,
-            near: false,
+            local: false,
             leaving: false,
-            refused: false,
+            reported_leaving: false,
             slots: 1,
-            open: 0,
-            others: 0,
-            others_at: Micros(0),
+            open_offers: 0,
+            other_offers: 0,
+            other_offers_at: Micros(0),
             link_us: 0.0,
             service_us: 1000.0,
             grant: 1,
@@ -78,52 +78,55 @@
         }
     }
 
-    /// Whether it may get a request now, its process's link aside.
-    pub fn open_to_requests(&self, now: Micros) -> bool {
-        if self.leaving || self.refused {
+    /// Returns whether the endpoint may get a request now. Does not consider the link to its process.
+    pub fn accepts_requests(&self, now: Micros) -> bool {
+        if self.leaving || self.reported_leaving {
             return false;
         }
-        match self.health.standing(now) {
-            Standing::Well => true,
-            Standing::Ejected => false,
-            Standing::Probation => self.open == 0,
+        match self.health.status(now) {
+            Status::Healthy => true,
+            Status::Ejected => false,
+            Status::Probation => self.open_offers == 0,
         }
     }
 
-    /// Offers there as far as this entry can tell. What others had there is believed for as long
-    /// as their requests may still run, so that an entry that hears nothing tries again.
-    pub fn taken(&self, now: Micros) -> u32 {
-        let fresh = now.since(self.others_at) as f64 <= self.link_us + 2.0 * self.service_us;
-        self.open + if fresh { self.others } else { 0 }
+    /// Returns the number of offers at the endpoint, as far as this entry knows. The last known
+    /// number of other entries' offers counts only while those may still run, so that an entry that
+    /// gets no updates tries the endpoint again.
+    pub fn load(&self, now: Micros) -> u32 {
+        let fresh = now.since(self.other_offers_at) as f64 <= self.link_us + 2.0 * self.service_us;
+        self.open_offers + if fresh { self.other_offers } else { 0 }
     }
 
-    /// Offers that keep its slots busy: one for each slot, and those that are on the link
-    /// meanwhile.
+    /// Returns the number of offers that keeps all slots busy: one for each slot, plus those in
+    /// transit on the link meanwhile.
     pub fn limit(&self) -> u32 {
         let on_link = f64::from(self.slots) * self.link_us / self.service_us.max(1.0);
         self.slots + (on_link.ceil() as u32).min(self.slots * ON_LINK_LIMIT)
     }
 
-    /// Whether its slots seem to be taken; by what was granted, if that counts.
-    pub fn full(&self, now: Micros, granted: bool) -> bool {
-        let taken = if granted { self.open >= self.grant } else { self.taken(now) >= self.limit() };
+    /// Returns whether all slots seem to be taken. If `granted`, the granted number decides, otherwise
+    /// the estimated load.
+    pub fn is_full(&self, now: Micros, granted: bool) -> bool {
+        let taken =
+            if granted { self.open_offers >= self.grant } else { self.load(now) >= self.limit() };
         now < self.full_until || taken
     }
 
-    /// What a request must expect there, in microseconds.
+    /// Returns the expected latency of a request, in microseconds.
     pub fn cost(&self, now: Micros) -> f64 {
-        let ahead = f64::from(self.taken(now)) / f64::from(self.slots);
+        let ahead = f64::from(self.load(now)) / f64::from(self.slots);
         self.link_us + self.service_us * (1.0 + ahead)
     }
 
-    /// Takes in an answer that came `latency_us` after its offer.
-    pub fn learn(&mut self, now: Micros, latency_us: u64, answer: &Answer) {
+    /// Updates the averages, load and grant from an answer that came `latency_us` after its offer.
+    pub fn record_answer(&mut self, now: Micros, latency_us: u64, answer: &Answer) {
         let inside = u64::from(answer.service_us) + u64::from(answer.queue_us);
         let link_us = latency_us.saturating_sub(inside) as f64;
         self.link_us += WEIGHT * (link_us - self.link_us);
         self.service_us += WEIGHT * (f64::from(answer.service_us) - self.service_us);
-        self.others = answer.load.saturating_sub(self.open);
-        self.others_at = now;
+        self.other_offers = answer.load.saturating_sub(self.open_offers);
+        self.other_offers_at = now;
         self.grant = answer.grant;
     }
 }
@@ -131,15 +134,15 @@
 /// One endpoint process.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// Its address, as `ip:port`.
+    /// Address, as `ip:port`.
     pub address: String,
-    /// The life on the other side, while the link is up.
-    pub life: Option<u64>,
-    /// The last life that was seen.
-    pub last_life: Option<u64>,
+    /// Incarnation of the process, while the link is up.
+    pub incarnation: Option<u64>,
+    /// Incarnation of the process when the link was last up.
+    pub last_incarnation: Option<u64>,
 }
 
-/// All endpoints and processes.
+/// The endpoints and endpoint processes of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     endpoints: BTreeMap<EndpointKey, Endpoint>,
@@ -150,33 +153,34 @@
 }
 
 impl Table {
-    /// The key of a process, made if it is new.
-    pub fn process_at(&mut self, address: &str) -> ProcessKey {
+    /// Returns the key of the process at `address`; adds the process if it is new.
+    pub fn process_key(&mut self, address: &str) -> ProcessKey {
         if let Some(key) = self.addresses.get(address) {
             return *key;
         }
         let key = ProcessKey(self.next_process);
         self.next_process += 1;
-        let process = Process { address: address.to_owned(), life: None, last_life: None };
+        let process =
+            Process { address: address.to_owned(), incarnation: None, last_incarnation: None };
         self.processes.insert(key, process);
         self.addresses.insert(address.to_owned(), key);
         key
     }
 
-    /// Takes in an endpoint of a view.
-    pub fn put(&mut self, told: &view::Endpoint, data_centre: &str) {
-        let process = self.process_at(&told.process);
-        let key = EndpointKey(told.task);
+    /// Adds or updates an endpoint from the configuration.
+    pub fn insert(&mut self, update: &view::Endpoint, data_centre: &str) {
+        let process = self.process_key(&update.process);
+        let key = EndpointKey(update.task);
         let endpoint = self.endpoints.entry(key).or_insert_with(|| Endpoint::new(key, process));
-        endpoint.service = told.service.clone();
+        endpoint.service = update.service.clone();
         endpoint.process = process;
-        endpoint.near = told.data_centre == data_centre;
-        endpoint.leaving = told.leaving;
-        endpoint.slots = told.slots.max(1);
-        self.services.entry(told.service.clone()).or_default().insert(key);
+        endpoint.local = update.data_centre == data_centre;
+        endpoint.leaving = update.leaving;
+        endpoint.slots = update.slots.max(1);
+        self.services.entry(update.service.clone()).or_default().insert(key);
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint, and its process if no other endpoint uses it.
     pub fn remove(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.remove(&key) else { return };
         if let Some(keys) = self.services.get_mut(&endpoint.service) {
@@ -188,41 +192,41 @@
         }
     }
 
-    /// Forgets all endpoints but these.
-    pub fn keep_only(&mut self, keys: &BTreeSet<EndpointKey>) {
+    /// Removes all endpoints except `keys`.
+    pub fn retain_only(&mut self, keys: &BTreeSet<EndpointKey>) {
         let gone: Vec<EndpointKey> =
             self.endpoints.keys().filter(|key| !keys.contains(key)).copied().collect();
         gone.into_iter().for_each(|key| self.remove(key));
     }
 
-    /// One endpoint.
+    /// Returns an endpoint.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(&key)
     }
 
-    /// The endpoints of a service.
+    /// Iterates over the endpoints of a service.
     pub fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Endpoint> + 'a {
         let keys = self.services.get(service).into_iter().flatten();
         keys.filter_map(|key| self.endpoints.get(key))
     }
 
-    /// One process.
+    /// Returns an endpoint process.
     pub fn process(&self, key: ProcessKey) -> Option<&Process> {
         self.processes.get(&key)
     }
 
-    /// One process.
+    /// Returns an endpoint process for changes.
     pub fn process_mut(&mut self, key: ProcessKey) -> Option<&mut Process> {
         self.processes.get_mut(&key)
     }
 
-    /// All processes.
+    /// Iterates over all endpoint processes.
     pub fn processes(&self) -> impl Iterator<Item = (ProcessKey, &Process)> {
         self.processes.iter().map(|(key, process)| (*key, process))
     }
 
-    /// Endpoints reached through a process.
-    pub fn behind(&mut self, process: ProcessKey) -> impl Iterator<Item = &mut Endpoint> {
+    /// Iterates over the endpoints of a process.
+    pub fn of_process(&mut self, process: ProcessKey) -> impl Iterator<Item = &mut Endpoint> {
         self.endpoints.values_mut().filter(move |endpoint| endpoint.process == process)
     }
 }
--- a/crates/pond-route/src/health.rs
+++ b/crates/pond-route/src/health.rs
@@ -1,72 +1,72 @@
-//! Ejection of endpoints by evidence, and their way back.
+//! Ejection of failing endpoints, and their readmission.
 
 use pond_proto::Micros;
 
-/// Failures in a row after which an endpoint is ejected.
-const FAILURES: u32 = 5;
+/// Consecutive failures after which an endpoint is ejected.
+const FAILURES_TO_EJECT: u32 = 5;
 
-/// How long the first ejection lasts, in microseconds; doubled with each that follows.
-const EJECTED_US: u64 = 1_000_000;
+/// Duration of the first ejection, in microseconds; doubled with each further one.
+const FIRST_EJECTION_US: u64 = 1_000_000;
 
-/// How often the time is doubled at most.
-const DOUBLINGS: u32 = 5;
+/// Maximum number of times the ejection duration is doubled.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Successes in a row after which earlier ejections are forgotten.
-const SUCCESSES: u32 = 50;
+/// Consecutive successes after which earlier ejections no longer count.
+const SUCCESSES_TO_RESET: u32 = 50;
 
-/// Whether an endpoint gets requests.
+/// Whether an endpoint receives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It gets requests.
-    Well,
-    /// It gets none.
+pub enum Status {
+    /// It receives requests.
+    Healthy,
+    /// It receives no requests.
     Ejected,
-    /// It gets one request at a time to show that it is well.
+    /// Its ejection is over. It receives one request at a time until one succeeds.
     Probation,
 }
 
-/// The evidence on one endpoint.
+/// Health record of one endpoint: consecutive results and ejections.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failures: u32,
     successes: u32,
     ejections: u32,
-    until: Option<Micros>,
+    ejected_until: Option<Micros>,
 }
 
 impl Health {
-    /// It answered well.
-    pub fn succeed(&mut self) {
+    /// Records a success.
+    pub fn record_success(&mut self) {
         self.failures = 0;
-        self.until = None;
+        self.ejected_until = None;
         self.successes += 1;
-        if self.successes >= SUCCESSES {
+        if self.successes >= SUCCESSES_TO_RESET {
             self.ejections = 0;
         }
     }
 
-    /// It failed; true if the evidence speaks for ejection.
-    pub fn fail(&mut self) -> bool {
+    /// Records a failure; returns true if the endpoint should be ejected.
+    pub fn record_failure(&mut self) -> bool {
         self.failures += 1;
         self.successes = 0;
-        // One on probation has no credit left.
-        self.failures >= FAILURES || self.until.is_some()
+        // On probation a single failure suffices.
+        self.failures >= FAILURES_TO_EJECT || self.ejected_until.is_some()
     }
 
-    /// Ejects it for a while.
+    /// Ejects the endpoint from `now` on, for longer with each ejection.
     pub fn eject(&mut self, now: Micros) {
-        let span = EJECTED_US << self.ejections.min(DOUBLINGS);
+        let span = FIRST_EJECTION_US << self.ejections.min(MAX_DOUBLINGS);
         self.ejections += 1;
         self.failures = 0;
-        self.until = Some(now + span);
+        self.ejected_until = Some(now + span);
     }
 
-    /// Whether it gets requests now.
-    pub fn standing(&self, now: Micros) -> Standing {
-        match self.until {
-            None => Standing::Well,
-            Some(until) if now < until => Standing::Ejected,
-            Some(_) => Standing::Probation,
+    /// Returns whether the endpoint receives requests at `now`.
+    pub fn status(&self, now: Micros) -> Status {
+        match self.ejected_until {
+            None => Status::Healthy,
+            Some(until) if now < until => Status::Ejected,
+            Some(_) => Status::Probation,
         }
     }
 }
--- a/crates/pond-route/src/lib.rs
+++ b/crates/pond-route/src/lib.rs
@@ -1,8 +1,9 @@
-//! Routing of requests as pure state machines.
+//! Request routing as pure state machines.
 //!
-//! [`Router`] runs in an entry: it chooses endpoints, retries what is known not to have run, and
-//! decides what a caller is told. [`Admission`] runs in an endpoint process: it is the only way to
-//! its endpoints and knows the fate of every offer of its life. Neither does I/O or reads a clock.
+//! [`Router`] runs in an entry: it chooses endpoints, retries requests that are known not to have
+//! run, and decides the result that a caller gets. [`Admission`] runs in an endpoint process: all
+//! requests to its endpoints pass through it, and it knows the fate of every offer since the process
+//! started. Neither does I/O or reads a clock.
 
 mod admission;
 mod budget;
--- a/crates/pond-route/src/limit.rs
+++ b/crates/pond-route/src/limit.rs
@@ -1,35 +1,35 @@
-//! Rates: a limit on arrivals, and a measure of how fast requests drain.
+//! Rates: a token bucket for arriving requests, and the throughput of completed ones.
 
 use pond_proto::Micros;
 
-/// A limit of requests a second, with a tenth of a second saved up.
+/// A token bucket that limits requests a second, with bursts of up to a tenth of a second.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     per_second: u32,
     tokens: f64,
-    at: Micros,
+    refilled_at: Micros,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(per_second: u32, now: Micros) -> Bucket {
-        Bucket { per_second, tokens: Bucket::burst(per_second), at: now }
+        Bucket { per_second, tokens: Bucket::burst(per_second), refilled_at: now }
     }
 
     fn burst(per_second: u32) -> f64 {
         (f64::from(per_second) / 10.0).max(1.0)
     }
 
-    /// The limit.
+    /// Returns the limit, in requests a second.
     pub fn per_second(&self) -> u32 {
         self.per_second
     }
 
-    /// Whether one more is allowed; it is then counted.
+    /// Takes one token; returns false if there is none.
     pub fn take(&mut self, now: Micros) -> bool {
-        let earned = now.since(self.at) as f64 / 1e6 * f64::from(self.per_second);
-        self.at = now;
-        self.tokens = (self.tokens + earned).min(Bucket::burst(self.per_second));
+        let refill = now.since(self.refilled_at) as f64 / 1e6 * f64::from(self.per_second);
+        self.refilled_at = now;
+        self.tokens = (self.tokens + refill).min(Bucket::burst(self.per_second));
         if self.tokens < 1.0 {
             return false;
         }
@@ -38,34 +38,34 @@
     }
 }
 
-/// Length of a window in which ends are counted, in microseconds.
+/// Minimum length of a window in which completed requests are counted, in microseconds.
 const WINDOW_US: u64 = 100_000;
 
-/// Weight of a new window.
+/// Weight of a new window in the moving average.
 const WEIGHT: f64 = 0.3;
 
-/// How many requests end in a second, smoothed.
+/// Completed requests a second, as an exponential moving average.
 #[derive(Clone, Debug, Default)]
-pub struct Drain {
-    since: Micros,
+pub struct Throughput {
+    window_start: Micros,
     count: u32,
     rate: f64,
 }
 
-impl Drain {
-    /// One request ended.
-    pub fn count(&mut self, now: Micros) {
-        let passed = now.since(self.since);
+impl Throughput {
+    /// Records a completed request.
+    pub fn record(&mut self, now: Micros) {
+        let passed = now.since(self.window_start);
         if passed >= WINDOW_US {
             let rate = f64::from(self.count) * 1e6 / passed as f64;
             self.rate += WEIGHT * (rate - self.rate);
-            self.since = now;
+            self.window_start = now;
             self.count = 0;
         }
         self.count += 1;
     }
 
-    /// Requests a second.
+    /// Returns the completed requests a second.
     pub fn per_second(&self) -> f64 {
         self.rate
     }
--- a/crates/pond-route/src/policy.rs
+++ b/crates/pond-route/src/policy.rs
@@ -1,4 +1,4 @@
-//! Ways to choose one endpoint among those that may get a request.
+//! Load-balancing policies: how to choose among the endpoints that can take a request.
 
 use pond_proto::Micros;
 use rand::Rng;
@@ -6,27 +6,27 @@
 
 use crate::endpoint::{Endpoint, EndpointKey};
 
-/// Chooses an endpoint.
+/// A load-balancing policy.
 pub trait Policy: std::fmt::Debug + Send {
-    /// Chooses one of the candidates, of which there is at least one.
+    /// Chooses one of the candidates; there must be at least one.
     fn pick(&mut self, now: Micros, candidates: &[&Endpoint], rng: &mut SmallRng) -> EndpointKey;
 }
 
-/// The policies that there are.
+/// The available policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// Any of them.
+    /// A random endpoint.
     Random,
-    /// The one with the fewest open offers of this entry.
+    /// The endpoint with the fewest open offers of this entry.
     LeastOpen,
-    /// Of two at random, the one with the lower expected cost.
+    /// Of two random endpoints, the one with the lower expected latency.
     TwoChoices,
-    /// The one whose process has granted the most slots that are not yet used.
+    /// The endpoint with the most granted slots that this entry does not use yet.
     Grants,
 }
 
 impl PolicyKind {
-    /// The policy itself.
+    /// Creates the policy.
     pub fn build(self) -> Box<dyn Policy> {
         match self {
             PolicyKind::Random => Box::new(Random),
@@ -51,8 +51,9 @@
 
 impl Policy for LeastOpen {
     fn pick(&mut self, _now: Micros, candidates: &[&Endpoint], rng: &mut SmallRng) -> EndpointKey {
-        let least = candidates.iter().map(|endpoint| endpoint.open).min().unwrap_or(0);
-        let tied: Vec<_> = candidates.iter().filter(|endpoint| endpoint.open == least).collect();
+        let least = candidates.iter().map(|endpoint| endpoint.open_offers).min().unwrap_or(0);
+        let tied: Vec<_> =
+            candidates.iter().filter(|endpoint| endpoint.open_offers == least).collect();
         tied[rng.random_range(0..tied.len())].key
     }
 }
@@ -62,7 +63,7 @@
 
 impl Policy for Grants {
     fn pick(&mut self, _now: Micros, candidates: &[&Endpoint], rng: &mut SmallRng) -> EndpointKey {
-        let unused = |endpoint: &Endpoint| endpoint.grant.saturating_sub(endpoint.open);
+        let unused = |endpoint: &Endpoint| endpoint.grant.saturating_sub(endpoint.open_offers);
         let most = candidates.iter().map(|endpoint| unused(endpoint)).max().unwrap_or(0);
         let tied: Vec<_> = candidates.iter().filter(|endpoint| unused(endpoint) == most).collect();
         tied[rng.random_range(0..tied.len())].key
--- a/crates/pond-route/src/request.rs
+++ b/crates/pond-route/src/request.rs
@@ -1,61 +1,61 @@
-//! Requests on their way, and what their callers are told.
+//! Requests in progress, and the results that callers get.
 
 use pond_proto::wire::{Answer, Content, RequestId};
 use pond_proto::{Micros, Outcome};
 
 use crate::endpoint::{EndpointKey, ProcessKey};
 
-/// A request as a caller made it.
+/// A request as submitted by a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its identity.
+    /// Unique ID of the request.
     pub id: RequestId,
-    /// What is passed on.
+    /// Service, key, content type and body, as forwarded to the endpoint.
     pub content: Content,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Micros,
 }
 
 /// Why a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRun {
-    /// No such service is known here.
+    /// The configuration in force here has no such service.
     NoService,
-    /// No endpoint of the service takes requests now.
+    /// No endpoint of the service accepts requests now.
     NoEndpoint,
-    /// Too many requests are under way.
+    /// Too many requests are in progress.
     Overload,
-    /// Its time was over before it could start.
+    /// The deadline passed before the request could start.
     Expired,
-    /// It is not repeatable and control could not be asked.
+    /// The request is not repeatable, and control could not decide its claim.
     NoQuorum,
-    /// Another request with its key is under way or ended without a kept answer.
+    /// Another request with the same key is in progress, or ended without a stored answer.
     Held,
-    /// The key came with another body before.
+    /// The key was used before with a different body.
     KeyReused,
-    /// The table of keys is full.
+    /// Control's table of keys is full.
     ClaimsFull,
     /// This entry is stopping.
     Stopping,
-    /// The entry does not yet know the configuration.
+    /// The entry has not received the configuration yet.
     NotReady,
 }
 
-/// What a caller is told.
+/// The result of a request, as reported to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finish {
-    /// The endpoint's whole answer.
+    /// The endpoint's complete answer.
     Answered(Answer),
-    /// It did not and will not run.
+    /// The request did not run and will not run.
     NotRun(NotRun),
-    /// It may have run; nothing more is known.
+    /// The request may have run; nothing more is known.
     Unknown,
 }
 
 impl Finish {
-    /// The promise that goes with it.
+    /// Returns the outcome that this result promises to the caller.
     pub fn outcome(&self) -> Outcome {
         match self {
             Finish::Answered(_) => Outcome::Answered,
@@ -65,65 +65,66 @@
     }
 }
 
-/// Where an offer stands, as far as the entry knows.
+/// The state of an offer, as far as the entry knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OfferState {
-    /// It is at the endpoint's process.
+    /// The endpoint process has the offer.
     Open,
-    /// The link was lost; its fate is being asked or cannot be asked yet.
-    Limbo,
-    /// It may have run and its answer is lost.
+    /// The link was lost. The fate of the offer has been asked for, or cannot be until the link is
+    /// back.
+    Unresolved,
+    /// The offer may have run, and its answer is lost.
     Broken,
 }
 
-/// One offer of a request.
+/// An offer of a request that was sent to an endpoint process.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Offered {
+pub(crate) struct SentOffer {
     pub attempt: u32,
     pub endpoint: EndpointKey,
     pub process: ProcessKey,
-    /// The life of the process that it was offered to.
-    pub life: u64,
+    /// Incarnation of the process that the offer was sent to.
+    pub incarnation: u64,
     pub at: Micros,
     pub state: OfferState,
 }
 
-/// What a request waits for.
+/// What a pending request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// The decision on its claim.
+    /// Control's decision on its claim.
     Claiming,
-    /// A free endpoint.
+    /// An endpoint with a free slot.
     Waiting,
-    /// An answer.
+    /// An answer to one of its offers.
     Offered,
 }
 
-/// A request that is under way.
+/// A request in progress.
 #[derive(Clone, Debug)]
-pub(crate) struct Flight {
+pub(crate) struct Pending {
     pub request: Request,
     pub arrived: Micros,
     pub stage: Stage,
     pub claimed: bool,
-    /// Another request held the claim when it was last asked.
+    /// Whether another request held the claim when control was last asked.
     pub held: bool,
     pub attempts: u32,
-    pub offers: Vec<Offered>,
+    pub offers: Vec<SentOffer>,
     pub hedged: bool,
-    /// The answer of an endpoint that failed, in case no other endpoint gives a better one.
+    /// The answer of an endpoint that failed; used if no retry gives a better one.
     pub failure: Option<Answer>,
     pub revoked: bool,
     pub not_before: Micros,
-    /// When it is looked at again.
+    /// Time of the next timer for this request.
     pub wake: Micros,
-    /// The last reason for which it did not run.
+    /// Why its last offer did not run.
     pub reason: NotRun,
 }
 
-impl Flight {
-    pub(crate) fn new(request: Request, now: Micros) -> Flight {
-        Flight {
+impl Pending {
+    pub(crate) fn new(request: Request, now: Micros) -> Pending {
+        Pending {
             request,
             arrived: now,
             stage: Stage::Waiting,
@@ -140,8 +141,9 @@
         }
     }
 
-    /// What the caller may be told instead of `finish`: what has run is never called not run.
-    pub(crate) fn truth(&mut self, finish: Finish) -> Finish {
+    /// Returns the result to report instead of `finish`, so that a request that may have run is never
+    /// reported as not run.
+    pub(crate) fn reconcile(&mut self, finish: Finish) -> Finish {
         match (finish, self.failure.take()) {
             (Finish::NotRun(_) | Finish::Unknown, Some(answer)) => Finish::Answered(answer),
             (Finish::NotRun(_), None) if !self.offers.is_empty() => Finish::Unknown,
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -1,22 +1,23 @@
-//! Claims: the right to run a request that is not repeatable.
+//! Claims: the exclusive right, granted by control, to run a request that is not repeatable.
 
 use pond_proto::Micros;
 use pond_proto::wire::{ClaimAsk, ClaimEnd, ClaimTell, RequestId, Verdict};
 
 use super::{Output, Router};
-use crate::request::{Finish, Flight, NotRun, Stage};
+use crate::request::{Finish, NotRun, Pending, Stage};
 
-/// How long until a claim that another request holds is asked again, in microseconds.
-const HELD_US: u64 = 50_000;
+/// Delay before control is asked again for a claim that another request holds, in microseconds.
+const HELD_RETRY_US: u64 = 50_000;
 
 impl Router {
+    /// Asks control for the claim of a request.
     pub(super) fn ask_claim(&mut self, id: RequestId) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let Some(flight) = self.flights.get_mut(&id) else { return };
-        flight.stage = Stage::Claiming;
-        flight.not_before = Micros(u64::MAX);
-        let content = &flight.request.content;
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        pending.stage = Stage::Claiming;
+        pending.not_before = Micros(u64::MAX);
+        let content = &pending.request.content;
         let ask = ClaimAsk {
             ticket,
             service: content.service.clone(),
@@ -28,19 +29,19 @@
         self.outputs.push(Output::Claim(ask));
     }
 
-    /// Control decided a claim.
+    /// Handles control's decision on a claim.
     pub fn claim_decided(&mut self, now: Micros, tell: ClaimTell) {
         let verdict = tell.verdict();
         let Some(id) = self.tickets.remove(&tell.ticket) else { return };
-        let Some(flight) = self.flights.get_mut(&id).filter(|f| f.stage == Stage::Claiming) else {
-            // The caller is gone already; a claim that was granted is free again.
+        let Some(pending) = self.pending.get_mut(&id).filter(|p| p.stage == Stage::Claiming) else {
+            // The caller has left; `expire` has already told control to free a granted claim.
             return;
         };
         match verdict {
             Verdict::Granted => {
-                flight.claimed = true;
-                flight.held = false;
-                flight.not_before = Micros(0);
+                pending.claimed = true;
+                pending.held = false;
+                pending.not_before = Micros(0);
                 self.enqueue(now, id);
             }
             Verdict::Answered => match tell.answer {
@@ -48,10 +49,10 @@
                 None => self.finish(now, id, Finish::Unknown),
             },
             Verdict::Held => {
-                // Another request with this key is under way; its answer may come in time.
-                flight.held = true;
-                flight.not_before = now + HELD_US;
-                self.plan_wake(now, id);
+                // Another request with this key is in progress; its answer may come in time.
+                pending.held = true;
+                pending.not_before = now + HELD_RETRY_US;
+                self.schedule_wake(now, id);
             }
             Verdict::Ended => self.finish(now, id, Finish::Unknown),
             Verdict::Mismatch => self.finish(now, id, Finish::NotRun(NotRun::KeyReused)),
@@ -60,15 +61,16 @@
         }
     }
 
-    /// A claim could not be asked, or its answer is lost: it did not run, as it was not offered.
+    /// Handles a claim that could not be sent or whose decision is lost. The request did not run, as
+    /// it was not offered to any endpoint.
     pub fn claim_failed(&mut self, now: Micros, ticket: u64) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
-        if self.flights.get(&id).is_some_and(|flight| flight.stage == Stage::Claiming) {
+        if self.pending.get(&id).is_some_and(|pending| pending.stage == Stage::Claiming) {
             self.expire(now, id);
         }
     }
 
-    /// The link to control is lost: claims that were asked on it are not answered any more.
+    /// Handles the loss of the link to control: claims sent on it will not be decided any more.
     pub fn control_lost(&mut self, now: Micros) {
         let mut tickets: Vec<u64> = self.tickets.keys().copied().collect();
         tickets.sort_unstable();
@@ -76,13 +78,13 @@
     }
 }
 
-/// How a claimed request ended, for control.
-pub(super) fn end_of_claim(flight: &Flight, finish: &Finish) -> ClaimEnd {
-    let content = &flight.request.content;
+/// Builds the report to control of how a claimed request ended.
+pub(super) fn claim_end(pending: &Pending, finish: &Finish) -> ClaimEnd {
+    let content = &pending.request.content;
     ClaimEnd {
         service: content.service.clone(),
         key: content.key.clone(),
-        id: flight.request.id,
+        id: pending.request.id,
         not_run: matches!(finish, Finish::NotRun(_)),
         answer: match finish {
             Finish::Answered(answer) => Some(answer.clone()),
@@ -91,7 +93,7 @@
     }
 }
 
-/// The checksum by which a reused key with another body is known.
+/// Returns the checksum that detects a key that is reused with a different body.
 fn digest(body: &[u8]) -> u32 {
     crc32c::crc32c(body)
 }
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -10,6 +10,7 @@
 use crate::request::{NotRun, OfferState};
 
 impl Router {
+    /// Opens and closes links so that there is one to each endpoint process of the configuration.
     pub(super) fn update_links(&mut self) {
         let wanted: BTreeMap<ProcessKey, String> =
             self.table.processes().map(|(key, process)| (key, process.address.clone())).collect();
@@ -27,29 +28,32 @@
         }
     }
 
-    /// A link to an endpoint process is up.
-    pub fn link_up(&mut self, now: Micros, process: ProcessKey, life: u64) {
-        let Some(entry) = self.table.process_mut(process) else { return };
-        entry.life = Some(life);
-        let same = entry.last_life == Some(life);
-        entry.last_life = Some(life);
-        for endpoint in self.table.behind(process) {
-            endpoint.refused &= same;
+    /// Handles a new link to an endpoint process.
+    pub fn link_up(&mut self, now: Micros, process: ProcessKey, incarnation: u64) {
+        let Some(peer) = self.table.process_mut(process) else { return };
+        peer.incarnation = Some(incarnation);
+        let same = peer.last_incarnation == Some(incarnation);
+        peer.last_incarnation = Some(incarnation);
+        for endpoint in self.table.of_process(process) {
+            endpoint.reported_leaving &= same;
         }
-        self.resolve_limbo(now, process, life);
+        self.resolve_offers(now, process, incarnation);
         self.offer_all_waiting(now);
     }
 
-    /// Asks for the fate of offers whose link was lost; those to another life may have run.
-    pub(super) fn resolve_limbo(&mut self, now: Micros, process: ProcessKey, life: u64) {
+    /// Asks a process for the fate of offers whose link was lost. Offers to an earlier incarnation of
+    /// the process may have run, and their answers are lost.
+    pub(super) fn resolve_offers(&mut self, now: Micros, process: ProcessKey, incarnation: u64) {
         let mut ask = Vec::new();
         let mut lost = Vec::new();
-        for (id, flight) in &self.flights {
-            for offer in flight.offers.iter().filter(|offer| offer.process == process) {
-                let name = OfferId { id: *id, attempt: offer.attempt };
+        for (id, pending) in &self.pending {
+            for offer in pending.offers.iter().filter(|offer| offer.process == process) {
+                let offer_id = OfferId { id: *id, attempt: offer.attempt };
                 match offer.state {
-                    OfferState::Limbo if offer.life == life => ask.push(name),
-                    OfferState::Limbo => lost.push(name),
+                    OfferState::Unresolved if offer.incarnation == incarnation => {
+                        ask.push(offer_id)
+                    }
+                    OfferState::Unresolved => lost.push(offer_id),
                     _ => {}
                 }
             }
@@ -62,41 +66,41 @@
         }
     }
 
-    /// A link to an endpoint process is lost.
+    /// Handles the loss of a link to an endpoint process.
     pub fn link_down(&mut self, now: Micros, process: ProcessKey) {
-        if let Some(entry) = self.table.process_mut(process) {
-            entry.life = None;
+        if let Some(peer) = self.table.process_mut(process) {
+            peer.incarnation = None;
         }
-        let mut touched = Vec::new();
-        for (id, flight) in &mut self.flights {
-            for offer in flight.offers.iter_mut().filter(|offer| offer.process == process) {
+        let mut affected = Vec::new();
+        for (id, pending) in &mut self.pending {
+            for offer in pending.offers.iter_mut().filter(|offer| offer.process == process) {
                 if offer.state == OfferState::Open {
-                    offer.state = OfferState::Limbo;
-                    touched.push(*id);
+                    offer.state = OfferState::Unresolved;
+                    affected.push(*id);
                 }
             }
         }
-        touched.sort_unstable();
-        touched.into_iter().for_each(|id| self.settle(now, id));
+        affected.sort_unstable();
+        affected.into_iter().for_each(|id| self.continue_after_possible_run(now, id));
     }
 
-    /// An endpoint process told the fate of an offer.
+    /// Handles the fate of an offer, as reported by its endpoint process.
     pub fn fate_reported(&mut self, now: Micros, process: ProcessKey, tell: FateTell) {
-        if !self.is_from(process, tell.offer) {
+        if !self.was_offered_to(process, tell.offer) {
             return;
         }
         match tell.fate() {
             Fate::NotRun => {
-                if self.close(tell.offer).is_some() {
-                    self.again(now, tell.offer.id, NotRun::NoEndpoint);
+                if self.close_offer(tell.offer).is_some() {
+                    self.continue_after_not_run(now, tell.offer.id, NotRun::NoEndpoint);
                 }
             }
             Fate::Lost => self.answer_lost(now, process, tell.offer),
             Fate::Running => {
-                let flight = self.flights.get_mut(&tell.offer.id);
-                let offers = flight.into_iter().flat_map(|flight| &mut flight.offers);
+                let pending = self.pending.get_mut(&tell.offer.id);
+                let offers = pending.into_iter().flat_map(|pending| &mut pending.offers);
                 for offer in offers.filter(|offer| offer.attempt == tell.offer.attempt) {
-                    if offer.state == OfferState::Limbo {
+                    if offer.state == OfferState::Unresolved {
                         offer.state = OfferState::Open;
                     }
                 }
@@ -104,10 +108,11 @@
         }
     }
 
-    /// An endpoint process takes nothing new for one endpoint, or (task zero) for all.
+    /// Handles the notice that an endpoint process takes no new offers for one endpoint, or for all of
+    /// them if `task` is zero.
     pub fn endpoint_leaving(&mut self, process: ProcessKey, task: u64) {
-        for endpoint in self.table.behind(process) {
-            endpoint.refused |= task == 0 || endpoint.key.0 == task;
+        for endpoint in self.table.of_process(process) {
+            endpoint.reported_leaving |= task == 0 || endpoint.key.0 == task;
         }
     }
 }
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -16,28 +16,29 @@
 
 use crate::endpoint::{EndpointKey, ProcessKey, Table};
 use crate::policy::{Policy, PolicyKind};
-use crate::request::{Finish, Flight, NotRun, Request};
+use crate::request::{Finish, NotRun, Pending, Request};
 use crate::service::Service;
 
-/// How the router behaves.
+/// Parameters of the router.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// How an endpoint is chosen.
+    /// Load-balancing policy.
     pub policy: PolicyKind,
-    /// Share of the requests that may be sent once more, as retry or hedge.
+    /// Share of the requests that may be sent a second time, as a retry or hedge (0 to 1).
     pub retry_share: f64,
-    /// Offers of one request at most, refusals aside.
+    /// Maximum number of attempts of a repeatable request whose endpoints fail. Refused offers are
+    /// made again regardless of it.
     pub attempts: u32,
-    /// Whether slow repeatable requests are hedged.
+    /// Whether slow repeatable requests are hedged, that is, sent to a second endpoint.
     pub hedge: bool,
-    /// Largest share of a service's endpoints that may be ejected.
+    /// Largest share of a service's endpoints that may be ejected (0 to 1).
     pub eject_share: f64,
-    /// First wait before a retry, in microseconds.
+    /// First delay before a request is offered again after a refusal or failure, in microseconds.
     pub backoff_us: u64,
     /// How long before its deadline a request that has not started is revoked, in microseconds.
     pub revoke_us: u64,
-    /// Requests of all services that may be under way. Services that are not urgent are refused
-    /// earlier, so that the rest is left for urgent ones.
+    /// Maximum number of requests in progress, over all services. Services that are not urgent get
+    /// only a part of it, so that the rest is left for urgent ones.
     pub under_way: usize,
 }
 
@@ -56,73 +57,76 @@
     }
 }
 
-/// Hundredths of all requests under way that services may have that are not urgent.
-const LOW_SHARE: usize = 75;
+/// Percentage of [`Tuning::under_way`] that is available to services that are not urgent.
+const LOW_PRIORITY_PERCENT: usize = 75;
 
-/// Something the shell must do.
+/// An action for the I/O layer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send an offer; if that is not possible, call [`Router::offer_not_sent`].
+    /// Send an offer to a process; if that is not possible, call [`Router::offer_not_sent`].
     Offer {
-        /// To which process.
+        /// The process.
         process: ProcessKey,
         /// The offer.
         offer: Offer,
     },
     /// Ask a process not to start an offer.
     Revoke {
-        /// Which process.
+        /// The process.
         process: ProcessKey,
-        /// Which offer.
+        /// The offer.
         offer: OfferId,
     },
     /// Ask a process for the fate of offers.
     AskFate {
-        /// Which process.
+        /// The process.
         process: ProcessKey,
-        /// Which offers.
+        /// The offers.
         offers: Vec<OfferId>,
     },
     /// Ask control for a claim; if that is not possible, call [`Router::claim_failed`].
     Claim(ClaimAsk),
-    /// Tell control how a claimed request ended.
+    /// Report to control how a claimed request ended.
     EndClaim(ClaimEnd),
-    /// Tell the caller.
+    /// Report the result of a request to its caller.
     Finish {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// What.
+        /// The result.
         finish: Finish,
     },
-    /// Keep a link to a process.
+    /// Open a link to a process, and reopen it whenever it is lost.
     Connect {
-        /// Which process.
+        /// The process.
         process: ProcessKey,
-        /// Its address.
+        /// Address of the process, as `ip:port`.
         address: String,
     },
-    /// Give up the link to a process.
+    /// Close the link to a process for good.
     Disconnect {
-        /// Which process.
+        /// The process.
         process: ProcessKey,
     },
 }
 
-/// The router of an entry.
+/// The routing state machine of an entry.
 #[derive(Debug)]
 pub struct Router {
     tuning: Tuning,
     data_centre: String,
     table: Table,
     services: BTreeMap<String, Service>,
-    flights: HashMap<RequestId, Flight>,
+    pending: HashMap<RequestId, Pending>,
+    /// Numbers of the pending requests; endpoint processes may drop results below the lowest.
     open_numbers: BTreeSet<u64>,
-    /// When each request is looked at again.
-    wakes: BTreeSet<(Micros, RequestId)>,
+    /// The next timer of each pending request.
+    timers: BTreeSet<(Micros, RequestId)>,
+    /// Pending claims, by ticket.
     tickets: HashMap<u64, RequestId>,
     next_ticket: u64,
     term: u64,
     version: u64,
+    /// Processes for which [`Output::Connect`] was issued.
     linked: BTreeSet<ProcessKey>,
     policy: Box<dyn Policy>,
     rng: SmallRng,
@@ -131,16 +135,16 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet.
+    /// Creates a router without a configuration for an entry in `data_centre`.
     pub fn new(data_centre: &str, tuning: Tuning, seed: u64) -> Router {
         Router {
             tuning,
             data_centre: data_centre.to_owned(),
             table: Table::default(),
             services: BTreeMap::new(),
-            flights: HashMap::new(),
+            pending: HashMap::new(),
             open_numbers: BTreeSet::new(),
-            wakes: BTreeSet::new(),
+            timers: BTreeSet::new(),
             tickets: HashMap::new(),
             next_ticket: 1,
             term: 0,
@@ -153,29 +157,30 @@
         }
     }
 
-    /// Takes what the shell must do, in order.
+    /// Returns the pending actions for the I/O layer, in order, and clears them.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The version of the configuration in force here; zero before the first.
+    /// Returns the version of the configuration in force here; zero before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in progress.
     pub fn under_way(&self) -> usize {
-        self.flights.len()
+        self.pending.len()
     }
 
-    /// From now on takes nothing new.
+    /// Stops taking new requests.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Takes in a step of the configuration; false if it does not follow on what is in force.
+    /// Applies an update of the configuration.
     ///
-    /// Nothing older than what is in force is ever taken in, from no leader.
+    /// Returns false if the update does not follow on the version in force. Updates that are not newer
+    /// than the version in force are ignored, whichever leader sent them.
     pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
@@ -186,7 +191,7 @@
         self.term = self.term.max(delta.term);
         if delta.from == 0 {
             let keys = delta.endpoints.iter().map(|endpoint| EndpointKey(endpoint.task)).collect();
-            self.table.keep_only(&keys);
+            self.table.retain_only(&keys);
             for service in self.services.values_mut() {
                 service.known = false;
             }
@@ -195,12 +200,12 @@
             self.table.remove(EndpointKey(*task));
         }
         for endpoint in &delta.endpoints {
-            self.table.put(endpoint, &self.data_centre);
+            self.table.insert(endpoint, &self.data_centre);
         }
-        for told in &delta.services {
+        for update in &delta.services {
             let share = self.tuning.retry_share;
-            let service = self.services.entry(told.name.clone());
-            service.or_insert_with(|| Service::new(share)).put(now, told);
+            let service = self.services.entry(update.name.clone());
+            service.or_insert_with(|| Service::new(share)).configure(now, update);
         }
         for name in &delta.gone_services {
             if let Some(service) = self.services.get_mut(name) {
@@ -213,7 +218,7 @@
         true
     }
 
-    /// Takes in a caller's request. It ends with exactly one [`Output::Finish`].
+    /// Starts a caller's request, which ends with exactly one [`Output::Finish`].
     pub fn request(&mut self, now: Micros, request: Request) {
         let id = request.id;
         if let Some(reason) = self.refusal(now, &request) {
@@ -222,19 +227,20 @@
         }
         let Some(service) = self.services.get_mut(&request.content.service) else { return };
         service.under_way += 1;
-        service.budget.earn();
+        service.budget.deposit();
         let claims = !request.repeatable && !request.content.key.is_empty();
-        let flight = Flight::new(request, now);
-        self.flights.insert(id, flight);
+        let pending = Pending::new(request, now);
+        self.pending.insert(id, pending);
         self.open_numbers.insert(id.number);
         if claims {
             self.ask_claim(id);
-            self.plan_wake(now, id);
+            self.schedule_wake(now, id);
         } else {
             self.enqueue(now, id);
         }
     }
 
+    /// Returns why a new request is refused, if it is.
     fn refusal(&mut self, now: Micros, request: &Request) -> Option<NotRun> {
         if self.stopping {
             return Some(NotRun::Stopping);
@@ -242,12 +248,13 @@
         if self.version == 0 {
             return Some(NotRun::NotReady);
         }
-        let under_way = self.flights.len();
+        let under_way = self.pending.len();
         let service = self.services.get_mut(&request.content.service).filter(|s| s.known);
         let Some(service) = service else { return Some(NotRun::NoService) };
         let all = self.tuning.under_way;
-        let share = if service.priority >= Unit::URGENT { all } else { all * LOW_SHARE / 100 };
+        let share =
+            if service.priority >= Unit::URGENT { all } else { all * LOW_PRIORITY_PERCENT / 100 };
         let full = under_way >= share || service.under_way >= service.concurrency;
-        (full || service.sheds(now) || !service.within_rate(now)).then_some(NotRun::Overload)
+        (full || service.sheds_load(now) || !service.within_rate(now)).then_some(NotRun::Overload)
     }
 }
--- a/crates/pond-route/src/service.rs
+++ b/crates/pond-route/src/service.rs
@@ -1,4 +1,4 @@
-//! One service at an entry: its limits, its waiting requests, its retry budget.
+//! An entry's state of one service: limits, waiting requests and retry budget.
 
 use std::collections::VecDeque;
 
@@ -8,54 +8,54 @@
 
 use crate::budget::Budget;
 use crate::latency::Latency;
-use crate::limit::{Bucket, Drain};
+use crate::limit::{Bucket, Throughput};
 
-/// Requests that may wait however slowly they drain.
-const LEAST_WAITING: usize = 2;
+/// Number of requests that may always wait, however low the throughput is.
+const MIN_WAITING: usize = 2;
 
-/// The shortest wait that the queue is sized for, in microseconds.
-const LEAST_WAIT_US: f64 = 2_000.0;
+/// Minimum wait that the queue is sized for, in microseconds.
+const MIN_WAIT_US: f64 = 2_000.0;
 
-/// The wait that the queue is sized for, in times of the time in a slot.
-const WAIT_TIMES: f64 = 1.0;
+/// Wait that the queue is sized for, as a multiple of the service time.
+const WAIT_FACTOR: f64 = 1.0;
 
-/// How long too many may wait before the service counts as overloaded, in microseconds.
-const PATIENCE_US: u64 = 100_000;
+/// How long the queue may be too long before the service counts as overloaded, in microseconds.
+const OVERLOAD_DELAY_US: u64 = 100_000;
 
-/// How long an overload counts after the last refusal, in microseconds.
-const SHED_US: u64 = 1_000_000;
+/// How long a service counts as overloaded after the last refusal, in microseconds.
+const SHED_HOLD_US: u64 = 1_000_000;
 
-/// Weight of a new sample of the time in a slot.
+/// Weight of a new sample in the moving average of the service time.
 const WEIGHT: f64 = 0.05;
 
-/// One service.
+/// A service as seen by one entry.
 #[derive(Debug)]
 pub struct Service {
-    /// Requests that may be under way.
+    /// Maximum number of requests in progress.
     pub concurrency: u32,
-    /// Its priority; low ones are shed first.
+    /// Priority; services with low priority are shed first.
     pub priority: i32,
-    /// Requests under way.
+    /// Number of requests in progress.
     pub under_way: u32,
     /// Requests that wait for an endpoint, oldest first.
     pub waiting: VecDeque<RequestId>,
-    /// What may be sent once more.
+    /// Budget for retries and hedged requests.
     pub budget: Budget,
-    /// Latencies of answers.
+    /// Latencies of answered requests.
     pub latency: Latency,
-    /// Whether the view names it.
+    /// Whether the configuration contains the service.
     pub known: bool,
     rate: Option<Bucket>,
-    drain: Drain,
+    throughput: Throughput,
     service_us: f64,
-    /// Since when too many wait.
-    over_since: Option<Micros>,
-    /// Until when no burst may wait.
+    /// Time since which the queue is too long.
+    overloaded_since: Option<Micros>,
+    /// Time until which the service counts as overloaded, so that bursts are not queued.
     shed_until: Micros,
 }
 
 impl Service {
-    /// A service that is not known yet.
+    /// Creates a service that the configuration does not contain yet.
     pub fn new(retry_share: f64) -> Service {
         Service {
             concurrency: 0,
@@ -66,50 +66,50 @@
             latency: Latency::default(),
             known: false,
             rate: None,
-            drain: Drain::default(),
+            throughput: Throughput::default(),
             service_us: 0.0,
-            over_since: None,
+            overloaded_since: None,
             shed_until: Micros(0),
         }
     }
 
-    /// Takes in what the view says of it.
-    pub fn put(&mut self, now: Micros, told: &view::Service) {
-        self.concurrency = told.concurrency;
-        self.priority = told.priority;
+    /// Applies the service's entry in the configuration.
+    pub fn configure(&mut self, now: Micros, update: &view::Service) {
+        self.concurrency = update.concurrency;
+        self.priority = update.priority;
         self.known = true;
-        let unchanged = self.rate.as_ref().is_some_and(|rate| rate.per_second() == told.rate);
+        let unchanged = self.rate.as_ref().is_some_and(|rate| rate.per_second() == update.rate);
         if !unchanged {
-            self.rate = (told.rate > 0).then(|| Bucket::new(told.rate, now));
+            self.rate = (update.rate > 0).then(|| Bucket::new(update.rate, now));
         }
     }
 
-    /// Whether its rate allows one more request; it is then counted.
+    /// Returns whether the rate limit allows one more request, and counts it if so.
     pub fn within_rate(&mut self, now: Micros) -> bool {
         self.rate.as_mut().is_none_or(|rate| rate.take(now))
     }
 
-    /// Takes in that an answer came after that time in a slot.
-    pub fn answered(&mut self, now: Micros, service_us: u32) {
-        self.drain.count(now);
+    /// Records an answer whose request spent `service_us` in a slot.
+    pub fn record_answer(&mut self, now: Micros, service_us: u32) {
+        self.throughput.record(now);
         self.service_us += WEIGHT * (f64::from(service_us) - self.service_us);
     }
 
-    /// Whether a request that comes now is refused as the service is overloaded.
+    /// Returns whether a request that arrives now is refused because the service is overloaded.
     ///
-    /// A burst may wait. Once more have waited for a while than will get a slot soon, only so many
-    /// may wait as drain in about the time in a slot, so that the tail of what is admitted stays
-    /// short and the rest is refused at once.
-    pub fn sheds(&mut self, now: Micros) -> bool {
-        let wait_us = (self.service_us * WAIT_TIMES).max(LEAST_WAIT_US);
-        let drained = (self.drain.per_second() * wait_us / 1e6) as usize;
-        if self.waiting.len() < drained.max(LEAST_WAITING) {
-            self.over_since = None;
+    /// A burst may queue. Once the queue has been too long for [`OVERLOAD_DELAY_US`], it is limited to
+    /// the number of requests that complete in about one service time. The tail latency of admitted
+    /// requests stays low, and the rest is refused at once.
+    pub fn sheds_load(&mut self, now: Micros) -> bool {
+        let wait_us = (self.service_us * WAIT_FACTOR).max(MIN_WAIT_US);
+        let completing = (self.throughput.per_second() * wait_us / 1e6) as usize;
+        if self.waiting.len() < completing.max(MIN_WAITING) {
+            self.overloaded_since = None;
             return false;
         }
-        let since = *self.over_since.get_or_insert(now);
-        if now < self.shed_until || now.since(since) >= PATIENCE_US {
-            self.shed_until = now + SHED_US;
+        let since = *self.overloaded_since.get_or_insert(now);
+        if now < self.shed_until || now.since(since) >= OVERLOAD_DELAY_US {
+            self.shed_until = now + SHED_HOLD_US;
             return true;
         }
         false
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The promises on the path of requests, each with a table of faults.
+//! The guarantees of request routing under faults: links lost, processes killed, endpoints failing.
 
 use pond_proto::wire::{Answer, Body, Offer, OfferId, Refusal, RequestId};
 use pond_proto::{Micros, Outcome, view};
@@ -26,12 +26,12 @@
     }
 }
 
-/// What befalls a request that is not repeatable, and what its caller may be told.
+/// A fault during a request that is not repeatable, with the expected outcome and number of runs.
 struct Case {
     name: &'static str,
-    /// Applied before the request.
+    /// Applied before the request is made.
     before: fn(&mut Path),
-    /// Applied 2 ms after it.
+    /// Applied 2 ms after the request is made.
     after: fn(&mut Path),
     outcome: Outcome,
     runs: u32,
@@ -43,7 +43,7 @@
     path.behave(0, SLOW);
 }
 
-/// All slots of the one endpoint are taken, so that the request waits in its queue.
+/// Occupies all slots of the only endpoint, so that the request waits in its queue.
 fn taken(path: &mut Path) {
     path.behave(0, Behaviour::Exactly(40 * MS));
     for _ in 0..8 {
@@ -55,14 +55,14 @@
 const CASES: &[Case] = &[
     Case { name: "nothing", before: |_| {}, after: |_| {}, outcome: Outcome::Answered, runs: 1 },
     Case {
-        name: "the link is lost and made again while it runs",
+        name: "the link is lost and restored while the request runs",
         before: slow,
         after: |path| path.cut(0, 0, 5 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
     Case {
-        name: "the link is lost while it runs and made again after it has ended",
+        name: "the link is lost while the request runs and restored after it has ended",
         before: slow,
         after: |path| path.cut(0, 0, 60 * MS),
         outcome: Outcome::Answered,
@@ -83,14 +83,14 @@
         runs: 1,
     },
     Case {
-        name: "the process dies while it runs",
+        name: "the process is killed while the request runs",
         before: slow,
         after: |path| path.kill(0, 5 * MS),
         outcome: Outcome::Unknown,
         runs: 1,
     },
     Case {
-        name: "the endpoint breaks the answer off",
+        name: "the endpoint sends an incomplete answer",
         before: |path| path.behave(0, Behaviour::Break(3 * MS)),
         after: |_| {},
         outcome: Outcome::Unknown,
@@ -118,28 +118,28 @@
         runs: 0,
     },
     Case {
-        name: "its link dies while it waits in the queue, and the endpoint stays busy",
+        name: "the link is lost while the request is queued, and the endpoint stays busy",
         before: taken,
         after: |path| path.cut(0, 0, 3 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
     Case {
-        name: "the process dies while it waits in the queue",
+        name: "the process is killed while the request is queued",
         before: taken,
         after: |path| path.kill(0, 3 * MS),
         outcome: Outcome::Unknown,
         runs: 0,
     },
     Case {
-        name: "the endpoint leaves while it waits in the queue",
+        name: "the endpoint leaves while the request is queued",
         before: taken,
         after: |path| path.admission(0).leave(1),
         outcome: Outcome::NotRun,
         runs: 0,
     },
     Case {
-        name: "the endpoint leaves while it runs",
+        name: "the endpoint leaves while the request runs",
         before: slow,
         after: |path| path.admission(0).leave_all(),
         outcome: Outcome::Answered,
@@ -148,7 +148,7 @@
 ];
 
 #[test]
-fn a_request_that_is_not_repeatable_runs_at_most_once_and_its_caller_is_told_the_truth() {
+fn request_that_is_not_repeatable_runs_at_most_once_and_reports_the_right_outcome() {
     for case in CASES {
         let mut path = path(2, 1);
         (case.before)(&mut path);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn answers_that_come_twice_late_or_from_elsewhere_reach_nobody_else() {
+fn duplicate_late_or_forged_answers_reach_no_other_caller() {
     let forge = |id: RequestId, attempt: u32| {
         let offer = OfferId { id, attempt };
         let body = b"forged".to_vec();
@@ -181,7 +181,7 @@
     };
     type Forgery = fn(RequestId) -> (RequestId, u32);
     let table: [(&str, Forgery); 4] = [
-        ("of an earlier life of the entry", |id| (RequestId { life: id.life + 1, ..id }, 1)),
+        ("of another incarnation of the entry", |id| (RequestId { life: id.life + 1, ..id }, 1)),
         ("of another number", |id| (RequestId { number: id.number + 1, ..id }, 1)),
         ("of an offer that was never made", |id| (id, 7)),
         ("of offer zero", |id| (id, 0)),
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn an_answer_from_a_process_that_was_not_asked_is_not_taken() {
+fn answer_from_a_process_that_got_no_offer_is_ignored() {
     let mut path = path(1, 2);
     slow(&mut path);
     path.behave(1, SLOW);
@@ -215,9 +215,9 @@
 }
 
 #[test]
-fn an_offer_on_an_old_link_starts_nothing_after_its_fate_was_told() {
-    // The entry loses the link and makes it again; the process reads the offer that was still
-    // under way on the old link, and is then asked for its fate and offered it once more.
+fn offer_on_an_old_link_is_not_started_after_its_fate_was_reported() {
+    // The entry loses the link and reconnects while an offer is still in transit on the old link.
+    // The process reads that offer, is then asked for its fate, and gets the request offered again.
     let mut path = path(1, 1).with_delay(10 * MS);
     let id = path.ask(0, false, "", 500);
     path.cut_at_entry(0, 0, 0);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_repeatable_request_that_ran_and_failed_is_never_called_not_run() {
+fn repeatable_request_that_ran_and_failed_is_never_reported_as_not_run() {
     for (behaviour, outcome) in
         [(Behaviour::Break(MS), Outcome::Unknown), (Behaviour::Fail(MS), Outcome::Answered)]
     {
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_resend_to_another_entry_does_not_run_a_second_time() {
+fn resend_to_another_entry_does_not_run_a_second_time() {
     let mut path = path(2, 2);
     (0..2).for_each(|i| path.behave(i, SLOW));
     let first = path.ask(0, false, "claim-notice-7", 500);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_claimed_request_that_did_not_run_frees_its_key() {
+fn claimed_request_that_did_not_run_frees_its_key() {
     let mut path = path(2, 1);
     path.behave(0, Behaviour::Unreachable);
     let first = path.ask(0, false, "loan-12", 50);
@@ -280,9 +280,9 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_new_even_from_an_entry_cut_off_from_control() {
+fn leaving_endpoint_gets_no_new_requests_even_from_an_entry_cut_off_from_control() {
     let mut path = path(2, 2);
-    // Only the process of endpoint 0 hears of it; the entries have no newer view.
+    // Only the process of endpoint 0 knows that it leaves; the entries have no newer configuration.
     path.admission(0).leave(1);
     path.run_for(MS);
     let before = path.starts[0];
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_planned_stop_of_an_endpoint_process_cuts_off_nothing() {
+fn planned_stop_of_an_endpoint_process_interrupts_no_request() {
     let mut path = path(2, 2);
     (0..2).for_each(|i| path.behave(i, SLOW));
     let ids: Vec<RequestId> = (0..16).map(|i| path.ask(i % 2, false, "", 500)).collect();
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn an_offer_whose_time_is_over_is_not_started_when_a_slot_becomes_free() {
+fn expired_offer_is_not_started_when_a_slot_becomes_free() {
     let endpoint = view::Endpoint {
         task: 1,
         process: "a".to_owned(),
@@ -337,7 +337,7 @@
         admission.offer(Micros(0), 1, offer);
     }
     admission.take_outputs();
-    // No tick has come in between.
+    // There was no tick in between.
     let first = OfferId { id: id(1), attempt: 1 };
     admission.answered(Micros(10 * MS), first, 200, String::new(), Vec::new());
     let outputs = admission.take_outputs();
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_fast_failing_endpoint_attracts_no_traffic() {
+fn fast_failing_endpoint_attracts_no_traffic() {
     let mut path = path(2, 10);
     path.behave(3, Behaviour::Fail(50));
     path.load(2000.0, 1_000_000, true, 1000);
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn when_every_endpoint_fails_requests_are_sent_at_most_a_tenth_more_often() {
+fn when_every_endpoint_fails_retries_add_at_most_a_tenth_of_the_requests() {
     let mut path = path(2, 10);
     (0..10).for_each(|i| path.behave(i, Behaviour::Fail(500)));
     path.load(2000.0, 2_000_000, true, 1000);
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_slow_endpoint_is_given_fewer_requests_and_hedges_cut_its_tail() {
+fn slow_endpoint_gets_fewer_requests() {
     let mut path = path(2, 10);
     path.behave(0, Behaviour::Serve(10 * MS));
     path.load(2000.0, 2_000_000, true, 1000);
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn near_endpoints_go_first_and_far_ones_take_what_near_ones_cannot() {
+fn local_endpoints_are_used_first_and_remote_ones_take_the_overflow() {
     let mut path = path(1, 4);
     path.put_view(2, 8, |_| false, |i| if i < 2 { "near" } else { "far" });
     (0..4).for_each(|i| path.behave(i, SLOW));
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn an_older_view_never_replaces_a_newer_one() {
+fn older_configuration_never_replaces_a_newer_one() {
     let mut path = path(1, 1);
     path.put_view(5, 8, |_| true, |_| "near");
     path.put_view(4, 8, |_| false, |_| "near");
@@ -408,7 +408,9 @@
     assert_eq!(reason(&path, id), NotRun::NoEndpoint);
 }
 
-/// Latencies and outcomes of a load on two endpoints of four slots of 5 ms, so 1,600 a second.
+/// Offers `share` of the capacity to two endpoints with four slots of 5 ms each, 1,600 requests a
+/// second. Returns the answers a second, the p99 latency in microseconds and the number of requests
+/// with an unknown outcome.
 fn under_load(share: f64) -> (f64, u64, usize) {
     let mut path = Path::new(2, 2, 4, Tuning::default(), 3);
     (0..2).for_each(|i| path.behave(i, Behaviour::Exactly(5 * MS)));
@@ -425,16 +427,16 @@
 }
 
 #[test]
-fn an_overload_keeps_goodput_and_the_tail_of_what_is_admitted() {
-    let (_, calm_p99, _) = under_load(0.7);
+fn overload_keeps_goodput_and_the_tail_latency_of_admitted_requests() {
+    let (_, normal_p99, _) = under_load(0.7);
     let (goodput, p99, unknown) = under_load(3.0);
     assert!(goodput >= 1600.0 * 0.95, "{goodput} a second");
-    assert!(p99 <= calm_p99 * 2, "p99 {p99} us under overload, {calm_p99} us at 70 %");
+    assert!(p99 <= normal_p99 * 2, "p99 {p99} us under overload, {normal_p99} us at 70 %");
     assert_eq!(unknown, 0);
 }
 
 #[test]
-fn a_rate_is_kept_and_the_rest_is_told_not_run_at_once() {
+fn requests_beyond_the_rate_limit_are_refused_at_once() {
     let mut path = path(1, 2);
     path.limit(2, 100);
     path.load(1000.0, 2_000 * MS, true, 1000);
@@ -462,10 +464,10 @@
 proptest! {
     #![proptest_config(cases(150))]
 
-    /// Under any mix of cuts, kills, leaves and bad endpoints no request that is not repeatable
-    /// runs twice, and none that ran is called not run.
+    /// Under any mix of lost links, killed processes and failing endpoints, a request that is not
+    /// repeatable runs at most once, and a request that ran is never reported as not run.
     #[test]
-    fn no_mix_of_faults_breaks_a_promise(
+    fn no_mix_of_faults_breaks_a_guarantee(
         seed in any::<u64>(),
         faults in prop::collection::vec((0..6u8, 0..2usize, 0..4usize, 0..30u64), 0..40),
     ) {
@@ -490,10 +492,10 @@
         for (id, repeatable) in ids {
             let runs = path.runs.get(&id).copied().unwrap_or(0);
             let outcome = path.outcome(id);
-            prop_assert!(outcome.is_some(), "nobody was told of {id:?}");
+            prop_assert!(outcome.is_some(), "no result was reported for {id:?}");
             prop_assert!(repeatable || runs <= 1, "{id:?} ran {runs} times");
             if outcome == Some(Outcome::NotRun) {
-                prop_assert_eq!(runs, 0, "{:?} was called not run", id);
+                prop_assert_eq!(runs, 0, "{:?} was reported as not run", id);
             }
             if outcome == Some(Outcome::Answered) {
                 prop_assert_eq!(body_of(&path, id), id.number.to_be_bytes());
