--- a/crates/pond-command/src/command/load.rs
+++ b/crates/pond-command/src/command/load.rs
@@ -108,7 +108,7 @@
 pub fn compare(tallies: &[Tally], address: &str) -> Result<Broken, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let call = HttpCall::new(Method::GET, "/v1/record", "");
-    let client = Client::new().with_answer_bytes(1 << 30);
+    let client = Client::new().with_max_answer_bytes(1 << 30);
     let reply = runtime.block_on(client.call(address, call, Duration::from_secs(30)));
     let failed = |what: String| Error::Record { address: address.to_owned(), what };
     let reply = reply.map_err(|error| failed(error.to_string()))?;
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -76,7 +76,7 @@
         admission: Admission::new(&own_address),
         control,
         senders: BTreeMap::new(),
-        client: Client::new().with_answer_bytes(answer_bytes),
+        client: Client::new().with_max_answer_bytes(answer_bytes),
         ends,
         clock: Clock::new(),
         log,
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -52,9 +52,9 @@
             Process { address, stop: stop.clone(), threads: Threads::new(), stop_time, log };
         let caller = Caller::new(ring, entry.default_deadline_ms);
         let limits = Limits {
-            connections: limits.connections,
-            read: Duration::from_millis(limits.read_ms),
-            body_bytes: limits.body_bytes,
+            max_connections: limits.connections,
+            read_timeout: Duration::from_millis(limits.read_ms),
+            max_body_bytes: limits.body_bytes,
         };
         process.start_callers(listener, limits, caller)?;
         process.start_router(settings, terms, asked, metrics)?;
--- a/crates/pond-http/src/client.rs
+++ b/crates/pond-http/src/client.rs
@@ -45,7 +45,7 @@
     }
 
     /// Limits the size of answers, in bytes.
-    pub fn with_answer_bytes(mut self, bytes: usize) -> Client {
+    pub fn with_max_answer_bytes(mut self, bytes: usize) -> Client {
         self.answer_bytes = bytes;
         self
     }
--- a/crates/pond-http/src/server.rs
+++ b/crates/pond-http/src/server.rs
@@ -29,16 +29,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Open connections; more wait to be accepted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time for the head of a request, and for its body.
-    pub read: Duration,
+    pub read_timeout: Duration,
     /// Largest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { connections: 4096, read: Duration::from_secs(10), body_bytes: 1 << 20 }
+        Limits {
+            max_connections: 4096,
+            read_timeout: Duration::from_secs(10),
+            max_body_bytes: 1 << 20,
+        }
     }
 }
 
@@ -113,7 +117,7 @@
 /// Serves until `stop`, then until every request that had arrived is answered, or its caller has
 /// taken nothing of the answer for some seconds.
 pub async fn serve(listener: TcpListener, limits: Limits, stop: Stop, handler: Arc<dyn Handler>) {
-    let room = Arc::new(Semaphore::new(limits.connections));
+    let room = Arc::new(Semaphore::new(limits.max_connections));
     let closing = Arc::new(AtomicBool::new(false));
     loop {
         let permit = tokio::select! {
@@ -136,7 +140,7 @@
     }
     closing.store(true, Ordering::Relaxed);
     // All permits are free once all connections have ended.
-    let _ = room.acquire_many(limits.connections as u32).await;
+    let _ = room.acquire_many(limits.max_connections as u32).await;
 }
 
 /// Closes a listener; the connections that had come before, whose requests may have arrived.
@@ -191,7 +195,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.read)
+        .header_read_timeout(limits.read_timeout)
         .serve_connection(TokioIo::new(Stream::new(stream)), service);
     tokio::pin!(connection);
     // An idle connection is not shut at once: a request may be on its way on it. While the server
@@ -231,8 +235,8 @@
 }
 
 async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, Refused> {
-    let whole = Limited::new(body, limits.body_bytes).collect();
-    match timeout(limits.read, whole).await {
+    let whole = Limited::new(body, limits.max_body_bytes).collect();
+    match timeout(limits.read_timeout, whole).await {
         Err(_) => Err(Refused::TooSlow),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refused::TooLarge),
         Ok(Err(_)) => Err(Refused::CutOff),
--- a/crates/pond-http/tests/crowd.rs
+++ b/crates/pond-http/tests/crowd.rs
@@ -67,7 +67,7 @@
 async fn thousands_of_slow_callers_stay_within_the_memory_of_a_thin_machine() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
-    let limits = Limits { read: READ, ..Limits::default() };
+    let limits = Limits { read_timeout: READ, ..Limits::default() };
     let speaker = Arc::new(Speaker { answer: Bytes::from(vec![0; ANSWER]) });
     tokio::spawn(serve(listener, limits, Stop::new(), speaker));
     let before = resident();
--- a/crates/pond-http/tests/limits.rs
+++ b/crates/pond-http/tests/limits.rs
@@ -28,7 +28,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
     let (echo, stop) = (Arc::new(Echo::default()), Stop::new());
-    let limits = Limits { connections: 8, read: Duration::from_millis(200), body_bytes: 1000 };
+    let limits = Limits {
+        max_connections: 8,
+        read_timeout: Duration::from_millis(200),
+        max_body_bytes: 1000,
+    };
     tokio::spawn(serve(listener, limits, stop.clone(), echo.clone()));
     (address, echo, stop)
 }
--- a/crates/pond-http/tests/stalled.rs
+++ b/crates/pond-http/tests/stalled.rs
@@ -49,7 +49,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
     let stop = Stop::new();
-    let limits = Limits { connections: PLACES, read: READ, body_bytes: 1000 };
+    let limits = Limits { max_connections: PLACES, read_timeout: READ, max_body_bytes: 1000 };
     let served = tokio::spawn(serve(listener, limits, stop.clone(), Arc::new(Speaker)));
     (address, stop, served)
 }
--- a/crates/pond-standin/src/endpoint.rs
+++ b/crates/pond-standin/src/endpoint.rs
@@ -44,8 +44,11 @@
         let address = listener.local_addr()?;
         let slots = Semaphore::new(slots as usize);
         let endpoint = Endpoint { slots, service_us, slowdown, record };
-        let limits =
-            Limits { connections: connections as usize, body_bytes: 64 << 20, ..Limits::default() };
+        let limits = Limits {
+            max_connections: connections as usize,
+            max_body_bytes: 64 << 20,
+            ..Limits::default()
+        };
         tokio::spawn(serve(listener, limits, stop, Arc::new(endpoint)));
         Ok(address)
     }
--- a/crates/pond-standin/src/server.rs
+++ b/crates/pond-standin/src/server.rs
@@ -196,7 +196,7 @@
                 ticking.tick();
             }
         });
-        let limits = Limits { body_bytes: 4 << 20, ..Limits::default() };
+        let limits = Limits { max_body_bytes: 4 << 20, ..Limits::default() };
         serve(listener, limits, stop, Arc::new(host)).await;
         ticker.abort();
     }
