--- a/crates/pond-endpoint/src/lib.rs
+++ b/crates/pond-endpoint/src/lib.rs
@@ -1,7 +1,7 @@
-//! An endpoint process: the only way to the endpoints of its VM.
+//! An endpoint process: forwards all requests to the endpoints of its VM.
 //!
-//! It stands beside the endpoints, takes offers from entries, keeps slots and connection limits,
-//! and calls the endpoints over HTTP/1.1 on kept connections.
+//! It runs on the same VM as the endpoints, accepts offers from entries, enforces slots and
+//! connection limits, and calls the endpoints over persistent HTTP/1.1 connections.
 
 mod process;
 mod serve;
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -22,10 +22,10 @@
 }
 
 impl Process {
-    /// Starts an endpoint process from its settings.
+    /// Starts an endpoint process with the given settings.
     ///
     /// # Errors
-    /// See [`Error`]; nothing is left running.
+    /// See [`Error`]. No thread is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Endpoint(endpoint) = &settings.role else {
             return Err(Error::Role { wanted: "endpoint" });
@@ -49,8 +49,8 @@
                 replicas,
                 terms,
                 stop: stopped,
-                stop_time: Duration::from_millis(limits.stop_ms),
-                answer_bytes: limits.body_bytes,
+                stop_timeout: Duration::from_millis(limits.stop_ms),
+                max_answer_bytes: limits.body_bytes,
                 log: thread_log,
             };
             serve::run(parts).await;
@@ -59,12 +59,12 @@
         Ok(Process { address, stop, threads, log })
     }
 
-    /// Where it takes internal links.
+    /// Returns the address for internal links.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops as planned: refuses what is new, finishes what it has, then ends.
+    /// Shuts down gracefully: refuses new offers, completes the running ones, then ends.
     pub fn stop(self) {
         event!(self.log, STOPPING);
         let _ = self.stop.send(());
@@ -72,7 +72,7 @@
         event!(self.log, STOPPED);
     }
 
-    /// Ends at once, as if it had been killed.
+    /// Ends at once, as if the process had been killed.
     pub fn kill(self) {
         self.threads.cut_short();
     }
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -1,4 +1,4 @@
-//! The serving thread: the admission core with its links and calls.
+//! The serving thread: admission control with its links and the calls to endpoints.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,79 +16,80 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-/// Events of links that may wait.
-const EVENTS: usize = 4096;
+/// Maximum number of queued link events.
+const MAX_QUEUED_EVENTS: usize = 4096;
 
-/// Ends of calls that may wait.
-const ENDS: usize = 4096;
+/// Maximum number of queued results of calls.
+const MAX_QUEUED_RESULTS: usize = 4096;
 
-/// Time between looks at what waits.
-const TICK: Duration = Duration::from_millis(5);
+/// Interval at which queued offers are checked for expiry.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long after its last request a stopping process stays, so that answers get out.
-const LINGER: Duration = Duration::from_millis(100);
+/// How long a stopping process waits after its last request, so that answers are sent.
+const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
-/// What the serving thread is made from.
+/// Inputs of the serving thread.
 pub struct Parts {
-    /// Where it takes links.
+    /// Accepts links from entries.
     pub listener: TcpListener,
-    /// All control replicas.
+    /// The control replicas.
     pub replicas: Vec<Replica>,
-    /// Who this process is.
+    /// Identity of this process and limits of its links.
     pub terms: Terms,
-    /// Tells it to stop as planned.
+    /// Requests a graceful shutdown.
     pub stop: oneshot::Receiver<()>,
-    /// Longest time for a planned stop.
-    pub stop_time: Duration,
+    /// Longest duration of a graceful shutdown.
+    pub stop_timeout: Duration,
     /// Largest answer of an endpoint, in bytes.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
     /// The logger.
     pub log: Logger,
 }
 
-/// How a call to an endpoint ended.
-struct Ended {
+/// The result of a call to an endpoint.
+struct CallResult {
     offer: OfferId,
     result: Result<pond_http::Reply, pond_http::Error>,
 }
 
-/// The serving thread's state.
+/// State of the serving thread.
 struct Serve {
     admission: Admission,
     control: Control,
     senders: BTreeMap<LinkKey, Sender>,
     client: Client,
-    ends: mpsc::Sender<Ended>,
+    results: mpsc::Sender<CallResult>,
     clock: Clock,
     log: Logger,
 }
 
-/// Serves until it is told to stop and has finished what it has.
+/// Serves entries until a shutdown is requested and all offers have ended, or the shutdown takes too
+/// long.
 pub async fn run(parts: Parts) {
-    let Parts { listener, replicas, terms, mut stop, stop_time, answer_bytes, log } = parts;
+    let Parts { listener, replicas, terms, mut stop, stop_timeout, max_answer_bytes, log } = parts;
     let own_address = terms.hello.address.clone();
     let terms = Arc::new(terms);
-    let (events, mut happened) = mpsc::channel(EVENTS);
-    let (ends, mut ended) = mpsc::channel(ENDS);
+    let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let (results, mut completed) = mpsc::channel(MAX_QUEUED_RESULTS);
     let control = Control::start(&replicas, &terms, &events, log.clone());
     tokio::spawn(accept(listener, terms, events));
     let mut serve = Serve {
         admission: Admission::new(&own_address),
         control,
         senders: BTreeMap::new(),
-        client: Client::new().with_max_answer_bytes(answer_bytes),
-        ends,
+        client: Client::new().with_max_answer_bytes(max_answer_bytes),
+        results,
         clock: Clock::new(),
         log,
     };
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut stopping: Option<Instant> = None;
-    let mut quiet_since: Option<Instant> = None;
+    let mut idle_since: Option<Instant> = None;
     loop {
         tokio::select! {
-            Some(event) = happened.recv() => serve.event(event),
-            Some(end) = ended.recv() => serve.ended(end),
+            Some(event) = received.recv() => serve.event(event),
+            Some(call) = completed.recv() => serve.call_ended(call),
             _ = ticks.tick() => serve.tick(),
             _ = &mut stop, if stopping.is_none() => {
                 event!(serve.log, DRAINING);
@@ -96,14 +97,14 @@
                 serve.admission.leave_all();
             }
         }
-        serve.carry_out();
+        serve.execute_outputs();
         let Some(since) = stopping else { continue };
         if serve.admission.under_way() > 0 {
-            quiet_since = None;
-        } else if quiet_since.get_or_insert_with(Instant::now).elapsed() >= LINGER {
+            idle_since = None;
+        } else if idle_since.get_or_insert_with(Instant::now).elapsed() >= DRAIN_GRACE {
             return;
         }
-        if since.elapsed() >= stop_time {
+        if since.elapsed() >= stop_timeout {
             event!(serve.log, STOP_LATE);
             return;
         }
@@ -136,7 +137,7 @@
                 self.admission.link_up(link.0, hello.life);
             }
             EventKind::Down(error) => {
-                // All links here but those to control are accepted ones.
+                // Links to control are handled above, so this link was accepted from an entry.
                 match self.senders.remove(&link) {
                     Some(_) => event!(self.log, LINK_DOWN, "why" => error.to_string()),
                     None => event!(self.log, LINK_REFUSED, "why" => error.to_string()),
@@ -167,27 +168,28 @@
         }
     }
 
-    fn ended(&mut self, end: Ended) {
+    fn call_ended(&mut self, call: CallResult) {
         let now = self.now();
-        match end.result {
+        match call.result {
             Ok(reply) => {
                 let content_type = reply.header("content-type").unwrap_or_default().to_owned();
                 let status = u32::from(reply.status.as_u16());
                 let body = reply.body.to_vec();
-                self.admission.answered(now, end.offer, status, content_type, body);
+                self.admission.answered(now, call.offer, status, content_type, body);
             }
-            Err(error) if error.not_sent() => self.admission.unreachable(now, end.offer),
-            Err(_) => self.admission.answer_lost(now, end.offer),
+            Err(error) if error.not_sent() => self.admission.unreachable(now, call.offer),
+            Err(_) => self.admission.answer_lost(now, call.offer),
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_outputs(&mut self) {
         for output in self.admission.take_outputs() {
             match output {
                 AdmissionOutput::Run(run) => self.run(run),
                 AdmissionOutput::Send { link, body } => {
                     if let Some(sender) = self.senders.get(&LinkKey(link)) {
-                        // What does not fit is asked for as a fate once the link is made again.
+                        // If the queue is full, the entry asks for the fate of the offer after it
+                        // has reconnected.
                         sender.send(body);
                     }
                 }
@@ -196,19 +198,19 @@
     }
 
     fn run(&self, run: Run) {
-        let (client, ends) = (self.client.clone(), self.ends.clone());
-        let patience = Duration::from_micros(run.deadline.since(self.now()));
+        let (client, results) = (self.client.clone(), self.results.clone());
+        let max_wait = Duration::from_micros(run.deadline.since(self.now()));
         tokio::spawn(async move {
             let offer = run.offer;
             let address = run.address.clone();
-            let result = client.call(&address, call(run), patience).await;
-            let _ = ends.send(Ended { offer, result }).await;
+            let result = client.call(&address, request(run), max_wait).await;
+            let _ = results.send(CallResult { offer, result }).await;
         });
     }
 }
 
-/// The request as the endpoint gets it.
-fn call(run: Run) -> Call {
+/// Builds the HTTP request for the endpoint.
+fn request(run: Run) -> Call {
     let path = format!("/v1/services/{}", run.content.service);
     let mut headers = HeaderMap::new();
     let mut put = |name: &'static str, value: &str| {
--- a/crates/pond-entry/src/caller.rs
+++ b/crates/pond-entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers' requests over HTTP.
+//! HTTP interface for callers.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,20 +10,20 @@
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::header::{self, Wish};
-use crate::route::Asked;
+use crate::header::{self, Options};
+use crate::route::Submission;
 
-/// Seconds after which a refused caller may try again.
+/// Value of `retry-after` for refused requests, in seconds.
 const RETRY_AFTER_S: &str = "1";
 
-/// Answers callers through the router.
+/// HTTP handler that submits requests to the routing thread.
 #[derive(Debug)]
 pub struct Caller {
-    ring: mpsc::Sender<Asked>,
+    submissions: mpsc::Sender<Submission>,
     default_deadline_ms: Span,
 }
 
-/// What a caller is told in the body when there is no answer of an endpoint.
+/// Response body when there is no answer from an endpoint.
 #[derive(Serialize)]
 struct Problem<'a> {
     outcome: &'a str,
@@ -32,64 +32,66 @@
 }
 
 impl Caller {
-    /// Answers through that ring.
-    pub fn new(ring: mpsc::Sender<Asked>, default_deadline_ms: Span) -> Caller {
-        Caller { ring, default_deadline_ms }
+    /// Creates a handler that sends requests to the routing thread through `submissions`.
+    pub fn new(submissions: mpsc::Sender<Submission>, default_deadline_ms: Span) -> Caller {
+        Caller { submissions, default_deadline_ms }
     }
 
     async fn answer(&self, call: Call) -> Reply {
         if call.method == Method::GET && call.path == "/v1/health" {
             return Reply::new(StatusCode::OK, "well\n");
         }
-        let wish = match header::read(&call) {
-            Ok(wish) => wish,
-            Err(findings) => return bad(StatusCode::BAD_REQUEST, findings.join("; ")),
+        let options = match header::parse(&call) {
+            Ok(options) => options,
+            Err(errors) => return rejected(StatusCode::BAD_REQUEST, errors.join("; ")),
         };
         if call.method != Method::POST {
-            let what = "use POST /v1/services/SERVICE".to_owned();
-            return bad(StatusCode::METHOD_NOT_ALLOWED, what);
+            let message = "use POST /v1/services/SERVICE".to_owned();
+            return rejected(StatusCode::METHOD_NOT_ALLOWED, message);
         }
-        self.ask(wish, call).await
+        self.submit(options, call).await
     }
 
-    async fn ask(&self, wish: Wish, call: Call) -> Reply {
+    async fn submit(&self, options: Options, call: Call) -> Reply {
         let content_type = call.header("content-type").unwrap_or_default().to_owned();
         let content = Content {
-            service: wish.service,
+            service: options.service,
             content_type,
-            key: wish.key,
+            key: options.key,
             body: call.body.to_vec(),
         };
-        let deadline_ms = wish.deadline_ms.unwrap_or(self.default_deadline_ms);
-        let (reply, told) = oneshot::channel();
-        let asked = Asked { content, repeatable: wish.repeatable, deadline_ms, reply };
-        if self.ring.try_send(asked).is_err() {
+        let deadline_ms = options.deadline_ms.unwrap_or(self.default_deadline_ms);
+        let (reply, result) = oneshot::channel();
+        let submission = Submission { content, repeatable: options.repeatable, deadline_ms, reply };
+        if self.submissions.try_send(submission).is_err() {
             return not_run(NotRun::Overload);
         }
-        match told.await {
-            Ok((id, finish)) => reply_to(finish).with_header(name(header::REQUEST), show(id)),
+        match result.await {
+            Ok((id, finish)) => {
+                reply_to(finish).with_header(header_name(header::REQUEST), id_value(id))
+            }
             Err(_) => not_run(NotRun::Stopping),
         }
     }
 }
 
-fn name(name: &'static str) -> HeaderName {
+fn header_name(name: &'static str) -> HeaderName {
     HeaderName::from_static(name)
 }
 
-fn show(id: RequestId) -> HeaderValue {
+fn id_value(id: RequestId) -> HeaderValue {
     let text = format!("{:016x}-{}", id.life, id.number);
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("-"))
 }
 
 fn with_outcome(reply: Reply, outcome: Outcome) -> Reply {
-    reply.with_header(name(header::OUTCOME), HeaderValue::from_static(outcome.as_str()))
+    reply.with_header(header_name(header::OUTCOME), HeaderValue::from_static(outcome.as_str()))
 }
 
 fn reply_to(finish: Finish) -> Reply {
     match finish {
         Finish::Answered(answer) => answered(answer),
-        Finish::NotRun(why) => not_run(why),
+        Finish::NotRun(cause) => not_run(cause),
         Finish::Unknown => unknown(),
     }
 }
@@ -100,52 +102,60 @@
     if let Ok(value) = HeaderValue::from_str(&answer.content_type)
         && !value.is_empty()
     {
-        reply = reply.with_header(name("content-type"), value);
+        reply = reply.with_header(header_name("content-type"), value);
     }
     with_outcome(reply, Outcome::Answered)
 }
 
-fn not_run(why: NotRun) -> Reply {
-    let (status, reason, message) = explain(why);
+fn not_run(cause: NotRun) -> Reply {
+    let (status, reason, message) = explain(cause);
     let problem =
         Problem { outcome: Outcome::NotRun.as_str(), reason, message: message.to_owned() };
     let mut reply = Reply::json(status, &problem);
     if matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) {
         let after = HeaderValue::from_static(RETRY_AFTER_S);
-        reply = reply.with_header(name("retry-after"), after);
+        reply = reply.with_header(header_name("retry-after"), after);
     }
     with_outcome(reply, Outcome::NotRun)
 }
 
-fn explain(why: NotRun) -> (StatusCode, &'static str, &'static str) {
+fn explain(cause: NotRun) -> (StatusCode, &'static str, &'static str) {
     use StatusCode as Code;
-    match why {
-        NotRun::NoService => (Code::NOT_FOUND, "no-service", "there is no such service"),
-        NotRun::NoEndpoint => {
-            (Code::SERVICE_UNAVAILABLE, "no-endpoint", "no endpoint takes requests now")
-        }
+    match cause {
+        NotRun::NoService => (Code::NOT_FOUND, "no-service", "no such service"),
+        NotRun::NoEndpoint => (
+            Code::SERVICE_UNAVAILABLE,
+            "no-endpoint",
+            "no endpoint of the service accepts requests now",
+        ),
         NotRun::Overload => {
-            (Code::TOO_MANY_REQUESTS, "overload", "too many requests are under way")
-        }
-        NotRun::Expired => {
-            (Code::SERVICE_UNAVAILABLE, "expired", "its time was over before it could start")
+            (Code::TOO_MANY_REQUESTS, "overload", "too many requests are in progress")
         }
+        NotRun::Expired => (
+            Code::SERVICE_UNAVAILABLE,
+            "expired",
+            "the deadline passed before the request could start",
+        ),
         NotRun::NoQuorum => (
             Code::SERVICE_UNAVAILABLE,
             "no-quorum",
-            "control could not promise that it runs at most once",
+            "control could not guarantee that the request runs at most once",
+        ),
+        NotRun::Held => (Code::SERVICE_UNAVAILABLE, "held", "the idempotency key is in use"),
+        NotRun::KeyReused => (
+            Code::UNPROCESSABLE_ENTITY,
+            "key-reused",
+            "the idempotency key was used before with a different body",
         ),
-        NotRun::Held => (Code::SERVICE_UNAVAILABLE, "held", "its key is in use"),
-        NotRun::KeyReused => {
-            (Code::UNPROCESSABLE_ENTITY, "key-reused", "its key came with another body before")
-        }
         NotRun::ClaimsFull => {
-            (Code::SERVICE_UNAVAILABLE, "claims-full", "no more keys can be remembered now")
+            (Code::SERVICE_UNAVAILABLE, "claims-full", "no more idempotency keys can be stored now")
         }
         NotRun::Stopping => (Code::SERVICE_UNAVAILABLE, "stopping", "this entry is stopping"),
-        NotRun::NotReady => {
-            (Code::SERVICE_UNAVAILABLE, "not-ready", "this entry has no configuration yet")
-        }
+        NotRun::NotReady => (
+            Code::SERVICE_UNAVAILABLE,
+            "not-ready",
+            "this entry has not received the configuration yet",
+        ),
     }
 }
 
@@ -153,12 +163,13 @@
     let problem = Problem {
         outcome: Outcome::Unknown.as_str(),
         reason: "unknown",
-        message: "it may have run; ask the service, or send it again with the same key".to_owned(),
+        message: "the request may have run; ask the service, or resend it with the same key"
+            .to_owned(),
     };
     with_outcome(Reply::json(StatusCode::GATEWAY_TIMEOUT, &problem), Outcome::Unknown)
 }
 
-fn bad(status: StatusCode, message: String) -> Reply {
+fn rejected(status: StatusCode, message: String) -> Reply {
     let problem = Problem { outcome: Outcome::NotRun.as_str(), reason: "bad-request", message };
     with_outcome(Reply::json(status, &problem), Outcome::NotRun)
 }
@@ -171,9 +182,9 @@
     fn refuse(&self, refused: Refused) -> Reply {
         let message = match refused {
             Refused::TooLarge => "the body is larger than limits.body_bytes",
-            Refused::TooSlow => "the body did not come in time",
-            Refused::CutOff => "the body broke off",
+            Refused::TooSlow => "the body did not arrive in time",
+            Refused::CutOff => "the body is incomplete",
         };
-        bad(refused.status(), message.to_owned())
+        rejected(refused.status(), message.to_owned())
     }
 }
--- a/crates/pond-entry/src/header.rs
+++ b/crates/pond-entry/src/header.rs
@@ -1,105 +1,106 @@
-//! The headers of the callers' contract.
+//! HTTP headers and path of callers' requests.
 
 use pond_http::Call;
 use pond_proto::Span;
 
-/// Names the request among resends.
+/// Idempotency key: the same for a request and its resends.
 pub const KEY: &str = "idempotency-key";
 
-/// Whether the request may run more than once.
+/// Whether the request may run more than once: `yes` or `no`.
 pub const REPEATABLE: &str = "pondbay-repeatable";
 
 /// How long the caller waits, in milliseconds.
 pub const DEADLINE: &str = "pondbay-deadline-ms";
 
-/// What the answer promises.
+/// Outcome of the request: answered, not run or unknown.
 pub const OUTCOME: &str = "pondbay-outcome";
 
-/// The identity that the request had in pondbay, for logs.
+/// ID of the request within pondbay, for logs.
 pub const REQUEST: &str = "pondbay-request";
 
-/// The longest key, in bytes.
-const KEY_BYTES: usize = 256;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The longest deadline, in milliseconds.
-const DEADLINE_LIMIT_MS: Span = 600_000;
+/// Longest deadline, in milliseconds.
+const MAX_DEADLINE_MS: Span = 600_000;
 
-/// What a caller asks for besides the body.
+/// Path and header values of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
-    /// The service's name.
+pub struct Options {
+    /// Name of the service.
     pub service: String,
-    /// The idempotency key; empty if there is none.
+    /// Idempotency key; empty if there is none.
     pub key: String,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits, in milliseconds, if given.
     pub deadline_ms: Option<Span>,
 }
 
-/// Reads path and headers.
+/// Parses the path and headers of a request.
 ///
 /// # Errors
-/// Everything that is wrong, one sentence each.
-pub fn read(call: &Call) -> Result<Wish, Vec<String>> {
-    let mut findings = Vec::new();
-    let wish = Wish {
-        service: read_service(call, &mut findings),
-        key: read_key(call, &mut findings),
-        repeatable: read_repeatable(call, &mut findings),
-        deadline_ms: read_deadline(call, &mut findings),
+/// All errors found, one sentence each.
+pub fn parse(call: &Call) -> Result<Options, Vec<String>> {
+    let mut errors = Vec::new();
+    let options = Options {
+        service: read_service(call, &mut errors),
+        key: read_key(call, &mut errors),
+        repeatable: read_repeatable(call, &mut errors),
+        deadline_ms: read_deadline(call, &mut errors),
     };
-    if findings.is_empty() { Ok(wish) } else { Err(findings) }
+    if errors.is_empty() { Ok(options) } else { Err(errors) }
 }
 
-fn read_service(call: &Call, findings: &mut Vec<String>) -> String {
+fn read_service(call: &Call, errors: &mut Vec<String>) -> String {
     let path = call.path.split('?').next().unwrap_or_default();
     let name = path.strip_prefix("/v1/services/").unwrap_or_default();
     if name.is_empty() || name.contains('/') {
-        findings.push("the path must be /v1/services/SERVICE".to_owned());
+        errors.push("the path must be /v1/services/SERVICE".to_owned());
     }
     name.to_owned()
 }
 
-fn text<'a>(call: &'a Call, name: &str, findings: &mut Vec<String>) -> Option<&'a str> {
+fn text<'a>(call: &'a Call, name: &str, errors: &mut Vec<String>) -> Option<&'a str> {
     let mut values = call.headers.get_all(name).iter();
     let first = values.next()?;
     if values.next().is_some() {
-        findings.push(format!("{name} is there more than once"));
+        errors.push(format!("{name} is given more than once"));
         return None;
     }
     let text = first.to_str().ok();
     if text.is_none() {
-        findings.push(format!("{name} holds bytes that are not printable ASCII"));
+        errors.push(format!("{name} contains bytes that are not printable ASCII"));
     }
     text
 }
 
-fn read_key(call: &Call, findings: &mut Vec<String>) -> String {
-    let Some(key) = text(call, KEY, findings) else { return String::new() };
-    if key.is_empty() || key.len() > KEY_BYTES {
-        findings.push(format!("{KEY} must have 1 to {KEY_BYTES} characters"));
+fn read_key(call: &Call, errors: &mut Vec<String>) -> String {
+    let Some(key) = text(call, KEY, errors) else { return String::new() };
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        errors.push(format!("{KEY} must have 1 to {MAX_KEY_BYTES} characters"));
     }
     key.to_owned()
 }
 
-fn read_repeatable(call: &Call, findings: &mut Vec<String>) -> bool {
-    match text(call, REPEATABLE, findings) {
+fn read_repeatable(call: &Call, errors: &mut Vec<String>) -> bool {
+    match text(call, REPEATABLE, errors) {
         None | Some("no") => false,
         Some("yes") => true,
         Some(other) => {
-            findings.push(format!("{REPEATABLE} is '{other}'; write yes or no"));
+            errors.push(format!("{REPEATABLE} must be yes or no, not '{other}'"));
             false
         }
     }
 }
 
-fn read_deadline(call: &Call, findings: &mut Vec<String>) -> Option<Span> {
-    let value = text(call, DEADLINE, findings)?;
-    let number = value.parse().ok().filter(|ms| (1..=DEADLINE_LIMIT_MS).contains(ms));
+fn read_deadline(call: &Call, errors: &mut Vec<String>) -> Option<Span> {
+    let value = text(call, DEADLINE, errors)?;
+    let number = value.parse().ok().filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
     if number.is_none() {
-        let what = format!("{DEADLINE} is '{value}'; write a number from 1 to {DEADLINE_LIMIT_MS}");
-        findings.push(what);
+        let message =
+            format!("{DEADLINE} must be a number from 1 to {MAX_DEADLINE_MS}, not '{value}'");
+        errors.push(message);
     }
     number
 }
--- a/crates/pond-entry/src/lib.rs
+++ b/crates/pond-entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! An entry: takes in callers' requests and routes them to endpoints.
+//! An entry: accepts callers' requests and routes them to endpoints.
 //!
-//! One thread reads requests and writes answers; another holds the router and its links. They are
-//! joined by a bounded ring.
+//! One thread serves callers over HTTP; another runs the router and its links. A bounded channel
+//! connects them.
 
 mod caller;
 mod header;
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -14,25 +14,25 @@
 use tokio::sync::mpsc;
 
 use crate::caller::Caller;
-use crate::route::{self, Asked, Parts};
+use crate::route::{self, Parts, Submission};
 
-/// Requests that may wait on their way to the router.
-const RING: usize = 4096;
+/// Maximum number of requests queued for the routing thread.
+const MAX_QUEUED: usize = 4096;
 
 /// A running entry.
 pub struct Process {
     address: SocketAddr,
     stop: Stop,
     threads: Threads,
-    stop_time: Duration,
+    stop_timeout: Duration,
     log: Logger,
 }
 
 impl Process {
-    /// Starts an entry from its settings.
+    /// Starts an entry with the given settings.
     ///
     /// # Errors
-    /// See [`Error`]; nothing is left running.
+    /// See [`Error`]. No thread is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Entry(entry) = &settings.role else {
             return Err(Error::Role { wanted: "entry" });
@@ -45,19 +45,19 @@
             .with_token(&read_token(settings)?);
         let metrics =
             Metrics::start(settings.metrics, "entry").map_err(|source| Error::Thread { source })?;
-        let (ring, asked) = mpsc::channel(RING);
+        let (sender, submissions) = mpsc::channel(MAX_QUEUED);
         let stop = Stop::new();
-        let stop_time = Duration::from_millis(limits.stop_ms);
+        let stop_timeout = Duration::from_millis(limits.stop_ms);
         let mut process =
-            Process { address, stop: stop.clone(), threads: Threads::new(), stop_time, log };
-        let caller = Caller::new(ring, entry.default_deadline_ms);
+            Process { address, stop: stop.clone(), threads: Threads::new(), stop_timeout, log };
+        let caller = Caller::new(sender, entry.default_deadline_ms);
         let limits = Limits {
             max_connections: limits.connections,
             read_timeout: Duration::from_millis(limits.read_ms),
             max_body_bytes: limits.body_bytes,
         };
         process.start_callers(listener, limits, caller)?;
-        process.start_router(settings, terms, asked, metrics)?;
+        process.start_router(settings, terms, submissions, metrics)?;
         event!(process.log, STARTED, "callers" => address.to_string());
         Ok(process)
     }
@@ -68,7 +68,7 @@
         limits: Limits,
         caller: Caller,
     ) -> Result<(), Error> {
-        let (stop, log, patience) = (self.stop.clone(), self.log.clone(), self.stop_time);
+        let (stop, log, max_wait) = (self.stop.clone(), self.log.clone(), self.stop_timeout);
         self.threads.spawn("callers", move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
             let serving = serve(listener, limits, stop.clone(), Arc::new(caller));
@@ -77,7 +77,7 @@
                 () = serving.as_mut() => return,
                 () = stop.wait() => {}
             }
-            if tokio::time::timeout(patience, serving).await.is_err() {
+            if tokio::time::timeout(max_wait, serving).await.is_err() {
                 event!(log, STOP_LATE);
             }
         })
@@ -87,21 +87,22 @@
         &mut self,
         settings: &Settings,
         terms: Terms,
-        asked: mpsc::Receiver<Asked>,
+        submissions: mpsc::Receiver<Submission>,
         metrics: Metrics,
     ) -> Result<(), Error> {
         let log = self.log.clone();
         let replicas = settings.replicas.clone();
-        let parts = Parts { replicas, terms, asked, log, metrics };
+        let parts = Parts { replicas, terms, submissions, log, metrics };
         self.threads.spawn("route", move || route::run(parts))
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops as planned: takes no more, finishes what it has, then ends all threads.
+    /// Shuts down gracefully: accepts no more requests, completes those in progress, then ends all
+    /// threads.
     pub fn stop(self) {
         event!(self.log, STOPPING);
         self.stop.stop();
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -1,4 +1,4 @@
-//! The routing thread: the router core with its links.
+//! The routing thread: the router with its links.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,42 +15,42 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
-/// Events of links that may wait.
-const EVENTS: usize = 4096;
+/// Maximum number of queued link events.
+const MAX_QUEUED_EVENTS: usize = 4096;
 
-/// Time between looks at deadlines, retries and hedges.
-const TICK: Duration = Duration::from_millis(2);
+/// Interval at which deadlines, retries and hedges are processed.
+const TICK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Every so many ticks it is looked for callers that are gone, and metrics go out.
+/// Number of ticks between checks for disconnected callers and updates of the metrics.
 const TICKS_PER_SWEEP: u32 = 50;
 
-/// Keys of links to endpoint processes start here; control replicas come before.
+/// First key of links to endpoint processes; lower keys are for control replicas.
 const FIRST_PROCESS_LINK: u64 = 1 << 16;
 
-/// A request on its way from the callers' thread.
+/// A request submitted by the callers' thread.
 #[derive(Debug)]
-pub struct Asked {
-    /// What is passed on.
+pub struct Submission {
+    /// Service, key, content type and body, as forwarded to the endpoint.
     pub content: Content,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How long the caller waits.
+    /// How long the caller waits, in milliseconds.
     pub deadline_ms: Span,
-    /// Where the end goes.
+    /// Receives the result.
     pub reply: oneshot::Sender<(RequestId, Finish)>,
 }
 
-/// What the routing thread is made from.
+/// Inputs of the routing thread.
 pub struct Parts {
-    /// All control replicas.
+    /// The control replicas.
     pub replicas: Vec<Replica>,
-    /// Who this process is.
+    /// Identity of this process and limits of its links.
     pub terms: Terms,
-    /// Requests from the callers' thread; its end means that the entry stops.
-    pub asked: mpsc::Receiver<Asked>,
+    /// Requests from the callers' thread. The entry stops when the channel is closed.
+    pub submissions: mpsc::Receiver<Submission>,
     /// The logger.
     pub log: Logger,
-    /// Metrics.
+    /// The metrics.
     pub metrics: Metrics,
 }
 
@@ -58,10 +58,10 @@
 struct ProcessLink {
     process: ProcessKey,
     sender: Option<Sender>,
-    dialler: JoinHandle<()>,
+    dial_task: JoinHandle<()>,
 }
 
-/// The routing thread's state.
+/// State of the routing thread.
 struct Route {
     router: Router,
     control: Control,
@@ -75,11 +75,11 @@
     metrics: Metrics,
 }
 
-/// Routes until the callers' ring ends and the last request has ended.
+/// Routes requests until `submissions` is closed and the last request has ended.
 pub async fn run(parts: Parts) {
-    let Parts { replicas, terms, mut asked, log, metrics } = parts;
+    let Parts { replicas, terms, mut submissions, log, metrics } = parts;
     let terms = Arc::new(terms);
-    let (events, mut happened) = mpsc::channel(EVENTS);
+    let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
     let control = Control::start(&replicas, &terms, &events, log.clone());
     let router = Router::new(&terms.hello.data_centre, Tuning::default(), terms.hello.life);
     let mut route = Route {
@@ -94,26 +94,26 @@
         log,
         metrics,
     };
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut count = 0;
     let mut open = true;
     while open || route.router.under_way() > 0 {
         tokio::select! {
-            request = asked.recv(), if open => match request {
-                Some(request) => route.ask(request),
+            request = submissions.recv(), if open => match request {
+                Some(request) => route.submit(request),
                 None => {
                     open = false;
                     route.router.stop();
                 }
             },
-            Some(event) = happened.recv() => route.event(event),
+            Some(event) = received.recv() => route.event(event),
             _ = ticks.tick() => {
                 count += 1;
                 route.tick(count % TICKS_PER_SWEEP == 0);
             }
         }
-        route.carry_out();
+        route.execute_outputs();
     }
 }
 
@@ -122,16 +122,16 @@
         Micros(self.clock.elapsed().as_micros() as u64)
     }
 
-    fn ask(&mut self, asked: Asked) {
+    fn submit(&mut self, submission: Submission) {
         let now = self.now();
         self.next_number += 1;
         let id = RequestId { life: self.terms.hello.life, number: self.next_number };
-        self.waiting.insert(id, asked.reply);
+        self.waiting.insert(id, submission.reply);
         let request = Request {
             id,
-            content: asked.content,
-            repeatable: asked.repeatable,
-            deadline: now.plus_ms(asked.deadline_ms),
+            content: submission.content,
+            repeatable: submission.repeatable,
+            deadline: now.plus_ms(submission.deadline_ms),
         };
         self.router.request(now, request);
     }
@@ -143,16 +143,16 @@
             return;
         }
         let closed = self.waiting.iter().filter(|(_, reply)| reply.is_closed());
-        let gone: Vec<RequestId> = closed.map(|(id, _)| *id).collect();
-        gone.into_iter().for_each(|id| self.router.caller_left(now, id));
+        let disconnected: Vec<RequestId> = closed.map(|(id, _)| *id).collect();
+        disconnected.into_iter().for_each(|id| self.router.caller_left(now, id));
         self.metrics.gauge("requests.under_way", self.router.under_way() as u64);
         self.metrics.gauge("configuration.version", self.router.version());
     }
 
     fn event(&mut self, event: Event) {
         if self.control.owns(event.link) {
-            if let Some(told) = self.control.event(event) {
-                self.told(told);
+            if let Some(notification) = self.control.event(event) {
+                self.notified(notification);
             }
             return;
         }
@@ -187,9 +187,9 @@
         }
     }
 
-    fn told(&mut self, told: Notification) {
+    fn notified(&mut self, notification: Notification) {
         let now = self.now();
-        match told {
+        match notification {
             Notification::View(delta) => {
                 let version = delta.to;
                 if self.router.apply_view(now, delta) {
@@ -204,22 +204,22 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_outputs(&mut self) {
         loop {
             let outputs = self.router.take_outputs();
             if outputs.is_empty() {
                 return;
             }
-            outputs.into_iter().for_each(|output| self.output(output));
+            outputs.into_iter().for_each(|output| self.execute(output));
         }
     }
 
-    fn output(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Offer { process, offer } => {
-                let name = OfferId { id: offer.id, attempt: offer.attempt };
+                let offer_id = OfferId { id: offer.id, attempt: offer.attempt };
                 if !self.send(process, Body::Offer(offer)) {
-                    self.router.offer_not_sent(self.now(), name);
+                    self.router.offer_not_sent(self.now(), offer_id);
                 }
             }
             Output::Revoke { process, offer } => {
@@ -238,32 +238,32 @@
             Output::Finish { id, finish } => self.finish(id, finish),
             Output::Connect { process, address } => self.connect(process, &address),
             Output::Disconnect { process } => {
-                if let Some(link) = self.links.remove(&key(process)) {
-                    link.dialler.abort();
+                if let Some(link) = self.links.remove(&link_key(process)) {
+                    link.dial_task.abort();
                 }
             }
         }
     }
 
     fn send(&self, process: ProcessKey, body: Body) -> bool {
-        let link = self.links.get(&key(process));
+        let link = self.links.get(&link_key(process));
         link.and_then(|link| link.sender.as_ref()).is_some_and(|sender| sender.send(body))
     }
 
     fn connect(&mut self, process: ProcessKey, address: &str) {
         let Ok(address) = address.parse() else { return };
         let (terms, events) = (self.terms.clone(), self.events.clone());
-        let dialler = tokio::spawn(dial(address, key(process), terms, events));
-        self.links.insert(key(process), ProcessLink { process, sender: None, dialler });
+        let dial_task = tokio::spawn(dial(address, link_key(process), terms, events));
+        self.links.insert(link_key(process), ProcessLink { process, sender: None, dial_task });
     }
 
     fn finish(&mut self, id: RequestId, finish: Finish) {
         self.metrics.count(&format!("requests.{}", finish.outcome()), 1);
         match &finish {
             Finish::Unknown => event!(self.log, REQUEST_UNKNOWN, "request" => id.number),
-            Finish::NotRun(why) => {
-                let why = format!("{why:?}");
-                event!(self.log, REQUEST_NOT_RUN, "request" => id.number, "why" => why);
+            Finish::NotRun(reason) => {
+                let reason = format!("{reason:?}");
+                event!(self.log, REQUEST_NOT_RUN, "request" => id.number, "why" => reason);
             }
             Finish::Answered(_) => {}
         }
@@ -273,6 +273,6 @@
     }
 }
 
-fn key(process: ProcessKey) -> LinkKey {
+fn link_key(process: ProcessKey) -> LinkKey {
     LinkKey(FIRST_PROCESS_LINK + u64::from(process.0))
 }
