--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -119,7 +119,7 @@
     fn tick(&mut self) {
         let now = self.now();
         self.admission.tick(now);
-        self.control.ack(self.admission.version(), self.admission.drained());
+        self.control.acknowledge(self.admission.version(), self.admission.drained());
     }
 
     fn event(&mut self, event: Event) {
@@ -152,9 +152,9 @@
         let version = delta.to;
         if self.admission.apply_view(self.now(), delta) {
             event!(self.log, VIEW_IN_FORCE, "version" => version);
-            self.control.ack(self.admission.version(), self.admission.drained());
+            self.control.acknowledge(self.admission.version(), self.admission.drained());
         } else {
-            self.control.ask_all();
+            self.control.request_full_view();
         }
     }
 
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -194,9 +194,9 @@
                 let version = delta.to;
                 if self.router.apply_view(now, delta) {
                     event!(self.log, VIEW_IN_FORCE, "version" => version);
-                    self.control.ack(self.router.version(), Vec::new());
+                    self.control.acknowledge(self.router.version(), Vec::new());
                 } else {
-                    self.control.ask_all();
+                    self.control.request_full_view();
                 }
             }
             Notification::Claim(tell) => self.router.claim_decided(now, tell),
@@ -230,11 +230,11 @@
             }
             Output::Claim(ask) => {
                 let ticket = ask.ticket;
-                if !self.control.to_leader(Body::ClaimAsk(ask)) {
+                if !self.control.send_to_leader(Body::ClaimAsk(ask)) {
                     self.router.claim_failed(self.now(), ticket);
                 }
             }
-            Output::EndClaim(end) => self.control.to_leader_later(Body::ClaimEnd(end)),
+            Output::EndClaim(end) => self.control.send_to_leader_eventually(Body::ClaimEnd(end)),
             Output::Finish { id, finish } => self.finish(id, finish),
             Output::Connect { process, address } => self.connect(process, &address),
             Output::Disconnect { process } => {
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -1,4 +1,4 @@
-//! The links to the control replicas.
+//! Links to the control replicas.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,27 +11,27 @@
 use pond_settings::Replica;
 use tokio::sync::mpsc;
 
-/// Time between heartbeats to control. Each process has a link to each replica, so they are few.
+/// Interval between heartbeats to control. It is long because each process has a link to each replica.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Silence after which a link to control is lost.
+/// Time without any frame after which a link to control counts as lost.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// Frames for the leader that are kept while there is none.
-const KEPT: usize = 4096;
+/// Maximum number of frames for the leader that are kept while there is none.
+const MAX_DEFERRED: usize = 4096;
 
-/// What control tells a process.
+/// A notification from control to a process.
 #[derive(Debug)]
 pub enum Notification {
-    /// A step of the configuration.
+    /// An update of the configuration.
     View(Delta),
     /// The decision on a claim.
     Claim(ClaimTell),
-    /// Claims that were asked so far are not answered any more.
+    /// The leader was lost or has changed: claims sent so far will not be decided.
     LeaderLost,
 }
 
-/// One replica.
+/// A control replica and the link to it.
 #[derive(Debug)]
 struct Peer {
     address: String,
@@ -39,28 +39,28 @@
     sender: Option<Sender>,
 }
 
-/// The links to the control replicas. Their keys are 0, 1, 2 and so on.
+/// The links to the control replicas, with the keys 0, 1, 2 and so on.
 #[derive(Debug)]
 pub struct Control {
     peers: BTreeMap<LinkKey, Peer>,
     leader: Option<LinkKey>,
     term: u64,
     version: u64,
-    quiet: Vec<u64>,
-    kept: VecDeque<Body>,
+    drained: Vec<u64>,
+    deferred: VecDeque<Body>,
     log: Logger,
 }
 
 impl Control {
-    /// Starts to dial all replicas on the current runtime.
+    /// Starts connecting to all replicas, on the current Tokio runtime.
     pub fn start(
         replicas: &[Replica],
         terms: &Arc<Terms>,
         events: &mpsc::Sender<Event>,
         log: Logger,
     ) -> Control {
-        let calm = terms.as_ref().clone().with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
-        let terms = Arc::new(calm);
+        let slow = terms.as_ref().clone().with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
+        let terms = Arc::new(slow);
         let mut peers = BTreeMap::new();
         for (i, replica) in replicas.iter().enumerate() {
             let link = LinkKey(i as u64);
@@ -74,24 +74,24 @@
             leader: None,
             term: 0,
             version: 0,
-            quiet: Vec::new(),
-            kept: VecDeque::new(),
+            drained: Vec::new(),
+            deferred: VecDeque::new(),
             log,
         }
     }
 
-    /// Whether a link is one of these.
+    /// Returns whether `link` leads to a control replica.
     pub fn owns(&self, link: LinkKey) -> bool {
         self.peers.contains_key(&link)
     }
 
-    /// Takes in an event of one of these links.
+    /// Handles an event of one of these links.
     pub fn event(&mut self, event: Event) -> Option<Notification> {
         let link = event.link;
         match event.kind {
-            EventKind::Up { sender, .. } => self.up(link, sender),
-            EventKind::Down(error) => return self.down(link, &error),
-            EventKind::Frame(Body::Beat(beat)) => return self.beat(&beat.leader, beat.term),
+            EventKind::Up { sender, .. } => self.link_up(link, sender),
+            EventKind::Down(error) => return self.link_down(link, &error),
+            EventKind::Frame(Body::Beat(beat)) => return self.heartbeat(&beat.leader, beat.term),
             EventKind::Frame(Body::View(delta)) => return Some(Notification::View(delta)),
             EventKind::Frame(Body::ClaimTell(tell)) => return Some(Notification::Claim(tell)),
             EventKind::Frame(_) => {}
@@ -99,14 +99,14 @@
         None
     }
 
-    fn up(&mut self, link: LinkKey, sender: Sender) {
+    fn link_up(&mut self, link: LinkKey, sender: Sender) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         event!(self.log, LINK_UP, "peer" => peer.name.clone());
-        sender.send(Body::ViewAck(ViewAck { version: self.version, quiet: self.quiet.clone() }));
+        sender.send(Body::ViewAck(ViewAck { version: self.version, quiet: self.drained.clone() }));
         peer.sender = Some(sender);
     }
 
-    fn down(&mut self, link: LinkKey, error: &pond_link::Error) -> Option<Notification> {
+    fn link_down(&mut self, link: LinkKey, error: &pond_link::Error) -> Option<Notification> {
         let peer = self.peers.get_mut(&link)?;
         if peer.sender.take().is_some() {
             event!(self.log, LINK_DOWN, "peer" => peer.name.clone(), "why" => error.to_string());
@@ -118,8 +118,8 @@
         None
     }
 
-    /// A replica says who leads, in which term.
-    fn beat(&mut self, leader: &str, term: u64) -> Option<Notification> {
+    /// Handles a heartbeat, which names the leader and its term.
+    fn heartbeat(&mut self, leader: &str, term: u64) -> Option<Notification> {
         let found = self.peers.iter().find(|(_, peer)| peer.address == leader);
         let link = found.filter(|(_, peer)| peer.sender.is_some()).map(|(link, _)| *link);
         if term < self.term || link.is_none() {
@@ -129,53 +129,54 @@
         if link == self.leader {
             return None;
         }
-        let had = self.leader.is_some();
+        let had_leader = self.leader.is_some();
         self.leader = link;
-        for body in std::mem::take(&mut self.kept) {
-            self.to_leader(body);
+        for body in std::mem::take(&mut self.deferred) {
+            self.send_to_leader(body);
         }
-        had.then_some(Notification::LeaderLost)
+        had_leader.then_some(Notification::LeaderLost)
     }
 
-    /// Puts a frame on the leader's link; false if there is none or it is full.
-    pub fn to_leader(&self, body: Body) -> bool {
+    /// Sends a frame to the leader; returns false if there is no link to it or its queue is full.
+    pub fn send_to_leader(&self, body: Body) -> bool {
         let peer = self.leader.and_then(|link| self.peers.get(&link));
         peer.and_then(|peer| peer.sender.as_ref()).is_some_and(|sender| sender.send(body))
     }
 
-    /// Puts a frame on the leader's link, now or when there is one again.
+    /// Sends a frame to the leader, now or once there is a leader again.
     ///
-    /// The oldest are dropped beyond a limit, so only for what may be lost.
-    pub fn to_leader_later(&mut self, body: Body) {
-        if self.to_leader(body.clone()) {
+    /// Only for frames that may be lost: beyond [`MAX_DEFERRED`], the oldest are dropped.
+    pub fn send_to_leader_eventually(&mut self, body: Body) {
+        if self.send_to_leader(body.clone()) {
             return;
         }
-        self.kept.push_back(body);
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+        self.deferred.push_back(body);
+        if self.deferred.len() > MAX_DEFERRED {
+            self.deferred.pop_front();
         }
     }
 
-    /// Tells all replicas which version is in force here.
-    pub fn ack(&mut self, version: u64, quiet: Vec<u64>) {
-        if version == self.version && quiet == self.quiet {
+    /// Reports to all replicas the version in force here and the endpoints that are drained.
+    pub fn acknowledge(&mut self, version: u64, drained: Vec<u64>) {
+        if version == self.version && drained == self.drained {
             return;
         }
         self.version = version;
-        self.quiet = quiet;
-        self.tell(version);
+        self.drained = drained;
+        self.send_acknowledgement(version);
     }
 
-    /// Asks for the whole configuration, as a step of it is missing.
-    pub fn ask_all(&self) {
+    /// Requests the complete configuration, because an update of it is missing.
+    pub fn request_full_view(&self) {
         event!(self.log, VIEW_GAP, "version" => self.version);
-        self.tell(0);
+        self.send_acknowledgement(0);
     }
 
-    fn tell(&self, version: u64) {
+    /// Sends `version` to all replicas; zero requests the complete configuration.
+    fn send_acknowledgement(&self, version: u64) {
         for peer in self.peers.values() {
             if let Some(sender) = &peer.sender {
-                sender.send(Body::ViewAck(ViewAck { version, quiet: self.quiet.clone() }));
+                sender.send(Body::ViewAck(ViewAck { version, quiet: self.drained.clone() }));
             }
         }
     }
--- a/crates/pond-follow/src/lib.rs
+++ b/crates/pond-follow/src/lib.rs
@@ -1,8 +1,8 @@
-//! How entries and endpoint processes follow the control replicas.
+//! The connection of entries and endpoint processes to the control replicas.
 //!
-//! A process keeps a link to every control replica. The one that says it leads sends the
-//! configuration and takes claims. What is in force is acknowledged on every link, so that a new
-//! leader knows at once where each process stands.
+//! A process keeps a link to every control replica. The leader sends the configuration and decides
+//! claims. The version in force is acknowledged on every link, so that a new leader knows at once
+//! which version each process has.
 
 mod control;
 
