--- a/crates/pond-intake/src/dispatcher.rs
+++ b/crates/pond-intake/src/dispatcher.rs
@@ -1,187 +1,189 @@
-//! Requests that wait for the leader.
+//! Requests that wait for an answer of the leading control replica.
 
 use std::collections::BTreeMap;
 
 use pond_proto::fleet::{Ask, Outcome, Target, Tell, Verb};
 use pond_proto::{Millis, Span};
 
-/// How long after the leader was lost requests still wait for the next one, in milliseconds: about
-/// an election. Later ones are answer up at once, as longer waits would cost callers more than coming
-/// back.
-const LEADERLESS_MS: Span = 600;
+/// How long after the loss of the leader requests wait for the next one, in milliseconds: about the
+/// duration of an election. Later requests fail at once, as retrying costs callers less than a longer
+/// wait.
+const LEADER_WAIT_MS: Span = 600;
 
-/// Time before a request that the leader refused is sent again, in milliseconds: its lease on the lead
-/// may have lapsed for a moment, which a heartbeat mends.
-const AGAIN_MS: Span = 50;
+/// Delay before a request that the leader refused is sent again, in milliseconds. The leader's lease
+/// may have lapsed for a moment; its next heartbeat renews it.
+const RESEND_DELAY_MS: Span = 50;
 
-/// Requests that may wait; more are answer up at once, as control is overloaded: answers take
-/// milliseconds, so even one election at a thousand requests a second leaves fewer.
-const WAITING: usize = 2_000;
+/// Maximum number of waiting requests. Answers take milliseconds, so an election at a thousand requests
+/// a second leaves fewer than this. Beyond it, control is overloaded and requests fail at once.
+const MAX_WAITING: usize = 2_000;
 
-/// What a caller is told.
+/// The result of a request, as reported to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Control's answer.
+    /// The reply of control.
     Replied(Tell),
-    /// Surely nothing happened, and nothing will.
+    /// The request certainly did not run and will not run.
     NotRun,
-    /// It may have happened, or may still.
+    /// The request may have run, or may still run.
     Unknown,
 }
 
-/// What the shell does for the dispatcher.
+/// An action for the I/O layer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this to the leader.
+    /// Send a request to the leader, then call [`Dispatcher::sent`].
     Send(Ask),
-    /// Answer the caller with that ticket.
+    /// Answer the caller of a request.
     Answer {
-        /// The request's.
+        /// Ticket of the request.
         ticket: u64,
         /// The answer.
         answer: Answer,
     },
 }
 
-/// A request that waits.
+/// A request that waits for an answer.
 #[derive(Debug)]
 struct Waiting {
     ask: Ask,
-    /// It was sent to a replica that may have proposed it.
+    /// Whether it was sent to a replica, which may have proposed it.
     sent: bool,
-    until: Millis,
-    /// The leader refused it, as it could not be sure of its lead.
+    deadline: Millis,
+    /// Whether the leader refused it, as it could not be sure that it still leads.
     refused: bool,
-    /// When it is sent again.
-    again: Option<Millis>,
+    /// Time at which it is sent again.
+    resend_at: Option<Millis>,
 }
 
-/// All requests that wait, by their tickets.
+/// Sends requests to the leader and keeps track of those without an answer.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    next: u64,
+    next_ticket: u64,
     waiting: BTreeMap<u64, Waiting>,
-    leads: bool,
-    /// When the leader was lost.
-    lost: Millis,
+    has_leader: bool,
+    /// Time at which the leader was lost.
+    leader_lost_at: Millis,
     outputs: Vec<Output>,
 }
 
 impl Dispatcher {
-    /// No requests yet.
+    /// Creates a dispatcher without requests.
     pub fn new() -> Dispatcher {
         Dispatcher::default()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes in a request that may take `timeout_ms`; its ticket.
+    /// Adds a request that may take `timeout_ms`, and returns its ticket.
     pub fn request(&mut self, now: Millis, target: Target, verb: Verb, timeout_ms: Span) -> u64 {
-        self.next += 1;
-        let ticket = self.next;
-        if self.waiting.len() >= WAITING {
+        self.next_ticket += 1;
+        let ticket = self.next_ticket;
+        if self.waiting.len() >= MAX_WAITING {
             self.outputs.push(Output::Answer { ticket, answer: Answer::NotRun });
             return ticket;
         }
         let ask = Ask { ticket, target, verb: Some(verb) };
-        if self.leads {
+        if self.has_leader {
             self.outputs.push(Output::Send(ask.clone()));
         }
-        let until = now + timeout_ms;
-        self.waiting
-            .insert(ticket, Waiting { ask, sent: false, until, refused: false, again: None });
+        let deadline = now + timeout_ms;
+        self.waiting.insert(
+            ticket,
+            Waiting { ask, sent: false, deadline, refused: false, resend_at: None },
+        );
         ticket
     }
 
-    /// A request was put on the link, or could not be.
+    /// Reports whether a request could be sent.
     pub fn sent(&mut self, ticket: u64, sent: bool) {
         if !sent {
-            self.answer(ticket, Answer::Unknown);
+            self.complete(ticket, Answer::Unknown);
         } else if let Some(waiting) = self.waiting.get_mut(&ticket) {
             waiting.sent = true;
         }
     }
 
-    /// There is a leader that knows nothing of these requests. The same request may reach two
-    /// leaders; it stays one by its job's id.
+    /// Sends all waiting requests to a new leader, which knows none of them. A request may reach two
+    /// leaders; the job's ID ensures that it takes effect once.
     pub fn leader_up(&mut self) {
-        self.leads = true;
+        self.has_leader = true;
         for waiting in self.waiting.values_mut() {
-            (waiting.refused, waiting.again) = (false, None);
+            (waiting.refused, waiting.resend_at) = (false, None);
             self.outputs.push(Output::Send(waiting.ask.clone()));
         }
     }
 
-    /// There is no leader.
+    /// Handles the loss of the leader.
     pub fn leader_lost(&mut self, now: Millis) {
-        if std::mem::take(&mut self.leads) {
-            self.lost = now;
+        if std::mem::take(&mut self.has_leader) {
+            self.leader_lost_at = now;
         }
     }
 
-    /// The leader answers.
-    pub fn tell(&mut self, tell: Tell) {
-        // A replica that does not lead did nothing. It or the next leader is asked again.
+    /// Handles an answer of a replica.
+    pub fn answered(&mut self, tell: Tell) {
+        // A replica that does not lead has done nothing. The request is sent again.
         if tell.outcome() == Outcome::NotLeader {
             if let Some(waiting) = self.waiting.get_mut(&tell.ticket) {
                 waiting.refused = true;
             }
             return;
         }
-        self.answer(tell.ticket, Answer::Replied(tell));
+        self.complete(tell.ticket, Answer::Replied(tell));
     }
 
-    fn answer(&mut self, ticket: u64, answer: Answer) {
+    fn complete(&mut self, ticket: u64, answer: Answer) {
         let Some(waiting) = self.waiting.remove(&ticket) else { return };
-        // What is answered must not be sent any more.
+        // An answered request must not be sent any more.
         let sends = |output: &Output| matches!(output, Output::Send(ask) if ask.ticket == ticket);
         self.outputs.retain(|output| !sends(output));
-        // Only looking changes nothing, wherever it was sent.
-        let harmless = matches!(waiting.ask.verb, Some(Verb::Look(_) | Verb::Count(_)));
+        // Read-only requests change nothing, whether or not they were sent.
+        let read_only = matches!(waiting.ask.verb, Some(Verb::Look(_) | Verb::Count(_)));
         let answer = match answer {
-            Answer::Unknown if harmless || !waiting.sent => Answer::NotRun,
+            Answer::Unknown if read_only || !waiting.sent => Answer::NotRun,
             answer => answer,
         };
         self.outputs.push(Output::Answer { ticket, answer });
     }
 
-    /// Gives up what has waited too long, and hands out what the shell must do.
+    /// Answers requests that have waited too long, and returns the pending actions for the I/O layer.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
-        let leaderless = !self.leads && now.since(self.lost) >= LEADERLESS_MS;
-        let over = |waiting: &&Waiting| leaderless || now >= waiting.until;
-        let over: Vec<u64> =
-            self.waiting.values().filter(over).map(|waiting| waiting.ask.ticket).collect();
-        for ticket in over {
-            self.answer(ticket, Answer::Unknown);
+        let leaderless = !self.has_leader && now.since(self.leader_lost_at) >= LEADER_WAIT_MS;
+        let expired = |waiting: &&Waiting| leaderless || now >= waiting.deadline;
+        let expired: Vec<u64> =
+            self.waiting.values().filter(expired).map(|waiting| waiting.ask.ticket).collect();
+        for ticket in expired {
+            self.complete(ticket, Answer::Unknown);
         }
-        self.send_refused_again(now);
+        self.resend_refused(now);
         std::mem::take(&mut self.outputs)
     }
 
-    fn send_refused_again(&mut self, now: Millis) {
+    fn resend_refused(&mut self, now: Millis) {
         for waiting in self.waiting.values_mut().filter(|waiting| waiting.refused) {
-            let due = *waiting.again.get_or_insert(now + AGAIN_MS);
-            if self.leads && now >= due {
-                (waiting.refused, waiting.again) = (false, None);
+            let due = *waiting.resend_at.get_or_insert(now + RESEND_DELAY_MS);
+            if self.has_leader && now >= due {
+                (waiting.refused, waiting.resend_at) = (false, None);
                 self.outputs.push(Output::Send(waiting.ask.clone()));
             }
         }
     }
 
-    /// When something is due without any further input.
+    /// Returns when [`Dispatcher::tick`] is next due if there is no other input.
     pub fn due(&self) -> Option<Millis> {
         let due = |waiting: &Waiting| {
-            let leaderless = (!self.leads).then_some(self.lost + LEADERLESS_MS);
-            let soonest = leaderless.map_or(waiting.until, |due| due.min(waiting.until));
-            waiting.again.map_or(soonest, |again| again.min(soonest))
+            let leaderless = (!self.has_leader).then_some(self.leader_lost_at + LEADER_WAIT_MS);
+            let soonest = leaderless.map_or(waiting.deadline, |due| due.min(waiting.deadline));
+            waiting.resend_at.map_or(soonest, |resend_at| resend_at.min(soonest))
         };
         self.waiting.values().map(due).min()
     }
--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -1,4 +1,4 @@
-//! The shell around the dispatcher.
+//! The I/O layer around the dispatcher.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 
 use crate::dispatcher::{Answer, Dispatcher, Output};
 
-/// Inputs that may wait for the dispatcher: twice the requests that the dispatcher itself lets wait.
-const QUEUE: usize = 4096;
+/// Maximum number of queued inputs: twice the number of requests that the dispatcher lets wait.
+const MAX_QUEUED_INPUTS: usize = 4096;
 
-/// Longest time between looks at what is due, in milliseconds.
-const TICK_MS: u64 = 250;
+/// Longest interval between checks for due work, in milliseconds.
+const MAX_TICK_MS: u64 = 250;
 
-/// An entry stays ready for this long without a leader, in milliseconds: an election is no reason
-/// to send callers elsewhere, as all entries wait for the same one.
-const READY_WITHOUT_MS: Span = 3_000;
+/// How long an entry stays ready without a leader, in milliseconds. Sending callers to other entries
+/// during an election does not help, as all entries wait for the same one.
+const READY_WITHOUT_LEADER_MS: Span = 3_000;
 
-/// Something that the dispatcher is asked or told.
+/// An input from a [`Handle`].
 enum Input {
     Request { target: Target, verb: Verb, timeout_ms: Span, reply: oneshot::Sender<Answer> },
     AddAddresses(Vec<String>),
 }
 
-/// Hands requests in.
+/// Submits requests to a running [`Intake`].
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::Sender<Input>,
@@ -41,7 +41,7 @@
 }
 
 impl Handle {
-    /// Hands a request to the leader and waits for what became of it.
+    /// Sends a request to the leader and waits for its result.
     pub async fn request(&self, target: Target, verb: Verb, timeout_ms: Span) -> Answer {
         let (reply, answer) = oneshot::channel();
         if self.inputs.send(Input::Request { target, verb, timeout_ms, reply }).await.is_err() {
@@ -50,18 +50,18 @@
         answer.await.unwrap_or(Answer::Unknown)
     }
 
-    /// Whether requests can be served: a leader with a configuration was reached not long ago.
+    /// Returns whether requests can be served: a leader with a configuration was reached recently.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Further addresses of control replicas.
+    /// Adds addresses of control replicas; returns false if the intake has ended.
     pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
         self.inputs.send(Input::AddAddresses(addresses)).await.is_ok()
     }
 }
 
-/// Runs the dispatcher.
+/// Runs the dispatcher with the links to control.
 pub struct Intake {
     dispatcher: Dispatcher,
     uplink: Uplink,
@@ -69,23 +69,23 @@
     inputs: mpsc::Receiver<Input>,
     replies: BTreeMap<u64, oneshot::Sender<Answer>>,
     ready: Arc<AtomicBool>,
-    /// A leader with a configuration was reached once.
+    /// Whether a leader with a configuration has been reached.
     configured: bool,
-    /// When there was last a leader.
-    led: Millis,
+    /// Time at which there was last a leader.
+    last_leader_at: Millis,
     clock: Clock,
     log: Logger,
 }
 
 impl Intake {
-    /// A dispatcher that reaches control through `uplink`, whose events come through `links`.
+    /// Creates an intake that reaches control through `uplink`, whose events come through `links`.
     pub fn new(
         uplink: Uplink,
         links: mpsc::Receiver<Event>,
         clock: Clock,
         log: Logger,
     ) -> (Intake, Handle) {
-        let (sender, inputs) = mpsc::channel(QUEUE);
+        let (sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
         let ready = Arc::new(AtomicBool::new(false));
         let handle = Handle { inputs: sender, ready: ready.clone() };
         let intake = Intake {
@@ -96,7 +96,7 @@
             replies: BTreeMap::new(),
             ready,
             configured: false,
-            led: Millis(0),
+            last_leader_at: Millis(0),
             clock,
             log,
         };
@@ -107,25 +107,25 @@
         self.clock.now()
     }
 
-    /// Runs until all handles are gone or it is cut short.
+    /// Runs until all handles are dropped or the future is cancelled.
     pub async fn run(mut self) {
         loop {
             let now = self.now();
             self.uplink.tick(now);
-            self.carry_out(now);
-            self.judge_ready(now);
+            self.execute_outputs(now);
+            self.update_ready(now);
             let due = self.dispatcher.due().into_iter().chain(self.uplink.due()).min();
-            let due = due.map_or(TICK_MS, |due| due.since(now));
+            let due = due.map_or(MAX_TICK_MS, |due| due.since(now));
             tokio::select! {
-                Some(event) = self.links.recv() => self.link(event),
+                Some(event) = self.links.recv() => self.link_event(event),
                 input = self.inputs.recv() => match input {
                     Some(input) => self.input(input),
                     None => return,
                 },
-                () = sleep(Duration::from_millis(due.clamp(1, TICK_MS))) => {}
+                () = sleep(Duration::from_millis(due.clamp(1, MAX_TICK_MS))) => {}
             }
             while let Ok(event) = self.links.try_recv() {
-                self.link(event);
+                self.link_event(event);
             }
             while let Ok(input) = self.inputs.try_recv() {
                 self.input(input);
@@ -133,14 +133,14 @@
         }
     }
 
-    fn link(&mut self, event: Event) {
+    fn link_event(&mut self, event: Event) {
         let now = self.now();
         if let Some(told) = self.uplink.event(now, event) {
-            self.told(now, told);
+            self.notified(now, told);
         }
     }
 
-    fn told(&mut self, now: Millis, told: Told) {
+    fn notified(&mut self, now: Millis, told: Told) {
         match told {
             Told::Leader { configured, new, .. } => {
                 self.configured |= configured;
@@ -149,10 +149,10 @@
                 }
             }
             Told::Lost => {
-                self.led = now;
+                self.last_leader_at = now;
                 self.dispatcher.leader_lost(now);
             }
-            Told::Frame(Body::Tell(tell)) => self.dispatcher.tell(tell),
+            Told::Frame(Body::Tell(tell)) => self.dispatcher.answered(tell),
             Told::Frame(_) => {}
         }
     }
@@ -167,17 +167,17 @@
         }
     }
 
-    fn carry_out(&mut self, now: Millis) {
+    fn execute_outputs(&mut self, now: Millis) {
         for output in self.dispatcher.tick(now) {
-            self.output(output);
+            self.execute(output);
         }
-        // What could not be sent is answered at once.
+        // Requests that could not be sent are answered at once.
         for output in self.dispatcher.tick(now) {
-            self.output(output);
+            self.execute(output);
         }
     }
 
-    fn output(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Send(ask) => {
                 let ticket = ask.ticket;
@@ -186,18 +186,19 @@
             }
             Output::Answer { ticket, answer } => {
                 if let Some(reply) = self.replies.remove(&ticket) {
-                    // The caller may have left.
+                    // The caller may have disconnected.
                     let _ = reply.send(answer);
                 }
             }
         }
     }
 
-    fn judge_ready(&mut self, now: Millis) {
+    fn update_ready(&mut self, now: Millis) {
         if self.uplink.leads() {
-            self.led = now;
+            self.last_leader_at = now;
         }
-        let recent = self.uplink.leads() || now.since(self.led) < READY_WITHOUT_MS;
+        let recent =
+            self.uplink.leads() || now.since(self.last_leader_at) < READY_WITHOUT_LEADER_MS;
         let ready = self.configured && recent;
         if self.ready.swap(ready, Ordering::Relaxed) != ready {
             event!(self.log, READY, "ready" => ready, "leader" => self.uplink.leads(),
--- a/crates/pond-intake/src/lib.rs
+++ b/crates/pond-intake/src/lib.rs
@@ -1,7 +1,7 @@
-//! Callers' requests about jobs, handed to the leading control replica.
+//! Sends callers' requests about jobs to the leading control replica.
 //!
-//! [`Dispatcher`] is pure. It tells apart requests that surely did not run, because they were never sent
-//! or the replica refused them before proposing anything, from those whose fate is unknown.
+//! [`Dispatcher`] is a pure state machine. It distinguishes requests that certainly did not run,
+//! because they were never sent or change nothing, from those whose result is unknown.
 
 mod dispatcher;
 mod intake;
--- a/crates/pond-intake/tests/dispatcher.rs
+++ b/crates/pond-intake/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! "Not run" must be true: it is said only where nothing was sent, or the request changes nothing.
+//! "Not run" must be true: it is reported only if nothing was sent or the request changes nothing.
 
 use pond_intake::{Answer, Dispatcher, Output};
 use pond_proto::Millis;
@@ -17,8 +17,8 @@
     Tell { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
 }
 
-/// A dispatcher that puts all it can on the link.
-struct Bench {
+/// A dispatcher whose requests go to a simulated link.
+struct Harness {
     dispatcher: Dispatcher,
     now: Millis,
     sent: usize,
@@ -26,22 +26,22 @@
     link_full: bool,
 }
 
-impl Bench {
-    fn new(led: bool) -> Bench {
+impl Harness {
+    fn new(has_leader: bool) -> Harness {
         let mut dispatcher = Dispatcher::new();
-        if led {
+        if has_leader {
             dispatcher.leader_up();
         }
-        Bench { dispatcher, now: Millis(1_000), sent: 0, answers: vec![], link_full: false }
+        Harness { dispatcher, now: Millis(1_000), sent: 0, answers: vec![], link_full: false }
     }
 
-    fn ask(&mut self, verb: Verb) -> u64 {
+    fn request(&mut self, verb: Verb) -> u64 {
         let ticket = self.dispatcher.request(self.now, Target::default(), verb, 2_000);
-        self.pass(0);
+        self.advance(0);
         ticket
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + ms;
         for _ in 0..2 {
             for output in self.dispatcher.tick(self.now) {
@@ -58,117 +58,117 @@
 }
 
 #[test]
-fn request_without_a_leader_did_not_run_and_is_answered_soon() {
-    let mut bench = Bench::new(false);
-    bench.ask(submit());
-    bench.pass(900);
-    assert_eq!(bench.answers, [Answer::NotRun]);
+fn request_without_a_leader_is_soon_answered_as_not_run() {
+    let mut harness = Harness::new(false);
+    harness.request(submit());
+    harness.advance(900);
+    assert_eq!(harness.answers, [Answer::NotRun]);
 }
 
 #[test]
-fn request_that_was_sent_and_lost_its_leader_is_unknown() {
-    let mut bench = Bench::new(true);
-    bench.ask(submit());
-    bench.dispatcher.leader_lost(bench.now);
-    bench.pass(900);
-    assert_eq!(bench.answers, [Answer::Unknown]);
+fn sent_request_whose_leader_is_lost_is_unknown() {
+    let mut harness = Harness::new(true);
+    harness.request(submit());
+    harness.dispatcher.leader_lost(harness.now);
+    harness.advance(900);
+    assert_eq!(harness.answers, [Answer::Unknown]);
 }
 
 #[test]
-fn request_goes_to_the_next_leader() {
-    let mut bench = Bench::new(true);
-    let ticket = bench.ask(submit());
-    bench.dispatcher.leader_lost(bench.now);
-    bench.dispatcher.leader_up();
-    bench.pass(1);
-    bench.dispatcher.tell(tell(ticket, Outcome::Accepted));
-    bench.pass(1);
-    assert_eq!(bench.sent, 2);
-    assert!(matches!(&bench.answers[..], [Answer::Replied(_)]));
+fn request_is_sent_to_the_next_leader() {
+    let mut harness = Harness::new(true);
+    let ticket = harness.request(submit());
+    harness.dispatcher.leader_lost(harness.now);
+    harness.dispatcher.leader_up();
+    harness.advance(1);
+    harness.dispatcher.answered(tell(ticket, Outcome::Accepted));
+    harness.advance(1);
+    assert_eq!(harness.sent, 2);
+    assert!(matches!(&harness.answers[..], [Answer::Replied(_)]));
 }
 
 #[test]
-fn request_that_was_sent_once_stays_unknown_when_the_next_link_is_full() {
-    let mut bench = Bench::new(true);
-    bench.ask(submit());
-    bench.dispatcher.leader_lost(bench.now);
-    bench.link_full = true;
-    bench.dispatcher.leader_up();
-    bench.pass(1);
-    assert_eq!(bench.answers, [Answer::Unknown]);
+fn sent_request_stays_unknown_when_the_next_link_is_full() {
+    let mut harness = Harness::new(true);
+    harness.request(submit());
+    harness.dispatcher.leader_lost(harness.now);
+    harness.link_full = true;
+    harness.dispatcher.leader_up();
+    harness.advance(1);
+    assert_eq!(harness.answers, [Answer::Unknown]);
 }
 
 #[test]
-fn request_that_was_never_sent_did_not_run_when_the_link_is_full() {
-    let mut bench = Bench::new(true);
-    bench.link_full = true;
-    bench.ask(submit());
-    assert_eq!(bench.answers, [Answer::NotRun]);
+fn request_that_does_not_fit_on_the_link_is_answered_as_not_run() {
+    let mut harness = Harness::new(true);
+    harness.link_full = true;
+    harness.request(submit());
+    assert_eq!(harness.answers, [Answer::NotRun]);
 }
 
 #[test]
-fn refusal_of_a_replica_that_does_not_lead_is_not_the_answer() {
-    let mut bench = Bench::new(true);
-    let ticket = bench.ask(submit());
-    bench.dispatcher.tell(tell(ticket, Outcome::NotLeader));
-    bench.pass(1);
-    assert!(bench.answers.is_empty());
+fn refusal_by_a_replica_that_does_not_lead_is_not_passed_on() {
+    let mut harness = Harness::new(true);
+    let ticket = harness.request(submit());
+    harness.dispatcher.answered(tell(ticket, Outcome::NotLeader));
+    harness.advance(1);
+    assert!(harness.answers.is_empty());
 }
 
 #[test]
-fn looking_changes_nothing_so_it_never_is_unknown() {
-    let mut bench = Bench::new(true);
-    bench.ask(look());
-    bench.pass(2_000);
-    assert_eq!(bench.answers, [Answer::NotRun]);
+fn read_only_request_is_never_unknown() {
+    let mut harness = Harness::new(true);
+    harness.request(look());
+    harness.advance(2_000);
+    assert_eq!(harness.answers, [Answer::NotRun]);
 }
 
 #[test]
-fn request_out_of_time_is_answered_once() {
-    let mut bench = Bench::new(true);
-    let ticket = bench.ask(submit());
-    bench.pass(2_000);
-    bench.dispatcher.tell(tell(ticket, Outcome::Accepted));
-    bench.pass(1);
-    assert_eq!(bench.answers, [Answer::Unknown]);
+fn expired_request_is_answered_once() {
+    let mut harness = Harness::new(true);
+    let ticket = harness.request(submit());
+    harness.advance(2_000);
+    harness.dispatcher.answered(tell(ticket, Outcome::Accepted));
+    harness.advance(1);
+    assert_eq!(harness.answers, [Answer::Unknown]);
 }
 
 #[test]
-fn overload_is_refused_at_once() {
-    let mut bench = Bench::new(true);
+fn requests_beyond_the_limit_are_answered_as_not_run_at_once() {
+    let mut harness = Harness::new(true);
     for _ in 0..2_001 {
-        bench.ask(submit());
+        harness.request(submit());
     }
-    assert_eq!(bench.answers, [Answer::NotRun]);
+    assert_eq!(harness.answers, [Answer::NotRun]);
 }
 
 #[test]
-fn request_that_is_given_up_is_not_sent_afterwards() {
-    // The process stood still, and finds a leader and the end of its patience at the same moment.
-    let mut bench = Bench::new(false);
-    bench.ask(submit());
-    bench.dispatcher.leader_up();
-    bench.pass(5_000);
-    assert_eq!((bench.sent, &bench.answers[..]), (0, &[Answer::NotRun][..]));
+fn expired_request_is_not_sent_afterwards() {
+    // The process was paused: it finds a leader and an expired request at the same moment.
+    let mut harness = Harness::new(false);
+    harness.request(submit());
+    harness.dispatcher.leader_up();
+    harness.advance(5_000);
+    assert_eq!((harness.sent, &harness.answers[..]), (0, &[Answer::NotRun][..]));
 }
 
 #[test]
-fn request_long_after_the_leader_was_lost_is_refused_at_once() {
-    let mut bench = Bench::new(true);
-    bench.dispatcher.leader_lost(bench.now);
-    bench.pass(5_000);
-    bench.ask(submit());
-    assert_eq!(bench.answers, [Answer::NotRun]);
+fn request_long_after_the_loss_of_the_leader_is_answered_as_not_run_at_once() {
+    let mut harness = Harness::new(true);
+    harness.dispatcher.leader_lost(harness.now);
+    harness.advance(5_000);
+    harness.request(submit());
+    assert_eq!(harness.answers, [Answer::NotRun]);
 }
 
 #[test]
-fn request_that_a_leader_refuses_for_a_moment_is_asked_again() {
-    let mut bench = Bench::new(true);
-    let ticket = bench.ask(submit());
-    bench.dispatcher.tell(tell(ticket, Outcome::NotLeader));
-    bench.pass(1);
-    bench.pass(100);
-    assert_eq!(bench.sent, 2);
-    bench.pass(100);
-    assert_eq!(bench.sent, 2);
+fn request_that_the_leader_refuses_is_sent_again_once() {
+    let mut harness = Harness::new(true);
+    let ticket = harness.request(submit());
+    harness.dispatcher.answered(tell(ticket, Outcome::NotLeader));
+    harness.advance(1);
+    harness.advance(100);
+    assert_eq!(harness.sent, 2);
+    harness.advance(100);
+    assert_eq!(harness.sent, 2);
 }
