--- a/crates/pond-http/src/call.rs
+++ b/crates/pond-http/src/call.rs
@@ -1,11 +1,11 @@
-//! Requests and answers with their whole bodies.
+//! Requests and answers with complete bodies.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
@@ -14,14 +14,14 @@
     pub path: String,
     /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Who sent it, where a server knows it.
+    /// Address of the sender, if a server received the request and the connection still had one.
     pub peer: Option<SocketAddr>,
 }
 
 impl Call {
-    /// A request without headers.
+    /// Creates a request without headers.
     pub fn new(method: Method, path: &str, body: impl Into<Bytes>) -> Call {
         Call {
             method,
@@ -32,36 +32,36 @@
         }
     }
 
-    /// Says that the body is JSON.
+    /// Sets the content type to JSON.
     pub fn with_json(mut self) -> Call {
         self.headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         self
     }
 
-    /// A header's value as text.
+    /// Returns the value of a header, if it is there and is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// An answer with its whole body.
+/// An answer with its complete body.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// An answer without headers.
+    /// Creates an answer without headers.
     pub fn new(status: StatusCode, body: impl Into<Bytes>) -> Reply {
         Reply { status, headers: HeaderMap::new(), body: body.into() }
     }
 
-    /// An answer in JSON.
+    /// Creates an answer with a JSON body.
     pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Reply {
         let body = serde_json::to_vec(value).unwrap_or_default();
         let json = HeaderValue::from_static("application/json");
@@ -74,7 +74,7 @@
         self
     }
 
-    /// A header's value as text.
+    /// Returns the value of a header, if it is there and is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
--- a/crates/pond-http/src/client.rs
+++ b/crates/pond-http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps connections and knows whether a request was sent.
+//! An HTTP client that reuses connections and reports whether a request was sent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,18 +17,18 @@
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Idle connections kept for one address.
-const IDLE_KEPT: usize = 64;
+/// Maximum number of idle connections for one address.
+const MAX_IDLE: usize = 64;
 
-/// Largest answer, in bytes, unless set otherwise.
-const ANSWER_BYTES: usize = 8 << 20;
+/// Default for the largest answer, in bytes.
+const DEFAULT_MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// A client for plain HTTP/1.1 to addresses of the form `ip:port`.
 #[derive(Clone, Debug)]
 pub struct Client {
     idle: Arc<Mutex<BTreeMap<String, Vec<Connection>>>>,
-    answer_bytes: usize,
-    connect: Duration,
+    max_answer_bytes: usize,
+    connect_timeout: Duration,
 }
 
 impl Default for Client {
@@ -38,70 +38,70 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new() -> Client {
-        let connect = Duration::from_secs(2);
-        Client { idle: Arc::default(), answer_bytes: ANSWER_BYTES, connect }
+        let connect_timeout = Duration::from_secs(2);
+        Client { idle: Arc::default(), max_answer_bytes: DEFAULT_MAX_ANSWER_BYTES, connect_timeout }
     }
 
-    /// Limits the size of answers, in bytes.
+    /// Sets the largest answer, in bytes.
     pub fn with_max_answer_bytes(mut self, bytes: usize) -> Client {
-        self.answer_bytes = bytes;
+        self.max_answer_bytes = bytes;
         self
     }
 
-    /// Sends a request and waits for the whole answer, for at most `patience`.
+    /// Sends a request and waits for the complete answer, for at most `max_wait`.
     ///
-    /// A request on a kept connection that turns out to be closed is sent again on a new one, but
-    /// only while nothing of it was written.
+    /// If an idle connection turns out to be closed, the request is sent again on a new one, but only
+    /// if nothing of it was written.
     ///
     /// # Errors
-    /// [`Error::NotSent`] if it surely did not run, [`Error::Broken`] if it may have.
+    /// [`Error::NotSent`] if the request certainly did not run, [`Error::Broken`] if it may have run.
     pub async fn call(
         &self,
         address: &str,
         call: Call,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Reply, Error> {
         let exchange = self.exchange(address, call);
-        match timeout(patience, exchange).await {
+        match timeout(max_wait, exchange).await {
             Ok(result) => result,
             Err(_) => {
-                self.forget(address);
-                Err(broken(address, format!("nothing within {} ms", patience.as_millis())))
+                self.drop_idle(address);
+                Err(broken(address, format!("no answer within {} ms", max_wait.as_millis())))
             }
         }
     }
 
-    /// Drops the kept connections to an address. Where one fell silent, the others may have, too,
-    /// and each would cost a call its whole patience.
-    fn forget(&self, address: &str) {
+    /// Drops the idle connections to an address. If one stopped answering without a reset, the others
+    /// may have, too, and each would make a call wait for its full timeout.
+    fn drop_idle(&self, address: &str) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(address);
     }
 
     async fn exchange(&self, address: &str, call: Call) -> Result<Reply, Error> {
         let mut request = request(address, call)?;
         loop {
-            let kept = self.take(address);
-            let fresh = kept.is_none();
-            let mut connection = match kept {
+            let reused = self.take_idle(address);
+            let new = reused.is_none();
+            let mut connection = match reused {
                 Some(connection) => connection,
                 None => self.open(address).await?,
             };
             if connection.ready().await.is_err() {
-                if fresh {
-                    return Err(not_sent(address, "the connection closed at once"));
+                if new {
+                    return Err(not_sent(address, "the connection was closed at once"));
                 }
                 continue;
             }
             match connection.try_send_request(request).await {
                 Ok(response) => {
                     let reply = self.read(address, response).await?;
-                    self.keep(address, connection);
+                    self.return_idle(address, connection);
                     return Ok(reply);
                 }
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) if !fresh => request = unsent,
+                    Some(unsent) if !new => request = unsent,
                     Some(_) => return Err(not_sent(address, error.error())),
                     None => return Err(broken(address, error.error())),
                 },
@@ -115,29 +115,29 @@
         response: http::Response<hyper::body::Incoming>,
     ) -> Result<Reply, Error> {
         let (parts, body) = response.into_parts();
-        let whole = Limited::new(body, self.answer_bytes).collect().await;
-        let body = whole.map_err(|error| broken(address, error))?.to_bytes();
+        let collected = Limited::new(body, self.max_answer_bytes).collect().await;
+        let body = collected.map_err(|error| broken(address, error))?.to_bytes();
         Ok(Reply { status: parts.status, headers: parts.headers, body })
     }
 
     async fn open(&self, address: &str) -> Result<Connection, Error> {
         let parsed: SocketAddr =
-            address.parse().map_err(|_| not_sent(address, "this is no ip:port"))?;
-        let connecting = timeout(self.connect, TcpStream::connect(parsed)).await;
+            address.parse().map_err(|_| not_sent(address, "invalid address, expected ip:port"))?;
+        let connecting = timeout(self.connect_timeout, TcpStream::connect(parsed)).await;
         let stream = connecting
-            .map_err(|_| not_sent(address, "no connection in time"))?
+            .map_err(|_| not_sent(address, "connecting timed out"))?
             .map_err(|error| not_sent(address, error))?;
         stream.set_nodelay(true).map_err(|error| not_sent(address, error))?;
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|error| not_sent(address, error))?;
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|error| not_sent(address, error))?;
         tokio::spawn(async move {
-            // An error here ends the request that was under way, which reports it.
+            // An error ends the request in progress on this connection, which reports it.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    fn take(&self, address: &str) -> Option<Connection> {
+    fn take_idle(&self, address: &str) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(address)?;
         while let Some(connection) = connections.pop() {
@@ -148,13 +148,13 @@
         None
     }
 
-    fn keep(&self, address: &str, connection: Connection) {
+    fn return_idle(&self, address: &str, connection: Connection) {
         if connection.is_closed() {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(address.to_owned()).or_default();
-        if connections.len() < IDLE_KEPT {
+        if connections.len() < MAX_IDLE {
             connections.push(connection);
         }
     }
--- a/crates/pond-http/src/error.rs
+++ b/crates/pond-http/src/error.rs
@@ -1,45 +1,45 @@
-//! Why a call got no answer.
+//! Errors of HTTP calls.
 
 use snafu::Snafu;
 
-/// Why a call got no answer.
+/// Why a call got no valid answer.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Nothing of the request was sent: it did not run.
+    /// Nothing of the request was sent, so it did not run.
     #[snafu(display("{address}: not sent: {reason}"))]
     NotSent {
-        /// Whom it was for.
+        /// Address of the server.
         address: String,
-        /// Why.
+        /// The cause.
         reason: String,
     },
-    /// The request was sent, at least in part, and no whole answer came: it may have run.
-    #[snafu(display("{address}: no whole answer: {reason}"))]
+    /// The request was sent, at least in part, without a complete answer, so it may have run.
+    #[snafu(display("{address}: no complete answer: {reason}"))]
     Broken {
-        /// Whom it was for.
+        /// Address of the server.
         address: String,
-        /// Why.
+        /// The cause.
         reason: String,
     },
-    /// An answer came that is not what the contract says.
+    /// The answer has a status or body that the contract does not allow.
     #[snafu(display("{address}: status {status}: {reason}"))]
     Status {
-        /// Whom it was for.
+        /// Address of the server.
         address: String,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The answer's body.
+        /// The body of the answer, or why it could not be parsed.
         reason: String,
     },
 }
 
 impl Error {
-    /// Whether the request surely did not run.
+    /// Returns whether the request certainly did not run.
     pub fn not_sent(&self) -> bool {
         matches!(self, Error::NotSent { .. })
     }
 
-    /// The status of an answer that was not as the contract says.
+    /// Returns the status of an answer that the contract does not allow.
     pub fn status(&self) -> Option<u16> {
         match self {
             Error::Status { status, .. } => Some(*status),
--- a/crates/pond-http/src/lib.rs
+++ b/crates/pond-http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 with limits, on hyper: a server for whole requests, and a client that knows whether a
-//! request was sent.
+//! HTTP/1.1 with limits, on hyper: a server for complete requests, and a client that reports whether
+//! a request was sent.
 //!
-//! Bodies are held whole in memory, at most as large as the limits say. A body that breaks off is
-//! an error, never a shorter body.
+//! Bodies are held completely in memory, up to the configured limits. An incomplete body is an error,
+//! never a shorter body.
 
 mod call;
 mod client;
--- a/crates/pond-http/src/server.rs
+++ b/crates/pond-http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server for whole requests with limits.
+//! An HTTP server with limits that passes on complete requests only.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,15 +22,15 @@
 use crate::stall::Stream;
 use crate::{Call, Reply};
 
-/// How long idle connections are kept after a stop.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long idle connections stay open after a stop.
+const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// Limits on what a server takes in.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Open connections; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub max_connections: usize,
-    /// Time for the head of a request, and for its body.
+    /// Longest time to receive the head of a request, and again its body.
     pub read_timeout: Duration,
     /// Largest body, in bytes.
     pub max_body_bytes: usize,
@@ -51,14 +51,14 @@
 pub enum Refused {
     /// The body is too large.
     TooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     TooSlow,
-    /// The body broke off.
+    /// The body is incomplete.
     CutOff,
 }
 
 impl Refused {
-    /// The status that goes with it.
+    /// Returns the HTTP status for the refusal.
     pub fn status(self) -> StatusCode {
         match self {
             Refused::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -68,18 +68,19 @@
     }
 }
 
-/// Answers requests.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Answers a request.
     fn handle(&self, call: Call) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>>;
 
-    /// Answers a request that was refused before it was whole.
+    /// Answers a request that was refused before it was complete.
     fn refuse(&self, refused: Refused) -> Reply {
         Reply::new(refused.status(), format!("{refused:?}\n"))
     }
 }
 
-/// Tells a server to stop: it accepts no more, finishes what it has, and returns.
+/// A signal for a graceful shutdown: the server accepts no more connections, completes the requests in
+/// progress, and returns.
 #[derive(Clone, Debug)]
 pub struct Stop {
     flag: watch::Sender<bool>,
@@ -92,36 +93,36 @@
 }
 
 impl Stop {
-    /// Not stopped yet.
+    /// Creates a signal that is not set.
     pub fn new() -> Stop {
         Stop { flag: watch::Sender::new(false) }
     }
 
-    /// Stops everyone who waits for it.
+    /// Sets the signal.
     pub fn stop(&self) {
         self.flag.send_replace(true);
     }
 
-    /// Whether it was stopped.
+    /// Returns whether the signal is set.
     pub fn stopped(&self) -> bool {
         *self.flag.borrow()
     }
 
-    /// Waits until it is stopped.
+    /// Waits until the signal is set.
     pub async fn wait(&self) {
         let mut receiver = self.flag.subscribe();
         let _ = receiver.wait_for(|stopped| *stopped).await;
     }
 }
 
-/// Serves until `stop`, then until every request that had arrived is answered, or its caller has
-/// taken nothing of the answer for some seconds.
+/// Serves until `stop` is set and every request that has arrived by then is answered. A caller that
+/// reads nothing of its answer for some seconds is disconnected, so it does not hold up the shutdown.
 pub async fn serve(listener: TcpListener, limits: Limits, stop: Stop, handler: Arc<dyn Handler>) {
-    let room = Arc::new(Semaphore::new(limits.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     let closing = Arc::new(AtomicBool::new(false));
     loop {
         let permit = tokio::select! {
-            permit = room.clone().acquire_owned() => permit,
+            permit = permits.clone().acquire_owned() => permit,
             () = stop.wait() => break,
         };
         let accepted = tokio::select! {
@@ -132,18 +133,19 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        spawn_one(stream, permit, limits, &stop, &closing, &handler);
+        spawn_connection(stream, permit, limits, &stop, &closing, &handler);
     }
     for stream in pending(listener) {
-        let permit = room.clone().acquire_owned().await;
-        spawn_one(stream, permit, limits, &stop, &closing, &handler);
+        let permit = permits.clone().acquire_owned().await;
+        spawn_connection(stream, permit, limits, &stop, &closing, &handler);
     }
     closing.store(true, Ordering::Relaxed);
-    // All permits are free once all connections have ended.
-    let _ = room.acquire_many(limits.max_connections as u32).await;
+    // All permits are available once all connections have ended.
+    let _ = permits.acquire_many(limits.max_connections as u32).await;
 }
 
-/// Closes a listener; the connections that had come before, whose requests may have arrived.
+/// Closes a listener and returns the connections that were waiting to be accepted; their requests may
+/// have arrived already.
 fn pending(listener: TcpListener) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     let Ok(listener) = listener.into_std() else { return streams };
@@ -154,8 +156,8 @@
     streams
 }
 
-/// Serves a connection on a task of its own, which gives its place back at its end.
-fn spawn_one(
+/// Serves a connection in a task of its own, which releases the permit when it ends.
+fn spawn_connection(
     stream: TcpStream,
     permit: Result<OwnedSemaphorePermit, AcquireError>,
     limits: Limits,
@@ -165,14 +167,14 @@
 ) {
     let (stop, closing, handler) = (stop.clone(), closing.clone(), handler.clone());
     tokio::spawn(async move {
-        serve_one(stream, limits, stop, closing, handler).await;
+        serve_connection(stream, limits, stop, closing, handler).await;
         drop(permit);
     });
 }
 
-/// `closing` is set once nobody can connect any more: only then callers are asked to close, as
-/// they would connect again at once.
-async fn serve_one(
+/// Serves a connection. Answers ask the caller to close it once `closing` is set, that is, once the
+/// listener is closed: before that, callers would reconnect at once.
+async fn serve_connection(
     stream: TcpStream,
     limits: Limits,
     stop: Stop,
@@ -180,7 +182,7 @@
     handler: Arc<dyn Handler>,
 ) {
     let _ = stream.set_nodelay(true);
-    // A peer that is gone already has no address any more.
+    // The address is not available if the peer has already disconnected.
     let peer = stream.peer_addr().ok();
     let service = service_fn(move |request| {
         let (handler, closing) = (handler.clone(), closing.clone());
@@ -198,15 +200,15 @@
         .header_read_timeout(limits.read_timeout)
         .serve_connection(TokioIo::new(Stream::new(stream)), service);
     tokio::pin!(connection);
-    // An idle connection is not shut at once: a request may be on its way on it. While the server
-    // stops, each answer asks the caller to close.
-    let linger = async {
+    // Idle connections are not closed at once, as a request may be in transit. During the shutdown,
+    // each answer asks the caller to close its connection.
+    let grace = async {
         stop.wait().await;
-        tokio::time::sleep(LINGER).await;
+        tokio::time::sleep(IDLE_GRACE).await;
     };
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = linger => {
+        () = grace => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
@@ -235,8 +237,8 @@
 }
 
 async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, Refused> {
-    let whole = Limited::new(body, limits.max_body_bytes).collect();
-    match timeout(limits.read_timeout, whole).await {
+    let complete = Limited::new(body, limits.max_body_bytes).collect();
+    match timeout(limits.read_timeout, complete).await {
         Err(_) => Err(Refused::TooSlow),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refused::TooLarge),
         Ok(Err(_)) => Err(Refused::CutOff),
--- a/crates/pond-http/src/stall.rs
+++ b/crates/pond-http/src/stall.rs
@@ -1,4 +1,4 @@
-//! A stream that fails once its other end has taken nothing for too long.
+//! A TCP stream whose writes fail once the peer has accepted nothing for too long.
 
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -9,34 +9,34 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// The other end may take nothing of what is written for this long. The system sends an unanswered
-/// segment again after 0.2, 0.4, 0.8, 1.6 and 3.2 s, so a link that is back within this time loses
-/// no answer. Any progress starts it anew, so a caller that is only slow gets the whole answer.
-const PATIENCE: Duration = Duration::from_millis(6_500);
+/// Longest time without progress of a write. The kernel retransmits an unacknowledged segment after
+/// 0.2, 0.4, 0.8, 1.6 and 3.2 s, so a network that recovers within this time loses no answer. Any
+/// progress restarts the time, so a caller that is only slow gets the complete answer.
+const STALL_TIMEOUT: Duration = Duration::from_millis(6_500);
 
-/// Bytes that the system holds for a connection to be sent; it uses twice that for its own
-/// account. It tells of progress only when a third of it is free again: with megabytes, as it takes
-/// for fast links, a caller that takes 100 kB a second would seem to take nothing. It also bounds
-/// what slow callers cost: 4,096 of them half a gigabyte at most, instead of 16.
-const SEND_BYTES: usize = 64 << 10;
+/// Size of the kernel's send buffer of a connection, in bytes; the kernel doubles it for its own
+/// overhead. It reports progress only once a third of the buffer is free again: with the megabytes it
+/// uses by default on fast links, a caller that reads 100 kB a second would seem stalled. The size
+/// also limits the memory for slow callers: 4,096 of them use at most half a gigabyte, instead of 16.
+const SEND_BUFFER_BYTES: usize = 64 << 10;
 
-/// A connection whose writes fail when the other end takes nothing for [`PATIENCE`].
+/// A connection whose writes fail when the peer accepts nothing for [`STALL_TIMEOUT`].
 pub(crate) struct Stream {
     inner: TcpStream,
-    /// There while a write waits for the other end.
+    /// Timer of a write that waits for the peer.
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
 impl Stream {
-    /// Watches over a connection and bounds what the system holds for it.
+    /// Wraps a connection and limits its send buffer.
     pub fn new(inner: TcpStream) -> Stream {
-        // Where the system refuses, only the grain of progress is coarser.
-        let _ = socket2::SockRef::from(&inner).set_send_buffer_size(SEND_BYTES);
+        // If the kernel refuses, progress is only reported in larger steps.
+        let _ = socket2::SockRef::from(&inner).set_send_buffer_size(SEND_BUFFER_BYTES);
         Stream { inner, stalled: None }
     }
 
-    /// Passes the result of a write on, or fails when it has waited for too long.
-    fn watch<T>(
+    /// Returns the result of a write, or an error if the write has been pending for too long.
+    fn check_stall<T>(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<io::Result<T>>,
@@ -45,8 +45,8 @@
             self.stalled = None;
             return written;
         }
-        let until = || Box::pin(sleep_until(Instant::now() + PATIENCE));
-        ready!(self.stalled.get_or_insert_with(until).as_mut().poll(context));
+        let timer = || Box::pin(sleep_until(Instant::now() + STALL_TIMEOUT));
+        ready!(self.stalled.get_or_insert_with(timer).as_mut().poll(context));
         Poll::Ready(Err(ErrorKind::TimedOut.into()))
     }
 }
@@ -68,7 +68,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.watch(context, written)
+        self.check_stall(context, written)
     }
 
     fn poll_write_vectored(
@@ -77,7 +77,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write_vectored(context, parts);
-        self.watch(context, written)
+        self.check_stall(context, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/pond-http/tests/limits.rs
+++ b/crates/pond-http/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What the server makes of slow, large and broken requests, and the client of broken answers.
+//! How the server handles slow, large and incomplete requests, and the client incomplete answers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Counts the requests that it sees and answers with their bodies.
+/// Counts requests and answers each with its own body.
 #[derive(Default)]
 struct Echo {
     seen: AtomicU32,
@@ -38,7 +38,7 @@
 }
 
 /// Sends bytes and reads until the server closes the connection.
-async fn say(address: SocketAddr, bytes: &[u8], close: bool) -> String {
+async fn exchange(address: SocketAddr, bytes: &[u8], close: bool) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connects");
     stream.write_all(bytes).await.expect("writes");
     if close {
@@ -50,44 +50,44 @@
 }
 
 #[tokio::test]
-async fn requests_that_are_not_whole_never_reach_the_handler() {
+async fn incomplete_requests_never_reach_the_handler() {
     let head =
         |length: u32| format!("POST / HTTP/1.1\r\nhost: a\r\ncontent-length: {length}\r\n\r\n");
     let table: [(&str, String, bool, &str); 5] = [
         ("a head that never ends", "POST / HTTP/1.1\r\nhost:".to_owned(), false, ""),
-        ("a body that never comes", head(10), false, "HTTP/1.1 408"),
-        ("a body that breaks off", format!("{}abc", head(10)), true, "HTTP/1.1 400"),
+        ("a body that never arrives", head(10), false, "HTTP/1.1 408"),
+        ("an incomplete body", format!("{}abc", head(10)), true, "HTTP/1.1 400"),
         (
             "a body that is too large",
             format!("{}{}", head(2000), "x".repeat(2000)),
             true,
             "HTTP/1.1 413",
         ),
-        ("no HTTP at all", "hello\r\n\r\n".to_owned(), true, "HTTP/1.1 400"),
+        ("not HTTP", "hello\r\n\r\n".to_owned(), true, "HTTP/1.1 400"),
     ];
     for (name, bytes, close, expected) in table {
         let (address, echo, _) = server().await;
-        let answer = say(address, bytes.as_bytes(), close).await;
+        let answer = exchange(address, bytes.as_bytes(), close).await;
         assert!(answer.starts_with(expected), "{name}: {answer}");
         assert_eq!(echo.seen.load(Ordering::Relaxed), 0, "{name}");
     }
 }
 
 #[tokio::test]
-async fn idle_connections_beyond_the_limit_do_not_keep_others_out_for_ever() {
+async fn idle_connections_at_the_limit_do_not_block_others_for_ever() {
     let (address, _, _) = server().await;
     let mut idle = Vec::new();
     for _ in 0..8 {
         idle.push(TcpStream::connect(address).await.expect("connects"));
     }
-    // All eight places are taken until the idle ones have been silent for too long.
+    // All eight connections are in use until the idle ones time out.
     let call = Call::new(Method::POST, "/", "a");
     let reply = Client::new().call(&address.to_string(), call, Duration::from_secs(20)).await;
     assert_eq!(reply.expect("an answer").body, "a");
 }
 
 #[tokio::test]
-async fn a_stop_answers_what_has_arrived() {
+async fn stop_answers_requests_that_have_arrived() {
     let (address, _, stop) = server().await;
     let client = Client::new();
     let ask = || client.call("", Call::new(Method::POST, "/", "a"), Duration::from_secs(5));
@@ -105,8 +105,8 @@
     assert!(answer.contains("connection: close"), "{answer}");
 }
 
-/// A server that says these bytes to the first request on each connection, then closes it.
-async fn says(bytes: &'static [u8]) -> String {
+/// Starts a server that sends `bytes` after the first request on each connection and then closes it.
+async fn server_sending(bytes: &'static [u8]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address").to_string();
     tokio::spawn(async move {
@@ -120,37 +120,34 @@
 }
 
 #[tokio::test]
-async fn the_client_knows_whether_a_request_may_have_run() {
+async fn client_reports_whether_a_request_may_have_run() {
     let client = Client::new();
     let call = || Call::new(Method::POST, "/", "a");
-    let patience = Duration::from_millis(500);
-    let nobody = client.call("127.0.0.1:1", call(), patience).await;
+    let max_wait = Duration::from_millis(500);
+    let nobody = client.call("127.0.0.1:1", call(), max_wait).await;
     assert!(nobody.expect_err("nobody listens").not_sent());
     let table: [(&str, &'static [u8]); 4] = [
         ("closed without an answer", b""),
-        ("a head that breaks off", b"HTTP/1.1 200 OK\r\ncontent-le"),
-        ("a body that breaks off", b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc"),
-        (
-            "a chunk that breaks off",
-            b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab",
-        ),
+        ("an incomplete head", b"HTTP/1.1 200 OK\r\ncontent-le"),
+        ("an incomplete body", b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc"),
+        ("an incomplete chunk", b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab"),
     ];
     for (name, bytes) in table {
-        let address = says(bytes).await;
-        let error = client.call(&address, call(), patience).await.expect_err(name);
+        let address = server_sending(bytes).await;
+        let error = client.call(&address, call(), max_wait).await.expect_err(name);
         assert!(!error.not_sent(), "{name}: {error}");
     }
 }
 
 #[tokio::test]
-async fn a_kept_connection_that_was_closed_is_replaced() {
-    let address = says(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na").await;
+async fn idle_connection_that_was_closed_is_replaced() {
+    let address = server_sending(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na").await;
     let client = Client::new();
     for _ in 0..3 {
         let call = Call::new(Method::POST, "/", "a");
         let reply = client.call(&address, call, Duration::from_secs(5)).await;
         assert_eq!(reply.expect("an answer").body, "a");
-        // Lets the connection notice that the other end has closed it.
+        // Gives the client time to notice that the server has closed the connection.
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/pond-http/tests/silence.rs
+++ b/crates/pond-http/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that fall silent for good, without a reset, while new ones work.
+//! Idle connections that stop answering for good, without a reset, while new connections work.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -9,9 +9,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const PATIENCE: Duration = Duration::from_millis(100);
+const MAX_WAIT: Duration = Duration::from_millis(100);
 
-/// Answers requests on a connection; on one that was opened before the silence, none after it.
+/// Answers the requests on a connection. One that was opened before `silent` was set gets no answers
+/// after that.
 async fn serve(mut stream: TcpStream, silent: Arc<AtomicBool>) {
     let opened_before = !silent.load(Ordering::SeqCst);
     let mut bytes = [0; 1024];
@@ -29,19 +30,19 @@
 }
 
 #[tokio::test]
-async fn one_call_finds_that_kept_connections_are_silent_for_all() {
+async fn one_timed_out_call_drops_all_idle_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (silent, opened) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let (quiet, count) = (silent.clone(), opened.clone());
+    let (silent_flag, open_count) = (silent.clone(), opened.clone());
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            count.fetch_add(1, Ordering::SeqCst);
-            tokio::spawn(serve(stream, quiet.clone()));
+            open_count.fetch_add(1, Ordering::SeqCst);
+            tokio::spawn(serve(stream, silent_flag.clone()));
         }
     });
     let client = Client::new();
-    let call = || client.call(&address, Call::new(Method::GET, "/", Vec::new()), PATIENCE);
+    let call = || client.call(&address, Call::new(Method::GET, "/", Vec::new()), MAX_WAIT);
     let (first, second, third) = tokio::join!(call(), call(), call());
     assert!(first.is_ok() && second.is_ok() && third.is_ok());
     assert_eq!(opened.load(Ordering::SeqCst), 3);
