--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -11,7 +11,7 @@
 use pond_settings::{Process as Settings, Role as SettingsRole};
 use tokio::sync::oneshot;
 
-use crate::serve::{self, Parts};
+use crate::serve::{self, Inputs};
 
 /// A running endpoint process.
 pub struct Process {
@@ -44,7 +44,7 @@
         let mut threads = Threads::new();
         threads.spawn("serve", move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-            let parts = Parts {
+            let inputs = Inputs {
                 listener,
                 replicas,
                 terms,
@@ -53,7 +53,7 @@
                 max_answer_bytes: limits.body_bytes,
                 log: thread_log,
             };
-            serve::run(parts).await;
+            serve::run(inputs).await;
         })?;
         event!(log, STARTED, "internal" => address.to_string());
         Ok(Process { address, stop, threads, log })
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -29,7 +29,7 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
 /// Inputs of the serving thread.
-pub struct Parts {
+pub struct Inputs {
     /// Accepts links from entries.
     pub listener: TcpListener,
     /// The control replicas.
@@ -65,8 +65,9 @@
 
 /// Serves entries until a shutdown is requested and all offers have ended, or the shutdown takes too
 /// long.
-pub async fn run(parts: Parts) {
-    let Parts { listener, replicas, terms, mut stop, stop_timeout, max_answer_bytes, log } = parts;
+pub async fn run(inputs: Inputs) {
+    let Inputs { listener, replicas, terms, mut stop, stop_timeout, max_answer_bytes, log } =
+        inputs;
     let own_address = terms.hello.address.clone();
     let terms = Arc::new(terms);
     let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 use crate::caller::Caller;
-use crate::route::{self, Parts, Submission};
+use crate::route::{self, Inputs, Submission};
 
 /// Maximum number of requests queued for the routing thread.
 const MAX_QUEUED: usize = 4096;
@@ -92,8 +92,8 @@
     ) -> Result<(), Error> {
         let log = self.log.clone();
         let replicas = settings.replicas.clone();
-        let parts = Parts { replicas, terms, submissions, log, metrics };
-        self.threads.spawn("route", move || route::run(parts))
+        let inputs = Inputs { replicas, terms, submissions, log, metrics };
+        self.threads.spawn("route", move || route::run(inputs))
     }
 
     /// Returns the address for callers.
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -41,7 +41,7 @@
 }
 
 /// Inputs of the routing thread.
-pub struct Parts {
+pub struct Inputs {
     /// The control replicas.
     pub replicas: Vec<Replica>,
     /// Identity of this process and limits of its links.
@@ -76,8 +76,8 @@
 }
 
 /// Routes requests until `submissions` is closed and the last request has ended.
-pub async fn run(parts: Parts) {
-    let Parts { replicas, terms, mut submissions, log, metrics } = parts;
+pub async fn run(inputs: Inputs) {
+    let Inputs { replicas, terms, mut submissions, log, metrics } = inputs;
     let terms = Arc::new(terms);
     let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
     let control = Control::start(&replicas, &terms, &events, log.clone());
--- a/crates/pond-http/src/client.rs
+++ b/crates/pond-http/src/client.rs
@@ -83,13 +83,13 @@
         let mut request = request(address, call)?;
         loop {
             let reused = self.take_idle(address);
-            let new = reused.is_none();
+            let is_new = reused.is_none();
             let mut connection = match reused {
                 Some(connection) => connection,
                 None => self.open(address).await?,
             };
             if connection.ready().await.is_err() {
-                if new {
+                if is_new {
                     return Err(not_sent(address, "the connection was closed at once"));
                 }
                 continue;
@@ -101,7 +101,7 @@
                     return Ok(reply);
                 }
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) if !new => request = unsent,
+                    Some(unsent) if !is_new => request = unsent,
                     Some(_) => return Err(not_sent(address, error.error())),
                     None => return Err(broken(address, error.error())),
                 },
--- a/crates/pond-http/tests/limits.rs
+++ b/crates/pond-http/tests/limits.rs
@@ -90,8 +90,8 @@
 async fn stop_answers_requests_that_have_arrived() {
     let (address, _, stop) = server().await;
     let client = Client::new();
-    let ask = || client.call("", Call::new(Method::POST, "/", "a"), Duration::from_secs(5));
-    drop(ask());
+    let send = || client.call("", Call::new(Method::POST, "/", "a"), Duration::from_secs(5));
+    drop(send());
     let mut stream = TcpStream::connect(address).await.expect("connects");
     stream
         .write_all(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\na")
--- a/crates/pond-http/tests/stalled_callers.rs
+++ b/crates/pond-http/tests/stalled_callers.rs
@@ -127,7 +127,7 @@
 async fn caller_that_reads_a_few_bytes_at_a_time_is_not_disconnected_as_stalled() {
     let (address, _, _) = server().await;
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a bound");
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a receive buffer");
     let mut stream = socket.connect(address).await.expect("connects");
     stream.write_all(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n").await.expect("writes");
     let begun = Instant::now();
--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -135,13 +135,13 @@
 
     fn link_event(&mut self, event: Event) {
         let now = self.now();
-        if let Some(told) = self.uplink.event(now, event) {
-            self.notified(now, told);
+        if let Some(notification) = self.uplink.event(now, event) {
+            self.notified(now, notification);
         }
     }
 
-    fn notified(&mut self, now: Millis, told: Told) {
-        match told {
+    fn notified(&mut self, now: Millis, notification: Told) {
+        match notification {
             Told::Leader { configured, new, .. } => {
                 self.configured |= configured;
                 if new {
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -94,7 +94,8 @@
     running_by_entry: BTreeMap<u64, u32>,
     queue: VecDeque<OfferId>,
     leaving: bool,
-    gone: bool,
+    /// Whether it is no longer in the configuration; it is removed once nothing runs there.
+    removed: bool,
 }
 
 /// The admission control of one endpoint process.
@@ -158,11 +159,11 @@
         self.version = delta.to;
         if delta.from == 0 {
             let listed: Vec<u64> = delta.endpoints.iter().map(|endpoint| endpoint.task).collect();
-            let gone: Vec<u64> =
+            let removed: Vec<u64> =
                 self.endpoints.keys().filter(|task| !listed.contains(task)).copied().collect();
-            gone.into_iter().for_each(|task| self.endpoint_gone(task));
+            removed.into_iter().for_each(|task| self.remove_endpoint(task));
         }
-        delta.gone.iter().for_each(|task| self.endpoint_gone(*task));
+        delta.gone.iter().for_each(|task| self.remove_endpoint(*task));
         let own: Vec<_> = delta
             .endpoints
             .into_iter()
@@ -183,10 +184,10 @@
         true
     }
 
-    fn endpoint_gone(&mut self, task: u64) {
+    fn remove_endpoint(&mut self, task: u64) {
         self.leave(task);
         let Some(endpoint) = self.endpoints.get_mut(&task) else { return };
-        endpoint.gone = true;
+        endpoint.removed = true;
         if endpoint.running == 0 {
             self.endpoints.remove(&task);
         }
@@ -421,7 +422,7 @@
                     endpoint.running_by_entry.remove(&offer.id.life);
                 }
             }
-            if endpoint.gone && endpoint.running == 0 {
+            if endpoint.removed && endpoint.running == 0 {
                 self.endpoints.remove(&task);
             }
         }
--- a/crates/pond-route/src/endpoint.rs
+++ b/crates/pond-route/src/endpoint.rs
@@ -20,7 +20,7 @@
 const WEIGHT: f64 = 0.05;
 
 /// Maximum number of offers in transit on the link for each slot.
-const ON_LINK_LIMIT: u32 = 8;
+const MAX_IN_TRANSIT_PER_SLOT: u32 = 8;
 
 /// An endpoint as seen by one entry.
 #[derive(Clone, Debug)]
@@ -100,16 +100,19 @@
 
     /// Returns the number of offers that keeps all slots busy: one for each slot, plus those in
     /// transit on the link meanwhile.
-    pub fn limit(&self) -> u32 {
-        let on_link = f64::from(self.slots) * self.link_us / self.service_us.max(1.0);
-        self.slots + (on_link.ceil() as u32).min(self.slots * ON_LINK_LIMIT)
+    pub fn max_offers(&self) -> u32 {
+        let in_transit = f64::from(self.slots) * self.link_us / self.service_us.max(1.0);
+        self.slots + (in_transit.ceil() as u32).min(self.slots * MAX_IN_TRANSIT_PER_SLOT)
     }
 
     /// Returns whether all slots seem to be taken. If `granted`, the granted number decides, otherwise
     /// the estimated load.
     pub fn is_full(&self, now: Micros, granted: bool) -> bool {
-        let taken =
-            if granted { self.open_offers >= self.grant } else { self.load(now) >= self.limit() };
+        let taken = if granted {
+            self.open_offers >= self.grant
+        } else {
+            self.load(now) >= self.max_offers()
+        };
         now < self.full_until || taken
     }
 
@@ -194,9 +197,9 @@
 
     /// Removes all endpoints except `keys`.
     pub fn retain_only(&mut self, keys: &BTreeSet<EndpointKey>) {
-        let gone: Vec<EndpointKey> =
+        let removed: Vec<EndpointKey> =
             self.endpoints.keys().filter(|key| !keys.contains(key)).copied().collect();
-        gone.into_iter().for_each(|key| self.remove(key));
+        removed.into_iter().for_each(|key| self.remove(key));
     }
 
     /// Returns an endpoint.
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -20,9 +20,9 @@
                 self.outputs.push(Output::Connect { process, address });
             }
         }
-        let gone: Vec<ProcessKey> =
+        let unwanted: Vec<ProcessKey> =
             self.linked.iter().filter(|key| !wanted.contains_key(key)).copied().collect();
-        for process in gone {
+        for process in unwanted {
             self.linked.remove(&process);
             self.outputs.push(Output::Disconnect { process });
         }
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -193,7 +193,7 @@
             let keys = delta.endpoints.iter().map(|endpoint| EndpointKey(endpoint.task)).collect();
             self.table.retain_only(&keys);
             for service in self.services.values_mut() {
-                service.known = false;
+                service.configured = false;
             }
         }
         for task in &delta.gone {
@@ -209,7 +209,7 @@
         }
         for name in &delta.gone_services {
             if let Some(service) = self.services.get_mut(name) {
-                service.known = false;
+                service.configured = false;
             }
         }
         self.version = delta.to;
@@ -249,7 +249,7 @@
             return Some(NotRun::NotReady);
         }
         let under_way = self.pending.len();
-        let service = self.services.get_mut(&request.content.service).filter(|s| s.known);
+        let service = self.services.get_mut(&request.content.service).filter(|s| s.configured);
         let Some(service) = service else { return Some(NotRun::NoService) };
         let all = self.tuning.under_way;
         let share =
--- a/crates/pond-route/src/service.rs
+++ b/crates/pond-route/src/service.rs
@@ -44,8 +44,8 @@
     /// Latencies of answered requests.
     pub latency: Latency,
     /// Whether the configuration contains the service.
-    pub known: bool,
-    rate: Option<Bucket>,
+    pub configured: bool,
+    rate_limit: Option<Bucket>,
     throughput: Throughput,
     service_us: f64,
     /// Time since which the queue is too long.
@@ -64,8 +64,8 @@
             waiting: VecDeque::new(),
             budget: Budget::new(retry_share),
             latency: Latency::default(),
-            known: false,
-            rate: None,
+            configured: false,
+            rate_limit: None,
             throughput: Throughput::default(),
             service_us: 0.0,
             overloaded_since: None,
@@ -77,16 +77,17 @@
     pub fn configure(&mut self, now: Micros, update: &view::Service) {
         self.concurrency = update.concurrency;
         self.priority = update.priority;
-        self.known = true;
-        let unchanged = self.rate.as_ref().is_some_and(|rate| rate.per_second() == update.rate);
+        self.configured = true;
+        let unchanged =
+            self.rate_limit.as_ref().is_some_and(|rate| rate.per_second() == update.rate);
         if !unchanged {
-            self.rate = (update.rate > 0).then(|| Bucket::new(update.rate, now));
+            self.rate_limit = (update.rate > 0).then(|| Bucket::new(update.rate, now));
         }
     }
 
     /// Returns whether the rate limit allows one more request, and counts it if so.
     pub fn within_rate(&mut self, now: Micros) -> bool {
-        self.rate.as_mut().is_none_or(|rate| rate.take(now))
+        self.rate_limit.as_mut().is_none_or(|rate| rate.take(now))
     }
 
     /// Records an answer whose request spent `service_us` in a slot.
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -44,7 +44,7 @@
 }
 
 /// Occupies all slots of the only endpoint, so that the request waits in its queue.
-fn taken(path: &mut Path) {
+fn occupy_slots(path: &mut Path) {
     path.behave(0, Behaviour::Exactly(40 * MS));
     for _ in 0..8 {
         path.ask(1, true, "", 1000);
@@ -119,21 +119,21 @@
     },
     Case {
         name: "the link is lost while the request is queued, and the endpoint stays busy",
-        before: taken,
+        before: occupy_slots,
         after: |path| path.cut(0, 0, 3 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
     Case {
         name: "the process is killed while the request is queued",
-        before: taken,
+        before: occupy_slots,
         after: |path| path.kill(0, 3 * MS),
         outcome: Outcome::Unknown,
         runs: 0,
     },
     Case {
         name: "the endpoint leaves while the request is queued",
-        before: taken,
+        before: occupy_slots,
         after: |path| path.admission(0).leave(1),
         outcome: Outcome::NotRun,
         runs: 0,
