--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -100,7 +100,7 @@
         }
         serve.execute_outputs();
         let Some(since) = stopping else { continue };
-        if serve.admission.under_way() > 0 {
+        if serve.admission.in_progress() > 0 {
             idle_since = None;
         } else if idle_since.get_or_insert_with(Instant::now).elapsed() >= DRAIN_GRACE {
             return;
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -98,7 +98,7 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut count = 0;
     let mut open = true;
-    while open || route.router.under_way() > 0 {
+    while open || route.router.in_progress() > 0 {
         tokio::select! {
             request = submissions.recv(), if open => match request {
                 Some(request) => route.submit(request),
@@ -145,7 +145,7 @@
         let closed = self.waiting.iter().filter(|(_, reply)| reply.is_closed());
         let disconnected: Vec<RequestId> = closed.map(|(id, _)| *id).collect();
         disconnected.into_iter().for_each(|id| self.router.caller_left(now, id));
-        self.metrics.gauge("requests.under_way", self.router.under_way() as u64);
+        self.metrics.gauge("requests.under_way", self.router.in_progress() as u64);
         self.metrics.gauge("configuration.version", self.router.version());
     }
 
--- a/crates/pond-intake/src/dispatcher.rs
+++ b/crates/pond-intake/src/dispatcher.rs
@@ -130,15 +130,15 @@
     }
 
     /// Handles an answer of a replica.
-    pub fn answered(&mut self, tell: Tell) {
+    pub fn answered(&mut self, reply: Tell) {
         // A replica that does not lead has done nothing. The request is sent again.
-        if tell.outcome() == Outcome::NotLeader {
-            if let Some(waiting) = self.waiting.get_mut(&tell.ticket) {
+        if reply.outcome() == Outcome::NotLeader {
+            if let Some(waiting) = self.waiting.get_mut(&reply.ticket) {
                 waiting.refused = true;
             }
             return;
         }
-        self.complete(tell.ticket, Answer::Replied(tell));
+        self.complete(reply.ticket, Answer::Replied(reply));
     }
 
     fn complete(&mut self, ticket: u64, answer: Answer) {
--- a/crates/pond-intake/tests/dispatcher.rs
+++ b/crates/pond-intake/tests/dispatcher.rs
@@ -13,7 +13,7 @@
     Verb::Look(JobRef { id: 1 })
 }
 
-fn tell(ticket: u64, outcome: Outcome) -> Tell {
+fn reply(ticket: u64, outcome: Outcome) -> Tell {
     Tell { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
 }
 
@@ -81,7 +81,7 @@
     harness.dispatcher.leader_lost(harness.now);
     harness.dispatcher.leader_up();
     harness.advance(1);
-    harness.dispatcher.answered(tell(ticket, Outcome::Accepted));
+    harness.dispatcher.answered(reply(ticket, Outcome::Accepted));
     harness.advance(1);
     assert_eq!(harness.sent, 2);
     assert!(matches!(&harness.answers[..], [Answer::Replied(_)]));
@@ -110,7 +110,7 @@
 fn refusal_by_a_replica_that_does_not_lead_is_not_passed_on() {
     let mut harness = Harness::new(true);
     let ticket = harness.request(submit());
-    harness.dispatcher.answered(tell(ticket, Outcome::NotLeader));
+    harness.dispatcher.answered(reply(ticket, Outcome::NotLeader));
     harness.advance(1);
     assert!(harness.answers.is_empty());
 }
@@ -128,7 +128,7 @@
     let mut harness = Harness::new(true);
     let ticket = harness.request(submit());
     harness.advance(2_000);
-    harness.dispatcher.answered(tell(ticket, Outcome::Accepted));
+    harness.dispatcher.answered(reply(ticket, Outcome::Accepted));
     harness.advance(1);
     assert_eq!(harness.answers, [Answer::Unknown]);
 }
@@ -165,7 +165,7 @@
 fn request_that_the_leader_refuses_is_sent_again_once() {
     let mut harness = Harness::new(true);
     let ticket = harness.request(submit());
-    harness.dispatcher.answered(tell(ticket, Outcome::NotLeader));
+    harness.dispatcher.answered(reply(ticket, Outcome::NotLeader));
     harness.advance(1);
     harness.advance(100);
     assert_eq!(harness.sent, 2);
--- a/crates/pond-route/benches/policies.rs
+++ b/crates/pond-route/benches/policies.rs
@@ -77,9 +77,9 @@
         let place = (latencies.len() as f64 * quantile) as usize;
         latencies.get(place).copied().unwrap_or(0) as f64 / 1000.0
     };
-    let asked = path.told.values().filter(|told| told.asked >= since);
+    let asked = path.told.values().filter(|result| result.asked >= since);
     let bad = asked
-        .filter(|told| match &told.finish {
+        .filter(|result| match &result.finish {
             pond_route::Finish::Answered(answer) => answer.status >= 500,
             other => other.outcome() != Outcome::Answered,
         })
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns the number of running and queued offers.
-    pub fn under_way(&self) -> usize {
+    pub fn in_progress(&self) -> usize {
         self.endpoints.values().map(|e| e.running as usize + e.queue.len()).sum()
     }
 
@@ -483,8 +483,8 @@
                 Some(State::Done(answer)) => (Fate::Running, Some(answer.clone())),
                 Some(State::Lost) => (Fate::Lost, None),
             };
-            let tell = FateTell { offer, fate: fate as i32 };
-            self.outputs.push(AdmissionOutput::Send { link, body: Body::FateTell(tell) });
+            let report = FateTell { offer, fate: fate as i32 };
+            self.outputs.push(AdmissionOutput::Send { link, body: Body::FateTell(report) });
             if let Some(answer) = answer {
                 self.outputs.push(AdmissionOutput::Send { link, body: Body::Answer(answer) });
             }
--- a/crates/pond-route/src/router/answer.rs
+++ b/crates/pond-route/src/router/answer.rs
@@ -120,7 +120,7 @@
             }
         }
         if let Some(service) = self.services.get_mut(&service_name) {
-            service.under_way = service.under_way.saturating_sub(1);
+            service.in_progress = service.in_progress.saturating_sub(1);
             if let Finish::Answered(answer) = &finish {
                 service.latency.record(now.since(pending.arrived));
                 service.record_answer(now, answer.service_us);
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -30,11 +30,11 @@
     }
 
     /// Handles control's decision on a claim.
-    pub fn claim_decided(&mut self, now: Micros, tell: ClaimTell) {
-        let verdict = tell.verdict();
-        let Some(id) = self.tickets.remove(&tell.ticket) else { return };
+    pub fn claim_decided(&mut self, now: Micros, decision: ClaimTell) {
+        let verdict = decision.verdict();
+        let Some(id) = self.tickets.remove(&decision.ticket) else { return };
         let Some(pending) = self.pending.get_mut(&id).filter(|p| p.stage == Stage::Claiming) else {
-            // The caller has left; `expire` has already told control to free a granted claim.
+            // The caller has left; `expire` has already asked control to free a granted claim.
             return;
         };
         match verdict {
@@ -44,7 +44,7 @@
                 pending.not_before = Micros(0);
                 self.enqueue(now, id);
             }
-            Verdict::Answered => match tell.answer {
+            Verdict::Answered => match decision.answer {
                 Some(answer) => self.finish(now, id, Finish::Answered(answer)),
                 None => self.finish(now, id, Finish::Unknown),
             },
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -85,21 +85,21 @@
     }
 
     /// Handles the fate of an offer, as reported by its endpoint process.
-    pub fn fate_reported(&mut self, now: Micros, process: ProcessKey, tell: FateTell) {
-        if !self.was_offered_to(process, tell.offer) {
+    pub fn fate_reported(&mut self, now: Micros, process: ProcessKey, report: FateTell) {
+        if !self.was_offered_to(process, report.offer) {
             return;
         }
-        match tell.fate() {
+        match report.fate() {
             Fate::NotRun => {
-                if self.close_offer(tell.offer).is_some() {
-                    self.continue_after_not_run(now, tell.offer.id, NotRun::NoEndpoint);
+                if self.close_offer(report.offer).is_some() {
+                    self.continue_after_not_run(now, report.offer.id, NotRun::NoEndpoint);
                 }
             }
-            Fate::Lost => self.answer_lost(now, process, tell.offer),
+            Fate::Lost => self.answer_lost(now, process, report.offer),
             Fate::Running => {
-                let pending = self.pending.get_mut(&tell.offer.id);
+                let pending = self.pending.get_mut(&report.offer.id);
                 let offers = pending.into_iter().flat_map(|pending| &mut pending.offers);
-                for offer in offers.filter(|offer| offer.attempt == tell.offer.attempt) {
+                for offer in offers.filter(|offer| offer.attempt == report.offer.attempt) {
                     if offer.state == OfferState::Unresolved {
                         offer.state = OfferState::Open;
                     }
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -39,7 +39,7 @@
     pub revoke_us: u64,
     /// Maximum number of requests in progress, over all services. Services that are not urgent get
     /// only a part of it, so that the rest is left for urgent ones.
-    pub under_way: usize,
+    pub max_in_progress: usize,
 }
 
 impl Default for Tuning {
@@ -52,12 +52,12 @@
             eject_share: 0.5,
             backoff_us: 2_000,
             revoke_us: 20_000,
-            under_way: 4096,
+            max_in_progress: 4096,
         }
     }
 }
 
-/// Percentage of [`Tuning::under_way`] that is available to services that are not urgent.
+/// Percentage of [`Tuning::max_in_progress`] that is available to services that are not urgent.
 const LOW_PRIORITY_PERCENT: usize = 75;
 
 /// An action for the I/O layer.
@@ -168,7 +168,7 @@
     }
 
     /// Returns the number of requests in progress.
-    pub fn under_way(&self) -> usize {
+    pub fn in_progress(&self) -> usize {
         self.pending.len()
     }
 
@@ -226,7 +226,7 @@
             return;
         }
         let Some(service) = self.services.get_mut(&request.content.service) else { return };
-        service.under_way += 1;
+        service.in_progress += 1;
         service.budget.deposit();
         let claims = !request.repeatable && !request.content.key.is_empty();
         let pending = Pending::new(request, now);
@@ -248,13 +248,13 @@
         if self.version == 0 {
             return Some(NotRun::NotReady);
         }
-        let under_way = self.pending.len();
+        let in_progress = self.pending.len();
         let service = self.services.get_mut(&request.content.service).filter(|s| s.configured);
         let Some(service) = service else { return Some(NotRun::NoService) };
-        let all = self.tuning.under_way;
+        let all = self.tuning.max_in_progress;
         let share =
             if service.priority >= Unit::URGENT { all } else { all * LOW_PRIORITY_PERCENT / 100 };
-        let full = under_way >= share || service.under_way >= service.concurrency;
+        let full = in_progress >= share || service.in_progress >= service.concurrency;
         (full || service.sheds_load(now) || !service.within_rate(now)).then_some(NotRun::Overload)
     }
 }
--- a/crates/pond-route/src/service.rs
+++ b/crates/pond-route/src/service.rs
@@ -36,7 +36,7 @@
     /// Priority; services with low priority are shed first.
     pub priority: i32,
     /// Number of requests in progress.
-    pub under_way: u32,
+    pub in_progress: u32,
     /// Requests that wait for an endpoint, oldest first.
     pub waiting: VecDeque<RequestId>,
     /// Budget for retries and hedged requests.
@@ -60,7 +60,7 @@
         Service {
             concurrency: 0,
             priority: 0,
-            under_way: 0,
+            in_progress: 0,
             waiting: VecDeque::new(),
             budget: Budget::new(retry_share),
             latency: Latency::default(),
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -301,7 +301,7 @@
     path.admission(0).leave_all();
     path.run_for(200 * MS);
     assert!(ids.iter().all(|id| path.outcome(*id) == Some(Outcome::Answered)));
-    assert_eq!(path.admission(0).under_way(), 0);
+    assert_eq!(path.admission(0).in_progress(), 0);
 }
 
 #[test]
@@ -422,7 +422,7 @@
     path.run_for(2_000 * MS);
     let p99 = latencies[latencies.len() * 99 / 100];
     let unknown =
-        path.told.values().filter(|told| told.finish.outcome() == Outcome::Unknown).count();
+        path.told.values().filter(|result| result.finish.outcome() == Outcome::Unknown).count();
     (goodput, p99, unknown)
 }
 
@@ -443,13 +443,13 @@
     path.run_for(100 * MS);
     let answered = path.latencies(Micros(0)).len();
     assert!((200..=215).contains(&answered), "{answered} in two seconds");
-    let refused = path.told.values().filter(|told| told.finish.outcome() == Outcome::NotRun);
-    assert!(refused.map(|told| told.at.since(told.asked)).all(|us| us == 0));
+    let refused = path.told.values().filter(|result| result.finish.outcome() == Outcome::NotRun);
+    assert!(refused.map(|result| result.at.since(result.asked)).all(|us| us == 0));
 }
 
 #[test]
 fn services_that_are_not_urgent_are_shed_first() {
-    let tuning = Tuning { under_way: 8, ..Tuning::default() };
+    let tuning = Tuning { max_in_progress: 8, ..Tuning::default() };
     let answered = |priority| {
         let mut path = Path::new(1, 2, 8, tuning, 3);
         path.prioritise(2, priority);
