--- a/crates/pond-entry/src/caller.rs
+++ b/crates/pond-entry/src/caller.rs
@@ -122,40 +122,32 @@
 fn explain(cause: NotRun) -> (StatusCode, &'static str, &'static str) {
     use StatusCode as Code;
     match cause {
-        NotRun::NoService => (Code::NOT_FOUND, "no-service", "no such service"),
-        NotRun::NoEndpoint => (
-            Code::SERVICE_UNAVAILABLE,
-            "no-endpoint",
-            "no endpoint of the service accepts requests now",
-        ),
+        NotRun::NoService => (Code::NOT_FOUND, "no-service", "there is no such service"),
+        NotRun::NoEndpoint => {
+            (Code::SERVICE_UNAVAILABLE, "no-endpoint", "no endpoint takes requests now")
+        }
         NotRun::Overload => {
-            (Code::TOO_MANY_REQUESTS, "overload", "too many requests are in progress")
+            (Code::TOO_MANY_REQUESTS, "overload", "too many requests are under way")
+        }
+        NotRun::Expired => {
+            (Code::SERVICE_UNAVAILABLE, "expired", "its time was over before it could start")
         }
-        NotRun::Expired => (
-            Code::SERVICE_UNAVAILABLE,
-            "expired",
-            "the deadline passed before the request could start",
-        ),
         NotRun::NoQuorum => (
             Code::SERVICE_UNAVAILABLE,
             "no-quorum",
-            "control could not guarantee that the request runs at most once",
-        ),
-        NotRun::Held => (Code::SERVICE_UNAVAILABLE, "held", "the idempotency key is in use"),
-        NotRun::KeyReused => (
-            Code::UNPROCESSABLE_ENTITY,
-            "key-reused",
-            "the idempotency key was used before with a different body",
+            "control could not promise that it runs at most once",
         ),
+        NotRun::Held => (Code::SERVICE_UNAVAILABLE, "held", "its key is in use"),
+        NotRun::KeyReused => {
+            (Code::UNPROCESSABLE_ENTITY, "key-reused", "its key came with another body before")
+        }
         NotRun::ClaimsFull => {
-            (Code::SERVICE_UNAVAILABLE, "claims-full", "no more idempotency keys can be stored now")
+            (Code::SERVICE_UNAVAILABLE, "claims-full", "no more keys can be remembered now")
         }
         NotRun::Stopping => (Code::SERVICE_UNAVAILABLE, "stopping", "this entry is stopping"),
-        NotRun::NotReady => (
-            Code::SERVICE_UNAVAILABLE,
-            "not-ready",
-            "this entry has not received the configuration yet",
-        ),
+        NotRun::NotReady => {
+            (Code::SERVICE_UNAVAILABLE, "not-ready", "this entry has no configuration yet")
+        }
     }
 }
 
@@ -163,8 +155,7 @@
     let problem = Problem {
         outcome: Outcome::Unknown.as_str(),
         reason: "unknown",
-        message: "the request may have run; ask the service, or resend it with the same key"
-            .to_owned(),
+        message: "it may have run; ask the service, or send it again with the same key".to_owned(),
     };
     with_outcome(Reply::json(StatusCode::GATEWAY_TIMEOUT, &problem), Outcome::Unknown)
 }
@@ -182,8 +173,8 @@
     fn refuse(&self, refused: Refused) -> Reply {
         let message = match refused {
             Refused::TooLarge => "the body is larger than limits.body_bytes",
-            Refused::TooSlow => "the body did not arrive in time",
-            Refused::CutOff => "the body is incomplete",
+            Refused::TooSlow => "the body did not come in time",
+            Refused::CutOff => "the body broke off",
         };
         rejected(refused.status(), message.to_owned())
     }
--- a/crates/pond-entry/src/header.rs
+++ b/crates/pond-entry/src/header.rs
@@ -65,12 +65,12 @@
     let mut values = call.headers.get_all(name).iter();
     let first = values.next()?;
     if values.next().is_some() {
-        errors.push(format!("{name} is given more than once"));
+        errors.push(format!("{name} is there more than once"));
         return None;
     }
     let text = first.to_str().ok();
     if text.is_none() {
-        errors.push(format!("{name} contains bytes that are not printable ASCII"));
+        errors.push(format!("{name} holds bytes that are not printable ASCII"));
     }
     text
 }
@@ -88,7 +88,7 @@
         None | Some("no") => false,
         Some("yes") => true,
         Some(other) => {
-            errors.push(format!("{REPEATABLE} must be yes or no, not '{other}'"));
+            errors.push(format!("{REPEATABLE} is '{other}'; write yes or no"));
             false
         }
     }
@@ -99,7 +99,7 @@
     let number = value.parse().ok().filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
     if number.is_none() {
         let message =
-            format!("{DEADLINE} must be a number from 1 to {MAX_DEADLINE_MS}, not '{value}'");
+            format!("{DEADLINE} is '{value}'; write a number from 1 to {MAX_DEADLINE_MS}");
         errors.push(message);
     }
     number
