--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -1,4 +1,4 @@
-//! The shell around the desk.
+//! The I/O layer around the dispatcher.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-use crate::desk::{Desk, Given, Output};
+use crate::dispatcher::{Answer, Dispatcher, Output};
 
-/// Inputs that may wait for the desk: twice the requests that the desk itself lets wait.
-const QUEUE: usize = 4096;
+/// Maximum number of queued inputs: twice the number of requests that the dispatcher lets wait.
+const MAX_QUEUED_INPUTS: usize = 4096;
 
-/// Longest time between looks at what is due, in milliseconds.
-const TICK_MS: u64 = 250;
+/// Longest interval between checks for due work, in milliseconds.
+const MAX_TICK_MS: u64 = 250;
 
-/// An entry stays ready for this long without a leader, in milliseconds: an election is no reason
-/// to send callers elsewhere, as all entries wait for the same one.
-const READY_WITHOUT_MS: Span = 3_000;
+/// How long an entry stays ready without a leader, in milliseconds. Sending callers to other entries
+/// during an election does not help, as all entries wait for the same one.
+const READY_WITHOUT_LEADER_MS: Span = 3_000;
 
-/// Something that the desk is asked or told.
+/// An input from a [`Handle`].
 enum Input {
-    Ask { target: Target, verb: Verb, patience_ms: Span, reply: oneshot::Sender<Given> },
-    Learn(Vec<String>),
+    Request { target: Target, verb: Verb, timeout_ms: Span, reply: oneshot::Sender<Answer> },
+    AddAddresses(Vec<String>),
 }
 
-/// Hands requests in.
+/// Submits requests to a running [`Intake`].
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::Sender<Input>,
@@ -41,62 +41,62 @@
 }
 
 impl Handle {
-    /// Hands a request to the leader and waits for what became of it.
-    pub async fn ask(&self, target: Target, verb: Verb, patience_ms: Span) -> Given {
+    /// Sends a request to the leader and waits for its result.
+    pub async fn request(&self, target: Target, verb: Verb, timeout_ms: Span) -> Answer {
         let (reply, answer) = oneshot::channel();
-        if self.inputs.send(Input::Ask { target, verb, patience_ms, reply }).await.is_err() {
-            return Given::NotRun;
+        if self.inputs.send(Input::Request { target, verb, timeout_ms, reply }).await.is_err() {
+            return Answer::NotRun;
         }
-        answer.await.unwrap_or(Given::Unknown)
+        answer.await.unwrap_or(Answer::Unknown)
     }
 
-    /// Whether requests can be served: a leader with a configuration was reached not long ago.
+    /// Returns whether requests can be served: a leader with a configuration was reached recently.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Further addresses of control replicas.
-    pub async fn learn(&self, addresses: Vec<String>) -> bool {
-        self.inputs.send(Input::Learn(addresses)).await.is_ok()
+    /// Adds addresses of control replicas; returns false if the intake has ended.
+    pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
+        self.inputs.send(Input::AddAddresses(addresses)).await.is_ok()
     }
 }
 
-/// Runs the desk.
+/// Runs the dispatcher with the links to control.
 pub struct Intake {
-    desk: Desk,
+    dispatcher: Dispatcher,
     uplink: Uplink,
     links: mpsc::Receiver<Event>,
     inputs: mpsc::Receiver<Input>,
-    replies: BTreeMap<u64, oneshot::Sender<Given>>,
+    replies: BTreeMap<u64, oneshot::Sender<Answer>>,
     ready: Arc<AtomicBool>,
-    /// A leader with a configuration was reached once.
+    /// Whether a leader with a configuration has been reached.
     configured: bool,
-    /// When there was last a leader.
-    led: Millis,
+    /// Time at which there was last a leader.
+    last_leader_at: Millis,
     clock: Clock,
     log: Logger,
 }
 
 impl Intake {
-    /// A desk that reaches control through `uplink`, whose events come through `links`.
+    /// Creates an intake that reaches control through `uplink`, whose events come through `links`.
     pub fn new(
         uplink: Uplink,
         links: mpsc::Receiver<Event>,
         clock: Clock,
         log: Logger,
     ) -> (Intake, Handle) {
-        let (sender, inputs) = mpsc::channel(QUEUE);
+        let (sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
         let ready = Arc::new(AtomicBool::new(false));
         let handle = Handle { inputs: sender, ready: ready.clone() };
         let intake = Intake {
-            desk: Desk::new(),
+            dispatcher: Dispatcher::new(),
             uplink,
             links,
             inputs,
             replies: BTreeMap::new(),
             ready,
             configured: false,
-            led: Millis(0),
+            last_leader_at: Millis(0),
             clock,
             log,
         };
@@ -107,25 +107,25 @@
         self.clock.now()
     }
 
-    /// Runs until all handles are gone or it is cut short.
+    /// Runs until all handles are dropped or the future is cancelled.
     pub async fn run(mut self) {
         loop {
             let now = self.now();
             self.uplink.tick(now);
-            self.carry_out(now);
-            self.judge_ready(now);
-            let due = self.desk.due().into_iter().chain(self.uplink.due()).min();
-            let due = due.map_or(TICK_MS, |due| due.since(now));
+            self.execute_outputs(now);
+            self.update_ready(now);
+            let due = self.dispatcher.due().into_iter().chain(self.uplink.due()).min();
+            let due = due.map_or(MAX_TICK_MS, |due| due.since(now));
             tokio::select! {
-                Some(event) = self.links.recv() => self.link(event),
+                Some(event) = self.links.recv() => self.link_event(event),
                 input = self.inputs.recv() => match input {
                     Some(input) => self.input(input),
                     None => return,
                 },
-                () = sleep(Duration::from_millis(due.clamp(1, TICK_MS))) => {}
+                () = sleep(Duration::from_millis(due.clamp(1, MAX_TICK_MS))) => {}
             }
             while let Ok(event) = self.links.try_recv() {
-                self.link(event);
+                self.link_event(event);
             }
             while let Ok(input) = self.inputs.try_recv() {
                 self.input(input);
@@ -133,71 +133,72 @@
         }
     }
 
-    fn link(&mut self, event: Event) {
+    fn link_event(&mut self, event: Event) {
         let now = self.now();
-        if let Some(told) = self.uplink.event(now, event) {
-            self.told(now, told);
+        if let Some(notification) = self.uplink.event(now, event) {
+            self.notified(now, notification);
         }
     }
 
-    fn told(&mut self, now: Millis, told: Notification) {
-        match told {
+    fn notified(&mut self, now: Millis, notification: Notification) {
+        match notification {
             Notification::Leader { configured, new, .. } => {
                 self.configured |= configured;
                 if new {
-                    self.desk.leader_up();
+                    self.dispatcher.leader_up();
                 }
             }
             Notification::Lost => {
-                self.led = now;
-                self.desk.leader_lost(now);
+                self.last_leader_at = now;
+                self.dispatcher.leader_lost(now);
             }
-            Notification::Frame(Body::Tell(tell)) => self.desk.tell(tell),
+            Notification::Frame(Body::Tell(tell)) => self.dispatcher.answered(tell),
             Notification::Frame(_) => {}
         }
     }
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Ask { target, verb, patience_ms, reply } => {
-                let ticket = self.desk.ask(self.now(), target, verb, patience_ms);
+            Input::Request { target, verb, timeout_ms, reply } => {
+                let ticket = self.dispatcher.request(self.now(), target, verb, timeout_ms);
                 self.replies.insert(ticket, reply);
             }
-            Input::Learn(addresses) => self.uplink.add_addresses(&addresses),
+            Input::AddAddresses(addresses) => self.uplink.add_addresses(&addresses),
         }
     }
 
-    fn carry_out(&mut self, now: Millis) {
-        for output in self.desk.tick(now) {
-            self.output(output);
+    fn execute_outputs(&mut self, now: Millis) {
+        for output in self.dispatcher.tick(now) {
+            self.execute(output);
         }
-        // What could not be sent is answered at once.
-        for output in self.desk.tick(now) {
-            self.output(output);
+        // Requests that could not be sent are answered at once.
+        for output in self.dispatcher.tick(now) {
+            self.execute(output);
         }
     }
 
-    fn output(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Send(ask) => {
                 let ticket = ask.ticket;
                 let sent = self.uplink.send(Body::Ask(ask));
-                self.desk.sent(ticket, sent);
+                self.dispatcher.sent(ticket, sent);
             }
-            Output::Answer { ticket, given } => {
+            Output::Answer { ticket, answer } => {
                 if let Some(reply) = self.replies.remove(&ticket) {
-                    // The caller may have left.
-                    let _ = reply.send(given);
+                    // The caller may have disconnected.
+                    let _ = reply.send(answer);
                 }
             }
         }
     }
 
-    fn judge_ready(&mut self, now: Millis) {
+    fn update_ready(&mut self, now: Millis) {
         if self.uplink.has_leader() {
-            self.led = now;
+            self.last_leader_at = now;
         }
-        let recent = self.uplink.has_leader() || now.since(self.led) < READY_WITHOUT_MS;
+        let recent =
+            self.uplink.has_leader() || now.since(self.last_leader_at) < READY_WITHOUT_LEADER_MS;
         let ready = self.configured && recent;
         if self.ready.swap(ready, Ordering::Relaxed) != ready {
             event!(self.log, READY, "ready" => ready, "leader" => self.uplink.has_leader(),
