--- a/crates/pond-sched/benches/colocation.rs
+++ b/crates/pond-sched/benches/colocation.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 
 use pond_proto::{Job, Kind, Labels, Selector, Size, Unit, Vm};
-use pond_sched::{LadderTuning, Tuning};
+use pond_sched::{ThrottleTuning, Tuning};
 use pond_test::{Colocation, Scene, Truth, job, service, vm};
 
-/// Virtual time of a run, in milliseconds: two hours.
+/// Virtual duration of a run, in milliseconds: two hours.
 const RUN_MS: u64 = 2 * 3600 * 1000;
 
 fn vms(count: usize, size: Size) -> Vec<Vm> {
@@ -32,8 +32,8 @@
     Unit { size, ..unit }
 }
 
-/// The service keeps away from VMs with units of another kind.
-fn apart(service: Unit, from: &str) -> Unit {
+/// Gives a service an anti-affinity to units of another kind.
+fn with_anti_affinity(service: Unit, from: &str) -> Unit {
     Unit { anti_affinity: Some(Selector::equals(Unit::KIND, from)), ..service }
 }
 
@@ -49,7 +49,8 @@
 const MINUTE: u64 = 60_000;
 
 /// Found Property Matching: ten VMs of 32 processors, half with counter queries, half with status
-/// queries. Decoding photos harms the first, comparing them the second; good pairs exist.
+/// queries. Decoding photos slows down the first, comparing them the second; combinations without
+/// interference exist.
 fn matching() -> Scene {
     let harm = [
         (("counter-query", "decode"), 0.35),
@@ -62,8 +63,14 @@
     Scene {
         vms: vms(10, Size::new(32_000, 125_000, 0)),
         services: vec![
-            apart(a_service("counter-query", 5, Size::new(4_000, 8_000, 0), 20), "status"),
-            apart(a_service("status", 5, Size::new(4_000, 8_000, 0), 11), "counter-query"),
+            with_anti_affinity(
+                a_service("counter-query", 5, Size::new(4_000, 8_000, 0), 20),
+                "status",
+            ),
+            with_anti_affinity(
+                a_service("status", 5, Size::new(4_000, 8_000, 0), 11),
+                "counter-query",
+            ),
         ],
         jobs: vec![
             (
@@ -82,7 +89,7 @@
                 12,
             ),
         ],
-        harm: own(&harm),
+        harm: owned_pairs(&harm),
         alone_us: BTreeMap::from([
             ("counter-query".to_owned(), 15_000.0),
             ("status".to_owned(), 8_000.0),
@@ -96,8 +103,8 @@
     }
 }
 
-/// Ledgerline: ten VMs of 16 processors, each with checkouts, which schedule rebuilds harm; there
-/// is no VM to flee to.
+/// Ledgerline: ten VMs of 16 processors, each with checkouts, which schedule rebuilds slow down. No
+/// VM is free of checkouts, so moving work does not help.
 fn ledgerline() -> Scene {
     let harm = [
         (("checkout", "rebuild"), 0.30),
@@ -124,25 +131,25 @@
                 10,
             ),
         ],
-        harm: own(&harm),
+        harm: owned_pairs(&harm),
         alone_us: BTreeMap::from([("checkout".to_owned(), 10_000.0)]),
         ..matching()
     }
 }
 
-fn own(harm: &[((&str, &str), f64)]) -> BTreeMap<(String, String), f64> {
+fn owned_pairs(harm: &[((&str, &str), f64)]) -> BTreeMap<(String, String), f64> {
     let pair = |((service, job), harm): &((&str, &str), f64)| {
         ((service.to_string(), job.to_string()), *harm)
     };
     harm.iter().map(pair).collect()
 }
 
-/// Load that rises and falls by a tenth over half an hour.
+/// Load that rises and falls by a tenth with a period of half an hour.
 fn day(ms: u64) -> f64 {
     1.0 + 0.1 * (ms as f64 / (30.0 * MINUTE as f64) * std::f64::consts::TAU).sin()
 }
 
-/// Batch work that is three times as noisy for two of every ten minutes.
+/// Interference that is three times as strong for two of every ten minutes.
 fn waves(ms: u64) -> f64 {
     if ms % (10 * MINUTE) < 2 * MINUTE { 3.0 } else { 1.0 }
 }
@@ -182,18 +189,23 @@
 }
 
 fn schedulers() -> Vec<(&'static str, Tuning)> {
-    let off = LadderTuning { on: false, ..LadderTuning::default() };
-    let bare = Tuning { avoid_harm: false, learn_pairs: false, ladder: off, first_fit: false };
+    let off = ThrottleTuning { enabled: false, ..ThrottleTuning::default() };
+    let bare = Tuning {
+        avoid_interference: false,
+        learn_interference: false,
+        throttle: off,
+        first_fit: false,
+    };
     vec![
         ("first fit", Tuning { first_fit: true, ..bare }),
         ("best fit", bare),
-        ("ladder, no pairs", Tuning { ladder: LadderTuning::default(), ..bare }),
+        ("throttling, no learning", Tuning { throttle: ThrottleTuning::default(), ..bare }),
         ("everything", Tuning::default()),
     ]
 }
 
 fn main() {
-    // A word names the cases to run; without one all are.
+    // An argument selects the cases whose names contain it; without one, all cases run.
     let wanted = std::env::args().skip(1).find(|word| !word.starts_with('-'));
     let wanted = wanted.unwrap_or_default();
     for (name, scene) in [("Found Property Matching", matching()), ("Ledgerline", ledgerline())] {
--- a/crates/pond-sched/benches/placement.rs
+++ b/crates/pond-sched/benches/placement.rs
@@ -1,4 +1,4 @@
-//! The cost of a placement by the number of VMs and tasks.
+//! Measures the cost of a placement for several numbers of VMs and tasks.
 //!
 //! `cargo bench -p pond-sched --bench placement` writes the table of docs/MEASUREMENTS.md.
 
@@ -9,10 +9,10 @@
 use pond_state::{Change, Liveness, Meta, Order, State};
 use pond_test::{job, service, vm};
 
-/// VMs and tasks that run already.
+/// Numbers of VMs and of tasks that already run.
 const SIZES: [(u32, u32); 4] = [(10, 150), (100, 1_500), (400, 6_000), (1_200, 18_000)];
 
-/// Jobs that are placed and measured.
+/// Number of jobs whose placement is measured.
 const PLACED: u32 = 1_000;
 
 fn fleet(vms: u32, tasks: u32) -> State {
@@ -44,7 +44,7 @@
     state.apply(Change::Order { meta, order: Order::Apply { units } });
 }
 
-/// Plans once and applies it; how many tasks were placed.
+/// Makes and applies one plan; returns the number of placed tasks.
 fn place(state: &mut State, scheduler: &mut Scheduler) -> u32 {
     let mut placed = 0;
     for change in scheduler.plan(state, Millis(10)) {
--- a/crates/pond-sched/src/candidate.rs
+++ b/crates/pond-sched/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Which VMs a unit may run on, and how good each is.
+//! The VMs that a unit may run on, and their scores.
 
 use std::collections::BTreeMap;
 
@@ -8,45 +8,45 @@
 use crate::fleet::Fleet;
 use crate::miss::Reason;
 
-/// Room and units that this plan has given out already.
+/// The resources and units that the current plan has already assigned to VMs.
 #[derive(Debug, Default)]
-pub struct Given {
-    room: BTreeMap<VmKey, Size>,
+pub struct Planned {
+    assigned: BTreeMap<VmKey, Size>,
     units: BTreeMap<VmKey, Vec<UnitName>>,
     teams: BTreeMap<String, Size>,
 }
 
-impl Given {
-    /// Takes note of a placement.
+impl Planned {
+    /// Records a placement.
     pub fn add(&mut self, vm: VmKey, unit: &Unit) {
-        let room = self.room.entry(vm).or_default();
-        *room = room.plus(unit.size);
+        let assigned = self.assigned.entry(vm).or_default();
+        *assigned = assigned.plus(unit.size);
         self.units.entry(vm).or_default().push(unit.name.clone());
         let team = self.teams.entry(unit.team.clone()).or_default();
         *team = team.plus(unit.size);
     }
 
-    /// What a VM has left.
+    /// Returns the free resources of a VM after the placements of this plan.
     pub fn free(&self, record: &VmRecord) -> Size {
-        let given = self.room.get(&record.key).copied().unwrap_or_default();
-        record.free().minus(given)
+        let planned = self.assigned.get(&record.key).copied().unwrap_or_default();
+        record.free().minus(planned)
     }
 
-    /// Whether a team's quota allows one more task of this unit.
+    /// Returns whether the quota of the unit's team allows one more task of it.
     pub fn within_quota(&self, state: &State, unit: &Unit) -> bool {
-        let given = self.teams.get(&unit.team).copied().unwrap_or_default();
-        let after = state.used(&unit.team).plus(given).plus(unit.size);
+        let planned = self.teams.get(&unit.team).copied().unwrap_or_default();
+        let after = state.used(&unit.team).plus(planned).plus(unit.size);
         state.quota(&unit.team).is_none_or(|quota| after.fits(quota))
     }
 
-    /// The units on a VM, one for each task.
+    /// Returns the units on a VM, one for each task.
     pub fn units_on<'a>(
         &'a self,
         state: &'a State,
         vm: VmKey,
     ) -> impl Iterator<Item = &'a UnitRecord> + 'a {
-        let given = self.units.get(&vm).into_iter().flatten();
-        let names = state.tasks_on(vm).map(|task| &task.unit).chain(given);
+        let planned = self.units.get(&vm).into_iter().flatten();
+        let names = state.tasks_on(vm).map(|task| &task.unit).chain(planned);
         names.filter_map(|name| state.unit(name))
     }
 
@@ -59,41 +59,42 @@
     }
 }
 
-/// Why a unit cannot run on a VM now, or none if it can. `kept` is room kept for other units.
+/// Returns why a unit cannot run on a VM now, or `None` if it can. `reserved` is the room on the
+/// VM that is reserved for other units.
 pub fn obstacle(
     state: &State,
-    given: &Given,
+    planned: &Planned,
     unit: &Unit,
     vm: &VmRecord,
-    kept: Size,
+    reserved: Size,
     now: Millis,
 ) -> Option<Reason> {
     if !vm.matches(&unit.selector) {
         return Some(Reason::Selector);
     }
-    if !Fleet::takes(state, vm, now) {
+    if !Fleet::accepts_work(state, vm, now) {
         return Some(if vm.evacuated { Reason::Evacuated } else { Reason::Closed });
     }
     if let Some(affinity) = &unit.affinity
-        && !given.labels_on(state, vm.key).any(|labels| affinity.matches(labels))
+        && !planned.labels_on(state, vm.key).any(|labels| affinity.matches(labels))
     {
         return Some(Reason::Affinity);
     }
     if let Some(avoid) = &unit.anti_affinity
-        && given.labels_on(state, vm.key).any(|labels| avoid.matches(labels))
+        && planned.labels_on(state, vm.key).any(|labels| avoid.matches(labels))
     {
         return Some(Reason::AntiAffinity);
     }
     if !unit.size.fits(vm.vm.size) {
         return Some(Reason::TooSmall);
     }
-    if !unit.size.fits(given.free(vm).minus(kept)) {
+    if !unit.size.fits(planned.free(vm).minus(reserved)) {
         return Some(Reason::Taken);
     }
     None
 }
 
-/// Where tasks of one service are: by VM, rack and data centre.
+/// The number of tasks of one unit by VM, rack and data centre.
 #[derive(Debug, Default)]
 pub struct Siblings {
     vms: BTreeMap<VmKey, i64>,
@@ -102,7 +103,7 @@
 }
 
 impl Siblings {
-    /// Where the tasks of a unit are now.
+    /// Counts the current tasks of a unit.
     pub fn new(state: &State, record: &UnitRecord) -> Siblings {
         let mut siblings = Siblings::default();
         let tasks = record.tasks.values().filter_map(|key| state.task(*key));
@@ -110,7 +111,7 @@
         siblings
     }
 
-    /// One more on a VM.
+    /// Counts one more task on a VM.
     pub fn add(&mut self, vm: &VmRecord) {
         *self.vms.entry(vm.key).or_default() += 1;
         if let Some(rack) = vm.vm.labels.get(Vm::RACK) {
@@ -119,7 +120,7 @@
         *self.centres.entry(vm.vm.data_centre().to_owned()).or_default() += 1;
     }
 
-    /// The more of them are near, the lower.
+    /// Returns a score that is lower the more tasks of the unit are nearby.
     fn score(&self, vm: &VmRecord) -> i64 {
         let count = |map: &BTreeMap<String, i64>, key: &str| map.get(key).copied().unwrap_or(0);
         let same_vm = self.vms.get(&vm.key).copied().unwrap_or(0);
@@ -129,28 +130,28 @@
     }
 }
 
-/// Score that one wasted accelerator costs.
-const ACCELERATOR: i64 = 400;
+/// Score penalty for each accelerator on the VM that the unit would not use.
+const UNUSED_ACCELERATOR_PENALTY: i64 = 400;
 
-/// How good a VM is for a unit, harm aside; higher is better.
+/// Returns how suitable a VM is for a unit, leaving interference aside; higher is better.
 ///
-/// Jobs are packed onto the fullest VM that holds them. Services are spread away from VMs, then
+/// Jobs are packed onto the fullest VM with enough room. Services are spread away from VMs, then
 /// racks and data centres, that hold tasks of the same service.
-pub fn score(given: &Given, unit: &Unit, vm: &VmRecord, siblings: &Siblings) -> i64 {
-    let fill = fill_after(given, unit, vm);
+pub fn score(planned: &Planned, unit: &Unit, vm: &VmRecord, siblings: &Siblings) -> i64 {
+    let fullness = fullness_after(planned, unit, vm);
     let wasted = match unit.size.accelerators {
-        0 => i64::from(given.free(vm).accelerators) * ACCELERATOR,
+        0 => i64::from(planned.free(vm).accelerators) * UNUSED_ACCELERATOR_PENALTY,
         _ => 0,
     };
     if unit.service().is_none() {
-        return fill - wasted;
+        return fullness - wasted;
     }
-    siblings.score(vm) - fill - wasted
+    siblings.score(vm) - fullness - wasted
 }
 
-/// How full the VM would be, in thousandths of its scarcest resource.
-fn fill_after(given: &Given, unit: &Unit, vm: &VmRecord) -> i64 {
-    let left = given.free(vm).minus(unit.size);
+/// Returns how full the VM would be, in thousandths of its scarcest resource.
+fn fullness_after(planned: &Planned, unit: &Unit, vm: &VmRecord) -> i64 {
+    let left = planned.free(vm).minus(unit.size);
     let share = |left: u32, all: u32| match all {
         0 => 0,
         _ => 1000 - i64::from(left) * 1000 / i64::from(all),
--- a/crates/pond-sched/src/deadline.rs
+++ b/crates/pond-sched/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Says early when a job will probably miss its deadline.
+//! Warns early of jobs that will probably miss their deadline.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 
 use crate::rank::slack;
 
-/// Jobs of which it was said already.
+/// The jobs that a warning was already issued for.
 #[derive(Debug, Default)]
 pub struct Deadlines {
     warned: BTreeSet<UnitName>,
 }
 
 impl Deadlines {
-    /// Warns of waiting jobs whose slack is used up. Running jobs are judged by what they declared.
+    /// Warns once of each waiting job whose slack is used up, judged by its declared run time.
     pub fn warn(&mut self, state: &State, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
         for record in state.wanting().filter(|record| slack(record, now) == Some(0)) {
--- a/crates/pond-sched/src/fleet.rs
+++ b/crates/pond-sched/src/fleet.rs
@@ -1,25 +1,25 @@
-//! An index of the VMs for one plan: which match a selector, in the order of their free room.
+//! An index of the VMs for one plan: which match a selector, ordered by free processors.
 
 use std::collections::{BTreeSet, HashMap};
 
 use pond_proto::{Millis, Selector, Size, VmKey};
 use pond_state::{State, Task, Trust, VmRecord};
 
-/// How many of the fullest or emptiest VMs come first.
-const FIRST: usize = 8;
+/// Number of the fullest or emptiest VMs that are returned first.
+const FIRST_CANDIDATES: usize = 8;
 
-/// How many come from all over the range.
+/// Number of VMs that are then sampled from the whole range.
 const SAMPLES: u32 = 8;
 
-/// VMs that match one selector and take work, by free processors.
+/// The VMs that match one selector and accept work, by free processors.
 #[derive(Debug, Default)]
 struct Class {
     by_free: BTreeSet<(u32, VmKey)>,
     matching: usize,
 }
 
-/// The index. Made anew for each plan, since labels and room change between plans; its cost is
-/// shared by all placements of the plan.
+/// The index. It is rebuilt for each plan because labels and free room change between plans; the
+/// cost is shared by all placements of the plan.
 #[derive(Debug, Default)]
 pub struct Fleet {
     classes: HashMap<Selector, Class>,
@@ -27,26 +27,26 @@
     now: Millis,
 }
 
-/// Whether a job is on a VM.
+/// Returns whether a VM has a task of a job.
 fn runs_job(state: &State, vm: VmKey) -> bool {
     let unit = |task: &Task| state.unit(&task.unit).map(|record| record.unit.job().is_some());
     state.tasks_on(vm).filter_map(unit).any(|job| job)
 }
 
 impl Fleet {
-    /// An index of the state as it is now.
+    /// Creates an index of the current state.
     pub fn new(state: &State, now: Millis) -> Fleet {
         let total = state.vms().fold(Size::default(), |sum, vm| sum.plus(vm.vm.size));
         Fleet { classes: HashMap::new(), total, now }
     }
 
-    /// What all VMs have together.
+    /// Returns the total size of all VMs.
     pub fn total(&self) -> Size {
         self.total
     }
 
-    /// Whether a VM takes work now. One on probation takes one job at a time.
-    pub fn takes(state: &State, vm: &VmRecord, now: Millis) -> bool {
+    /// Returns whether a VM accepts work now. A VM on probation accepts one job at a time.
+    pub fn accepts_work(state: &State, vm: &VmRecord, now: Millis) -> bool {
         vm.open()
             && match vm.trust(now) {
                 Trust::Good => true,
@@ -62,39 +62,42 @@
         let mut class = Class::default();
         for vm in state.vms().filter(|vm| vm.matches(selector)) {
             class.matching += 1;
-            if Fleet::takes(state, vm, self.now) {
+            if Fleet::accepts_work(state, vm, self.now) {
                 class.by_free.insert((free(vm).milli_cpu, vm.key));
             }
         }
         self.classes.insert(selector.clone(), class);
     }
 
-    /// Matching VMs with at least that many free processors: some of the fullest first for work
-    /// that is packed, of the emptiest first for work that is spread; then some from all over the
-    /// range; then all of them. A VM may come more than once.
+    /// Returns the matching VMs with at least `min_cpu` free thousandths of a processor. Work that
+    /// is packed gets some of the fullest VMs first, and work that is spread some of the emptiest;
+    /// then follow samples from the whole range, and then all VMs. A VM may occur more than once.
     pub fn candidates(
         &mut self,
         state: &State,
         selector: &Selector,
-        least: u32,
+        min_cpu: u32,
         spread: bool,
         free: impl Fn(&VmRecord) -> Size,
     ) -> Box<dyn Iterator<Item = VmKey> + '_> {
         self.class(state, selector, free);
         let Some(class) = self.classes.get(selector) else { return Box::new(std::iter::empty()) };
-        let from = move |least: u32| class.by_free.range((least, VmKey(0))..).map(|(_, key)| *key);
-        let most = class.by_free.last().map_or(0, |(free, _)| *free);
-        let step = most.saturating_sub(least) / SAMPLES;
-        let sampled = (1..=SAMPLES).filter_map(move |i| from(least + step * i).next());
+        let from =
+            move |min_cpu: u32| class.by_free.range((min_cpu, VmKey(0))..).map(|(_, key)| *key);
+        let max_free = class.by_free.last().map_or(0, |(free, _)| *free);
+        let step = max_free.saturating_sub(min_cpu) / SAMPLES;
+        let sampled = (1..=SAMPLES).filter_map(move |i| from(min_cpu + step * i).next());
         if spread {
-            let emptiest = from(least).rev();
-            return Box::new(emptiest.take(FIRST).chain(sampled).chain(from(least).rev()));
+            let emptiest = from(min_cpu).rev();
+            return Box::new(
+                emptiest.take(FIRST_CANDIDATES).chain(sampled).chain(from(min_cpu).rev()),
+            );
         }
-        Box::new(from(least).take(FIRST).chain(sampled).chain(from(least)))
+        Box::new(from(min_cpu).take(FIRST_CANDIDATES).chain(sampled).chain(from(min_cpu)))
     }
 
-    /// Takes note that a VM's free processors changed.
-    pub fn moved(&mut self, vm: VmKey, before: u32, after: u32) {
+    /// Updates the index after a VM's free processors changed.
+    pub fn update_free(&mut self, vm: VmKey, before: u32, after: u32) {
         for class in self.classes.values_mut() {
             if class.by_free.remove(&(before, vm)) {
                 class.by_free.insert((after, vm));
--- a/crates/pond-sched/src/kind.rs
+++ b/crates/pond-sched/src/kind.rs
@@ -1,19 +1,19 @@
-//! Small keys for kinds of units.
+//! Compact keys for the kinds of units.
 
 use std::collections::HashMap;
 
-/// A kind of unit: what is learned of one unit counts for all of its kind.
+/// The key of a kind of unit. Measurements of one unit count for all units of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Kind(u32);
 
-/// Gives each kind's name its key.
+/// Maps the names of kinds to keys.
 #[derive(Debug, Default)]
 pub struct Kinds {
     keys: HashMap<String, Kind>,
 }
 
 impl Kinds {
-    /// The key of a name, made if it is new.
+    /// Returns the key of a name and creates it if the name is new.
     pub fn key(&mut self, name: &str) -> Kind {
         if let Some(key) = self.keys.get(name) {
             return *key;
@@ -23,7 +23,7 @@
         key
     }
 
-    /// The key of a name, if there is one.
+    /// Returns the key of a name, if it has one.
     pub fn get(&self, name: &str) -> Option<Kind> {
         self.keys.get(name).copied()
     }
--- a/crates/pond-sched/src/lib.rs
+++ b/crates/pond-sched/src/lib.rs
@@ -1,24 +1,25 @@
-//! The scheduler: decides which VM runs each unit and what gives way.
+//! The scheduler: decides which VM runs each unit, and which work is throttled, moved or preempted.
 //!
-//! A pure core: [`Scheduler::plan`] looks at the replicated state, at late usage reports and at the
-//! time, and hands out changes to propose. The state checks each of them again when it is applied.
-//! What it has learned is in the leader's memory only and is learned anew after a change of leader.
+//! It performs no input or output: [`Scheduler::plan`] takes the replicated state, delayed usage
+//! reports and the time, and returns changes to propose. The state validates each change again when
+//! it is applied. Estimates exist only in the leader's memory and are learned again after a change
+//! of leader.
 
-mod beneath;
 mod candidate;
 mod deadline;
 mod fleet;
-mod harm;
 mod info;
+mod interference;
 mod kind;
-mod ladder;
 mod miss;
+mod neighbours;
 mod occupancy;
 mod plan;
 mod preempt;
 mod rank;
+mod throttle;
 mod usage;
 
-pub use harm::Interference;
-pub use ladder::Tuning as LadderTuning;
+pub use interference::Interference;
 pub use plan::{Measured, Scheduler, Tuning};
+pub use throttle::Tuning as ThrottleTuning;
--- a/crates/pond-sched/src/miss.rs
+++ b/crates/pond-sched/src/miss.rs
@@ -1,27 +1,27 @@
-//! Why a unit can run nowhere, told from the nearest miss.
+//! Explains why a unit fits on no VM, by how close the VMs come to accepting it.
 
 use pond_proto::{Size, Unit};
 
-/// Why a unit cannot run on one VM, from the farthest miss to the nearest.
+/// Why a unit cannot run on one VM, from the most general reason to the most specific one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// The VM's labels do not match the selector.
     Selector,
-    /// The VM takes no new work.
+    /// The VM accepts no new work.
     Closed,
     /// Its data centre is evacuated.
     Evacuated,
-    /// No unit that the affinity asks for is there.
+    /// The VM runs no unit that the affinity requires.
     Affinity,
-    /// A unit that the anti-affinity excludes is there.
+    /// The VM runs a unit that the anti-affinity excludes.
     AntiAffinity,
-    /// The whole VM is too small.
+    /// The VM is too small even when it is empty.
     TooSmall,
-    /// What is left of the VM is too small.
+    /// The free resources of the VM are too small.
     Taken,
 }
 
-/// Counts the reasons over all VMs.
+/// The number of VMs for each reason, with the largest VM and the largest free resources.
 #[derive(Debug, Default)]
 pub struct Misses {
     counts: [usize; 7],
@@ -30,7 +30,7 @@
 }
 
 impl Misses {
-    /// Takes in why one VM was no candidate.
+    /// Counts the reason why one VM cannot run the unit.
     pub fn add(&mut self, reason: Reason, size: Size, free: Size) {
         self.counts[reason as usize] += 1;
         if matches!(reason, Reason::TooSmall | Reason::Taken) {
@@ -43,7 +43,7 @@
         self.counts[reason as usize]
     }
 
-    /// The nearest miss in a sentence.
+    /// Explains in one sentence why no VM can run the unit.
     pub fn explain(&self, unit: &Unit) -> String {
         let all: usize = self.counts.iter().sum();
         let matching = all - self.count(Reason::Selector);
@@ -57,14 +57,14 @@
         let open = matching - self.count(Reason::Closed) - evacuated;
         let mut text = format!("{matching} of {all} VMs match the selector");
         if evacuated > 0 {
-            text.push_str(&format!(", {evacuated} of them stand in evacuated data centres"));
+            text.push_str(&format!(", {evacuated} of them are in evacuated data centres"));
         }
         if open == 0 {
-            text.push_str(", none of them takes new work now");
+            text.push_str(", none of them accepts new work now");
             return text;
         }
         if open < matching {
-            text.push_str(&format!(", {open} of them take new work"));
+            text.push_str(&format!(", {open} of them accept new work"));
         }
         text.push_str(&self.explain_open(unit));
         text
@@ -74,11 +74,11 @@
         let mut parts = Vec::new();
         if self.count(Reason::Affinity) > 0 {
             let count = self.count(Reason::Affinity);
-            parts.push(format!("{count} hold no unit that the affinity asks for"));
+            parts.push(format!("{count} run no unit that the affinity requires"));
         }
         if self.count(Reason::AntiAffinity) > 0 {
             let count = self.count(Reason::AntiAffinity);
-            parts.push(format!("{count} hold a unit that the anti-affinity excludes"));
+            parts.push(format!("{count} run a unit that the anti-affinity excludes"));
         }
         if self.count(Reason::Taken) > 0 {
             let lack = lack(unit.size, self.largest_free, "free");
@@ -99,7 +99,7 @@
     }
 }
 
-/// What is lacking, with the largest amount that one VM has.
+/// Describes which resources are lacking, with the largest amount that one VM has.
 fn lack(need: Size, largest: Size, word: &str) -> String {
     let mut parts = Vec::new();
     if need.accelerators > largest.accelerators {
--- a/crates/pond-sched/src/occupancy.rs
+++ b/crates/pond-sched/src/occupancy.rs
@@ -1,59 +1,61 @@
-//! What ran on each VM in the last minutes, so that a late report is held against what was there
-//! when it was taken, and not against what is there now.
+//! The recent history of the batch work on each VM, so that a delayed report is compared with the
+//! work that ran when it was taken, and not with the work that runs now.
 
 use std::collections::{HashMap, VecDeque};
 
 use pond_proto::{Millis, Span, VmKey};
 
-use crate::harm::Beside;
+use crate::interference::Colocated;
 
-/// How far back it reaches, in milliseconds.
-const KEPT_MS: Span = 180_000;
+/// How long the history is kept, in milliseconds.
+const RETENTION_MS: Span = 180_000;
 
-/// After a change of what runs, measurements of this long may still show what was there before.
-const SETTLE_MS: Span = 1_000;
+/// Time after a change of the batch work during which measurements may still reflect the previous
+/// work, in milliseconds.
+const SETTLING_MS: Span = 1_000;
 
-/// The batch work on one VM from one moment on.
+/// The batch work on one VM from a point in time on.
 #[derive(Clone, Debug)]
-struct Stretch {
+struct Interval {
     since: Millis,
-    beside: Vec<Beside>,
+    colocated: Vec<Colocated>,
 }
 
-/// The batch work on all VMs, lately.
+/// The recent batch work on all VMs.
 #[derive(Debug, Default)]
 pub struct Occupancy {
-    vms: HashMap<VmKey, VecDeque<Stretch>>,
+    vms: HashMap<VmKey, VecDeque<Interval>>,
 }
 
 impl Occupancy {
-    /// Takes in what runs on a VM now.
-    pub fn note(&mut self, vm: VmKey, now: Millis, beside: Vec<Beside>) {
-        let stretches = self.vms.entry(vm).or_default();
-        if stretches.back().is_some_and(|last| last.beside == beside) {
+    /// Records the batch work that runs on a VM now.
+    pub fn record(&mut self, vm: VmKey, now: Millis, colocated: Vec<Colocated>) {
+        let intervals = self.vms.entry(vm).or_default();
+        if intervals.back().is_some_and(|last| last.colocated == colocated) {
             return;
         }
-        stretches.push_back(Stretch { since: now, beside });
-        while stretches.len() > 1 && now.since(stretches[1].since) > KEPT_MS {
-            stretches.pop_front();
+        intervals.push_back(Interval { since: now, colocated });
+        while intervals.len() > 1 && now.since(intervals[1].since) > RETENTION_MS {
+            intervals.pop_front();
         }
     }
 
-    /// What ran on a VM when a measurement was taken; none if it had just changed or is forgotten.
-    pub fn at(&self, vm: VmKey, measured: Millis) -> Option<&[Beside]> {
-        let stretches = self.vms.get(&vm)?;
-        let place = stretches.iter().rposition(|stretch| stretch.since <= measured)?;
-        let stretch = &stretches[place];
-        (measured.since(stretch.since) >= SETTLE_MS).then_some(stretch.beside.as_slice())
+    /// Returns the batch work on a VM when a measurement was taken, or `None` if the work had just
+    /// changed or is no longer in the history.
+    pub fn at(&self, vm: VmKey, measured: Millis) -> Option<&[Colocated]> {
+        let intervals = self.vms.get(&vm)?;
+        let place = intervals.iter().rposition(|interval| interval.since <= measured)?;
+        let interval = &intervals[place];
+        (measured.since(interval.since) >= SETTLING_MS).then_some(interval.colocated.as_slice())
     }
 
-    /// Since when the same work runs on a VM.
+    /// Returns the time since which the batch work on a VM has not changed.
     pub fn since(&self, vm: VmKey) -> Option<Millis> {
-        self.vms.get(&vm)?.back().map(|stretch| stretch.since)
+        self.vms.get(&vm)?.back().map(|interval| interval.since)
     }
 
-    /// Forgets VMs that are no more.
-    pub fn keep(&mut self, exists: impl Fn(VmKey) -> bool) {
+    /// Removes VMs that no longer exist.
+    pub fn retain_vms(&mut self, exists: impl Fn(VmKey) -> bool) {
         self.vms.retain(|vm, _| exists(*vm));
     }
 }
--- a/crates/pond-sched/src/plan.rs
+++ b/crates/pond-sched/src/plan.rs
@@ -1,92 +1,93 @@
-//! The scheduler and one round of its planning.
+//! The scheduler and its planning rounds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use pond_proto::{Millis, Size, Span, TaskKey, Unit, UnitName, VmKey};
 use pond_state::{Action, Change, Decision, Standing, State, Task, Trust, UnitRecord, VmRecord};
 
-use crate::beneath::{Cache, Neighbours};
-use crate::candidate::{Given, Siblings, obstacle, score};
+use crate::candidate::{Planned, Siblings, obstacle, score};
 use crate::deadline::Deadlines;
 use crate::fleet::Fleet;
-use crate::harm::{Beside, Interference};
-use crate::info::{Info, Infos};
+use crate::info::{Info, InfoCache};
+use crate::interference::{Colocated, Interference};
 use crate::kind::Kinds;
-use crate::ladder::{Known, Ladder, Tuning as LadderTuning, share_of};
 use crate::miss::Misses;
+use crate::neighbours::{Cache, Neighbours};
 use crate::occupancy::Occupancy;
 use crate::preempt::Preemption;
 use crate::rank::Rank;
+use crate::throttle::{Inputs, Throttler, Tuning as ThrottleTuning, share_of};
 use crate::usage::Usage;
 
-/// Placements in one plan; the rest waits for the next.
-const PLACEMENTS: usize = 256;
+/// Maximum number of placements in one plan; the rest waits for the next.
+const MAX_PLACEMENTS: usize = 256;
 
-/// VMs that are scored for one placement, among those that fit.
-const SCORED: usize = 16;
+/// Maximum number of suitable VMs that are scored for one placement.
+const MAX_SCORED: usize = 16;
 
-/// Units set aside in one plan.
-const SET_ASIDE: usize = 64;
+/// Maximum number of units that are set aside in one plan.
+const MAX_SET_ASIDE: usize = 64;
 
-/// Score that a service at its objective costs a placement beside it.
-const HARM_SCORE: f64 = 3000.0;
+/// Score penalty per unit of added slowdown or excess latency of the services on a VM.
+const INTERFERENCE_PENALTY: f64 = 3000.0;
 
-/// A VM is better for a task if the services there stay below this share of their objectives.
-const BETTER_BELOW: f64 = 0.9;
+/// A VM is a target for a move if its services are expected to stay below this share of their
+/// objectives.
+const MOVE_TARGET_BELOW: f64 = 0.9;
 
-/// A unit that fits nowhere is looked at again after this time even if there is no new room, in
-/// milliseconds: what was in its way may be gone without any, as when the unit that it wants to stand
-/// beside is placed. Each look at it costs as much as a placement.
-const ASIDE_MS: Span = 10_000;
+/// Time after which a unit that fits nowhere is tried again even if no room was freed, in
+/// milliseconds. Obstacles can disappear without new room, for example when the unit that its
+/// affinity requires is placed. Each attempt costs as much as a placement.
+const UNPLACEABLE_RETRY_MS: Span = 10_000;
 
-/// Time between looks at what runs beside services, in milliseconds.
-const LADDER_MS: Span = 500;
+/// Time between two throttling rounds, in milliseconds.
+const THROTTLE_INTERVAL_MS: Span = 500;
 
-/// What the scheduler does, parts of which can be left out for comparison.
+/// Parameters of the scheduler; benchmarks turn parts of it off for comparison.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// Take the first VM that fits and score nothing.
+    /// Place each unit on the first VM that fits, without scoring.
     pub first_fit: bool,
-    /// Weigh the expected harm in placements.
-    pub avoid_harm: bool,
-    /// Learn which kinds harm which.
-    pub learn_pairs: bool,
-    /// The ladder.
-    pub ladder: LadderTuning,
+    /// Consider expected interference in placements.
+    pub avoid_interference: bool,
+    /// Learn the interference between kinds of units.
+    pub learn_interference: bool,
+    /// Throttling of batch work.
+    pub throttle: ThrottleTuning,
 }
 
 impl Default for Tuning {
     fn default() -> Tuning {
         Tuning {
             first_fit: false,
-            avoid_harm: true,
-            learn_pairs: true,
-            ladder: LadderTuning::default(),
+            avoid_interference: true,
+            learn_interference: true,
+            throttle: ThrottleTuning::default(),
         }
     }
 }
 
-/// A late measurement of one task.
+/// A measurement of one task, which may arrive with a delay.
 #[derive(Clone, Copy, Debug)]
 pub struct Measured {
     /// The task.
     pub task: TaskKey,
     /// When it was taken.
     pub at: Millis,
-    /// Thousandths of a processor in use.
+    /// Processors in use, in thousandths.
     pub milli_cpu: u32,
     /// Memory in use, in MiB.
     pub memory_mib: u32,
-    /// The 99th percentile of its latency, in microseconds, for a service.
+    /// The 99th percentile latency in microseconds, for a service.
     pub p99_us: Option<u64>,
-    /// Requests a second, for a service that counts them.
+    /// Requests per second, for a service that counts them.
     pub rate: Option<f64>,
 }
 
-/// When a unit was last found to fit nowhere.
+/// The last time when a unit was found to fit nowhere.
 #[derive(Clone, Copy, Debug)]
-struct Judged {
-    /// The count of room then.
+struct Unplaceable {
+    /// The value of [`Scheduler::room`] at that time.
     room: u64,
     at: Millis,
 }
@@ -97,22 +98,23 @@
     tuning: Tuning,
     /// The units that were found to fit nowhere.
     ///
-    /// Kept here and not in the state while the reason stays the same, so that units that fit
-    /// nowhere cost the log nothing.
-    judged: BTreeMap<UnitName, Judged>,
+    /// They are kept here and not in the state while the reason stays the same, so that such
+    /// units add nothing to the log.
+    unplaceable: BTreeMap<UnitName, Unplaceable>,
     kinds: Kinds,
-    infos: Infos,
-    harm: Interference,
+    infos: InfoCache,
+    interference: Interference,
     usage: Usage,
     occupancy: Occupancy,
-    ladder: Ladder,
+    throttle: Throttler,
     preemption: Preemption,
     deadlines: Deadlines,
-    /// VMs in quarantine, and how often one came out of it: that is new room too.
+    /// The VMs in quarantine, and the number of quarantines that ended, which also counts as new
+    /// room.
     quarantined: BTreeSet<VmKey>,
-    released: u64,
-    /// When what runs beside services was last looked at.
-    looked: Option<Millis>,
+    ended_quarantines: u64,
+    /// The time of the last throttling round.
+    last_throttling: Option<Millis>,
 }
 
 impl Default for Scheduler {
@@ -121,148 +123,154 @@
     }
 }
 
-/// A VM that can take a unit, with its score.
+/// A VM that can run a unit, with its score.
 struct Choice {
     vm: VmKey,
     name: String,
     score: i64,
-    /// The service beside it that comes closest to its objective, and how close.
-    harmed: Option<(String, f64)>,
+    /// The service on the VM that is closest to its objective, and its expected latency as a share
+    /// of the objective.
+    most_affected: Option<(String, f64)>,
 }
 
-/// What one plan works with.
+/// The working data of one plan.
 struct Round<'a> {
     state: &'a State,
     now: Millis,
-    given: Given,
+    planned: Planned,
     fleet: Fleet,
     cache: Cache,
     changes: Vec<Change>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet.
+    /// Creates a scheduler with default parameters and without estimates.
     pub fn new() -> Scheduler {
         Scheduler::with_tuning(Tuning::default())
     }
 
-    /// A scheduler with parts left out.
+    /// Creates a scheduler with the given parameters.
     pub fn with_tuning(tuning: Tuning) -> Scheduler {
         Scheduler {
             tuning,
-            judged: BTreeMap::new(),
+            unplaceable: BTreeMap::new(),
             kinds: Kinds::default(),
-            infos: Infos::default(),
-            harm: Interference::new(tuning.learn_pairs),
+            infos: InfoCache::default(),
+            interference: Interference::new(tuning.learn_interference),
             usage: Usage::default(),
             occupancy: Occupancy::default(),
-            ladder: Ladder::new(tuning.ladder),
+            throttle: Throttler::new(tuning.throttle),
             preemption: Preemption::default(),
             deadlines: Deadlines::default(),
             quarantined: BTreeSet::new(),
-            released: 0,
-            looked: None,
+            ended_quarantines: 0,
+            last_throttling: None,
         }
     }
 
-    /// An operator's order was applied: units may have changed.
+    /// Drops cached unit properties; call it after an operator's order was applied.
     pub fn units_changed(&mut self) {
         self.infos.clear();
     }
 
-    /// What it believes of interference.
+    /// Returns the interference estimates.
     pub fn interference(&self) -> &Interference {
-        &self.harm
+        &self.interference
     }
 
-    /// Takes in late measurements of tasks on one VM.
+    /// Updates the estimates with measurements of tasks on one VM.
     pub fn measure(&mut self, state: &State, measured: &[Measured]) {
         for report in measured {
             let Some(task) = state.task(report.task) else { continue };
-            let info = self.infos.look_up(state, &mut self.kinds, task);
+            let info = self.infos.get_or_insert(state, &mut self.kinds, task);
             let Some(Info { kind, .. }) = info else { continue };
-            self.usage.learn(kind, task.size, report.milli_cpu, report.memory_mib);
+            self.usage.record(kind, task.size, report.milli_cpu, report.memory_mib);
             let Some(p99_us) = report.p99_us else { continue };
-            let Some(beside) = self.occupancy.at(task.vm, report.at) else { continue };
-            let victim = self.harm.note_rate(kind, report.rate);
-            self.harm.learn(victim, p99_us as f64, beside);
-            self.ladder.measured(report.task, report.at, p99_us as f64);
+            let Some(colocated) = self.occupancy.at(task.vm, report.at) else { continue };
+            let victim = self.interference.record_rate(kind, report.rate);
+            self.interference.record(victim, p99_us as f64, colocated);
+            self.throttle.record_latency(report.task, report.at, p99_us as f64);
         }
     }
 
-    /// Plans what to change now.
+    /// Returns the changes to propose now.
     ///
-    /// The changes of one plan go well together, so none may be planned again before all of them
-    /// were applied.
+    /// The changes of one plan take each other into account. All of them must be applied before
+    /// the next plan is made.
     pub fn plan(&mut self, state: &State, now: Millis) -> Vec<Change> {
-        let look = self.looked.is_none_or(|looked| now.since(looked) >= LADDER_MS);
-        if look {
-            self.looked = Some(now);
-            self.note_occupancy(state, now);
+        let throttling_due = self
+            .last_throttling
+            .is_none_or(|last_throttling| now.since(last_throttling) >= THROTTLE_INTERVAL_MS);
+        if throttling_due {
+            self.last_throttling = Some(now);
+            self.record_occupancy(state, now);
         }
-        self.note_quarantines(state, now);
-        self.preemption.forget(state, now);
-        self.ladder.forget(state, now);
+        self.record_quarantines(state, now);
+        self.preemption.remove_expired(state, now);
+        self.throttle.remove_stale(state, now);
         let mut changes = plan_moves(state, now);
         changes.extend(self.deadlines.warn(state, now));
-        if look {
-            changes.extend(self.plan_ladder(state, now));
+        if throttling_due {
+            changes.extend(self.plan_throttling(state, now));
         }
         changes.extend(self.plan_placements(state, now));
         changes
     }
 
-    /// Takes note of VMs that went into quarantine or came out of it.
-    fn note_quarantines(&mut self, state: &State, now: Millis) {
-        let held = state.vms().filter(|vm| vm.trust(now) == Trust::Quarantined);
-        let held: BTreeSet<VmKey> = held.map(|vm| vm.key).collect();
-        self.released += self.quarantined.difference(&held).count() as u64;
-        self.quarantined = held;
+    /// Records which VMs entered or left quarantine.
+    fn record_quarantines(&mut self, state: &State, now: Millis) {
+        let quarantined = state.vms().filter(|vm| vm.trust(now) == Trust::Quarantined);
+        let quarantined: BTreeSet<VmKey> = quarantined.map(|vm| vm.key).collect();
+        self.ended_quarantines += self.quarantined.difference(&quarantined).count() as u64;
+        self.quarantined = quarantined;
     }
 
-    /// Counts the times that room appeared, in the state or by the end of a quarantine.
+    /// Returns how often room was freed, in the state or by the end of a quarantine.
     fn room(&self, state: &State) -> u64 {
-        state.room() + self.released
+        state.room() + self.ended_quarantines
     }
 
-    fn plan_ladder(&mut self, state: &State, now: Millis) -> Vec<Change> {
-        let Scheduler { harm, kinds, infos, usage, occupancy, ladder, .. } = self;
-        let known = Known { state, harm, infos, occupancy };
-        let given = Given::default();
-        let better = |task: &Task| {
+    fn plan_throttling(&mut self, state: &State, now: Millis) -> Vec<Change> {
+        let Scheduler { interference, kinds, infos, usage, occupancy, throttle, .. } = self;
+        let inputs = Inputs { state, interference, infos, occupancy };
+        let planned = Planned::default();
+        let find_better_vm = |task: &Task| {
             let unit = &state.unit(&task.unit)?.unit;
             let mut others = state.vms().filter(|vm| vm.key != task.vm);
             let fits = |vm: &&VmRecord| {
-                let no_obstacle = obstacle(state, &given, unit, vm, Size::default(), now).is_none();
+                let no_obstacle =
+                    obstacle(state, &planned, unit, vm, Size::default(), now).is_none();
                 no_obstacle
-                    && Neighbours::new(state, kinds, usage, vm.key).with(harm, kinds, unit).strain()
-                        < BETTER_BELOW
+                    && Neighbours::new(state, kinds, usage, vm.key)
+                        .with(interference, kinds, unit)
+                        .latency_ratio()
+                        < MOVE_TARGET_BELOW
             };
             others.find(fits).map(|vm| vm.vm.name.clone())
         };
-        ladder.plan(&known, &better, now)
+        throttle.plan(&inputs, &find_better_vm, now)
     }
 
-    /// Takes note of the batch work on each VM.
-    fn note_occupancy(&mut self, state: &State, now: Millis) {
+    /// Records the batch work that runs on each VM.
+    fn record_occupancy(&mut self, state: &State, now: Millis) {
         for vm in state.vms() {
-            let mut beside = Vec::new();
+            let mut colocated = Vec::new();
             for task in state.tasks_on(vm.key) {
-                let info = self.infos.look_up(state, &mut self.kinds, task);
-                let Some(Info { kind, job: true, .. }) = info else { continue };
+                let info = self.infos.get_or_insert(state, &mut self.kinds, task);
+                let Some(Info { kind, is_job: true, .. }) = info else { continue };
                 if task.started.is_some() {
                     let share = f64::from(share_of(task.phase)) / 100.0;
-                    beside.push(Beside { kind, share });
+                    colocated.push(Colocated { kind, share });
                 }
             }
-            self.occupancy.note(vm.key, now, beside);
+            self.occupancy.record(vm.key, now, colocated);
         }
-        self.occupancy.keep(|vm| state.vm(vm).is_some());
-        self.infos.forget(state);
+        self.occupancy.retain_vms(|vm| state.vm(vm).is_some());
+        self.infos.remove_stale(state);
     }
 
     fn plan_placements(&mut self, state: &State, now: Millis) -> Vec<Change> {
-        // Before the first list nothing can be said.
+        // No placement is possible before the first VM list has arrived.
         if state.vms().next().is_none() {
             return Vec::new();
         }
@@ -270,31 +278,31 @@
         let total = fleet.total();
         let mut waiting: Vec<(Rank, &UnitRecord)> = state
             .wanting()
-            .filter(|record| self.due(state, record, now))
+            .filter(|record| self.is_due(state, record, now))
             .map(|record| (Rank::new(state, record, total, now), record))
             .collect();
         waiting.sort_by(|a, b| (a.0, &a.1.unit.name).cmp(&(b.0, &b.1.unit.name)));
 
-        let given = Given::default();
+        let planned = Planned::default();
         let cache = Cache::default();
-        let mut round = Round { state, now, given, fleet, cache, changes: Vec::new() };
-        let mut aside = 0;
+        let mut round = Round { state, now, planned, fleet, cache, changes: Vec::new() };
+        let mut set_aside_count = 0;
         for (_, record) in waiting {
-            if round.changes.len() >= PLACEMENTS || aside >= SET_ASIDE {
+            if round.changes.len() >= MAX_PLACEMENTS || set_aside_count >= MAX_SET_ASIDE {
                 break;
             }
             if !self.place_unit(&mut round, record) {
-                aside += 1;
+                set_aside_count += 1;
             }
         }
         round.changes
     }
 
-    /// Places all missing replicas of a unit; false if one of them fits nowhere.
+    /// Places all missing replicas of a unit; returns false if one of them fits nowhere.
     fn place_unit(&mut self, round: &mut Round<'_>, record: &UnitRecord) -> bool {
         let mut siblings = Siblings::new(round.state, record);
         for replica in record.missing() {
-            if round.changes.len() >= PLACEMENTS {
+            if round.changes.len() >= MAX_PLACEMENTS {
                 return true;
             }
             match self.place(round, record, replica, &siblings) {
@@ -315,9 +323,9 @@
 
     fn make_room_or_set_aside(&mut self, round: &mut Round<'_>, record: &UnitRecord, why: String) {
         let unit = &record.unit;
-        if unit.priority >= Unit::URGENT && !self.preemption.under_way(&unit.name) {
+        if unit.priority >= Unit::URGENT && !self.preemption.has_reservation(&unit.name) {
             let matching = round.state.vms().filter(|vm| vm.matches(&unit.selector));
-            let open = matching.filter(|vm| Fleet::takes(round.state, vm, round.now));
+            let open = matching.filter(|vm| Fleet::accepts_work(round.state, vm, round.now));
             let candidates = open.map(|vm| vm.key);
             let moves = self.preemption.make_room(round.state, unit, candidates, round.now);
             round.changes.extend(moves);
@@ -326,7 +334,10 @@
         round.changes.extend(change);
     }
 
-    /// Finds a VM for one replica, or says why there is none.
+    /// Finds a VM for one replica.
+    ///
+    /// # Errors
+    /// The reason why no VM fits.
     fn place(
         &mut self,
         round: &mut Round<'_>,
@@ -336,17 +347,17 @@
     ) -> Result<(Change, VmKey), String> {
         let unit = &record.unit;
         let (state, now) = (round.state, round.now);
-        if !round.given.within_quota(state, unit) {
+        if !round.planned.within_quota(state, unit) {
             return Err(format!("the quota of team {} is used up", unit.team));
         }
         let mut choices = self.choices(round, unit, siblings);
         choices.sort_by_key(|choice| (std::cmp::Reverse(choice.score), choice.vm));
         let Some(best) = choices.first() else { return Err(self.explain_miss(round, unit)) };
         if let Some(vm) = state.vm(best.vm) {
-            let before = round.given.free(vm).milli_cpu;
-            round.given.add(best.vm, unit);
+            let before = round.planned.free(vm).milli_cpu;
+            round.planned.add(best.vm, unit);
             round.cache.add(&self.kinds, &self.usage, best.vm, unit);
-            round.fleet.moved(best.vm, before, round.given.free(vm).milli_cpu);
+            round.fleet.update_free(best.vm, before, round.planned.free(vm).milli_cpu);
         }
         let (why, next_best) = explain(&choices);
         let decision =
@@ -356,22 +367,22 @@
         Ok((change, best.vm))
     }
 
-    /// The first VMs that fit, with their scores.
+    /// Returns the first VMs that fit, with their scores.
     fn choices(&self, round: &mut Round<'_>, unit: &Unit, siblings: &Siblings) -> Vec<Choice> {
-        let Round { state, now, given, fleet, cache, .. } = round;
-        let (state, now, given) = (*state, *now, &*given);
+        let Round { state, now, planned, fleet, cache, .. } = round;
+        let (state, now, planned) = (*state, *now, &*planned);
         let spread = unit.service().is_some();
-        let free = |vm: &VmRecord| given.free(vm);
+        let free = |vm: &VmRecord| planned.free(vm);
         let candidates = fleet.candidates(state, &unit.selector, unit.size.milli_cpu, spread, free);
-        let most = if self.tuning.first_fit { 1 } else { SCORED };
+        let most = if self.tuning.first_fit { 1 } else { MAX_SCORED };
         let mut seen = BTreeSet::new();
         let mut choices = Vec::new();
         let fresh = candidates.filter(|key| seen.insert(*key));
         for vm in fresh.filter_map(|key| state.vm(key)) {
-            let kept = self.preemption.kept_for_others(state, vm.key, &unit.name);
-            if obstacle(state, given, unit, vm, kept, now).is_none() {
-                let here = cache.at(state, &self.kinds, &self.usage, vm.key);
-                choices.push(self.choice(here, given, unit, vm, siblings));
+            let reserved = self.preemption.reserved_for_others(state, vm.key, &unit.name);
+            if obstacle(state, planned, unit, vm, reserved, now).is_none() {
+                let neighbours = cache.at(state, &self.kinds, &self.usage, vm.key);
+                choices.push(self.choice(neighbours, planned, unit, vm, siblings));
             }
             if choices.len() >= most {
                 break;
@@ -382,59 +393,60 @@
 
     fn choice(
         &self,
-        here: &Neighbours,
-        given: &Given,
+        neighbours: &Neighbours,
+        planned: &Planned,
         unit: &Unit,
         vm: &VmRecord,
         siblings: &Siblings,
     ) -> Choice {
-        let mut total = score(given, unit, vm, siblings);
-        let mut harmed = None;
-        if self.tuning.avoid_harm {
-            let effect = here.with(&self.harm, &self.kinds, unit);
-            // What it adds costs something, and beyond nine tenths of an objective much.
-            let over = (effect.strain() - 0.9).max(0.0) * 5.0;
-            total -= ((effect.added + over) * HARM_SCORE) as i64;
-            harmed = effect.worst;
+        let mut total = score(planned, unit, vm, siblings);
+        let mut most_affected = None;
+        if self.tuning.avoid_interference {
+            let effect = neighbours.with(&self.interference, &self.kinds, unit);
+            // Added slowdown lowers the score, latency above nine tenths of an objective much more.
+            let excess = (effect.latency_ratio() - 0.9).max(0.0) * 5.0;
+            total -= ((effect.added + excess) * INTERFERENCE_PENALTY) as i64;
+            most_affected = effect.worst;
         }
-        total -= self.expected_overuse(here, unit, vm);
-        Choice { vm: vm.key, name: vm.vm.name.clone(), score: total, harmed }
+        total -= self.expected_overuse(neighbours, unit, vm);
+        Choice { vm: vm.key, name: vm.vm.name.clone(), score: total, most_affected }
     }
 
-    /// Score that a VM costs on which more memory is expected to be used than it has.
-    fn expected_overuse(&self, here: &Neighbours, unit: &Unit, vm: &VmRecord) -> i64 {
+    /// Returns the score penalty for a VM on which tasks are expected to use more memory than it has.
+    fn expected_overuse(&self, neighbours: &Neighbours, unit: &Unit, vm: &VmRecord) -> i64 {
         let own = self.usage.expected(self.kinds.get(unit.kind_name()), unit.size);
-        let expected = here.expected_memory_mib() + u64::from(own.memory_mib);
-        let over = expected.saturating_sub(u64::from(vm.vm.size.memory_mib));
-        (over * 4000 / u64::from(vm.vm.size.memory_mib.max(1))) as i64
+        let expected = neighbours.expected_memory_mib() + u64::from(own.memory_mib);
+        let excess = expected.saturating_sub(u64::from(vm.vm.size.memory_mib));
+        (excess * 4000 / u64::from(vm.vm.size.memory_mib.max(1))) as i64
     }
 
     fn explain_miss(&self, round: &Round<'_>, unit: &Unit) -> String {
         let mut misses = Misses::default();
         for vm in round.state.vms() {
-            let kept = self.preemption.kept_for_others(round.state, vm.key, &unit.name);
-            let reason = obstacle(round.state, &round.given, unit, vm, kept, round.now);
+            let reserved = self.preemption.reserved_for_others(round.state, vm.key, &unit.name);
+            let reason = obstacle(round.state, &round.planned, unit, vm, reserved, round.now);
             if let Some(reason) = reason {
-                misses.add(reason, vm.vm.size, round.given.free(vm));
+                misses.add(reason, vm.vm.size, round.planned.free(vm));
             }
         }
         misses.explain(unit)
     }
 
-    /// Whether a unit is to be looked at now: one that fits nowhere only when there is new room, or after
-    /// a while.
-    fn due(&self, state: &State, record: &UnitRecord, now: Millis) -> bool {
+    /// Returns whether to try to place a unit now. A unit that fits nowhere is tried again only when
+    /// room was freed, or after [`UNPLACEABLE_RETRY_MS`].
+    fn is_due(&self, state: &State, record: &UnitRecord, now: Millis) -> bool {
         if record.not_before > now {
             return false;
         }
         let Standing::Aside { room } = record.standing else { return true };
-        let Some(judged) = self.judged.get(&record.unit.name) else {
+        let Some(unplaceable) = self.unplaceable.get(&record.unit.name) else {
             return true;
         };
-        self.room(state) > room.max(judged.room) || now.since(judged.at) >= ASIDE_MS
+        self.room(state) > room.max(unplaceable.room)
+            || now.since(unplaceable.at) >= UNPLACEABLE_RETRY_MS
     }
 
-    /// Sets a unit aside; none if the state knows the same reason already.
+    /// Sets a unit aside; returns `None` if the state already records the same reason.
     fn set_aside(
         &mut self,
         state: &State,
@@ -443,15 +455,15 @@
         now: Millis,
     ) -> Option<Change> {
         let unit = record.unit.name.clone();
-        self.judged.insert(unit.clone(), Judged { room: self.room(state), at: now });
-        let known = matches!(record.standing, Standing::Aside { .. })
+        self.unplaceable.insert(unit.clone(), Unplaceable { room: self.room(state), at: now });
+        let inputs = matches!(record.standing, Standing::Aside { .. })
             && record.decisions.back().is_some_and(|last| last.why == why);
         let decision = Decision::new(now, Action::SetAside, why);
-        (!known).then_some(Change::SetAside { at: now, unit, decision })
+        (!inputs).then_some(Change::SetAside { at: now, unit, decision })
     }
 }
 
-/// Moves work away from VMs that are leaving.
+/// Returns the moves of all tasks away from VMs that are leaving.
 fn plan_moves(state: &State, now: Millis) -> Vec<Change> {
     let mut changes = Vec::new();
     for vm in state.vms().filter(|vm| vm.leaving()) {
@@ -467,14 +479,14 @@
 fn explain(choices: &[Choice]) -> (String, Option<String>) {
     let best = &choices[0];
     let count = match choices.len() {
-        SCORED => format!("at least {SCORED}"),
+        MAX_SCORED => format!("at least {MAX_SCORED}"),
         other => other.to_string(),
     };
-    let mut why = format!("{count} VMs can take it; {} scores {}", best.name, best.score);
-    if let Some((service, strain)) = &best.harmed {
-        let percent = strain * 100.0;
+    let mut why = format!("{count} VMs can take it; {} has score {}", best.name, best.score);
+    if let Some((service, latency_ratio)) = &best.most_affected {
+        let percent = latency_ratio * 100.0;
         why.push_str(&format!("; {service} is expected at {percent:.0} % of its objective"));
     }
-    let next = choices.get(1).map(|next| format!("{} scores {}", next.name, next.score));
+    let next = choices.get(1).map(|next| format!("{} has score {}", next.name, next.score));
     (why, next)
 }
--- a/crates/pond-sched/tests/decisions.rs
+++ b/crates/pond-sched/tests/decisions.rs
@@ -1,9 +1,9 @@
-//! What the scheduler decides, one rule a test.
+//! The rules of the scheduler, one test for each.
 
 use std::collections::BTreeMap;
 
 use pond_proto::{Job, Kind, Labels, Millis, Selector, Size, TaskKey, Unit, Vm, VmKey};
-use pond_sched::{LadderTuning, Scheduler, Tuning};
+use pond_sched::{Scheduler, ThrottleTuning, Tuning};
 use pond_state::{Action, Change, End, Liveness, Meta, Order, Phase, State};
 use pond_test::{Colocation, Scene, Truth, job, service, vm};
 
@@ -42,7 +42,7 @@
     changes
 }
 
-/// The VM that a unit's first task is on.
+/// Returns the VM of a unit's first task.
 fn place(state: &State, unit: &str) -> Option<String> {
     let key = *state.unit(unit)?.tasks.values().next()?;
     state.vm(state.task(key)?.vm).map(|vm| vm.vm.name.clone())
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn selectors_decide_where_a_unit_runs() {
+fn selectors_restrict_where_a_unit_runs() {
     type Change = fn(&mut Unit);
     let table: [(&str, Change, Option<&str>); 5] = [
         ("a=1", |unit| unit.selector = Selector::parse("a=1").expect("parses"), Some("x")),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_unit_that_fits_nowhere_is_told_the_nearest_miss_and_blocks_nothing() {
+fn unit_that_fits_nowhere_gets_an_explanation_and_blocks_no_other() {
     let mut state = state(vec![labelled("x", "a", "1"), labelled("y", "a", "1"), vm("z")]);
     let big = Unit {
         size: Size::new(1000, 1000, 2),
@@ -95,7 +95,7 @@
         "2 of 3 VMs match the selector, 2 are too small: none has 2 accelerators there, the \
          largest has 0"
     );
-    // It costs nothing more until room appears.
+    // No further change is proposed for it until room is freed.
     assert_eq!(plan(&mut state, &mut scheduler, 20), []);
     let with_accelerators = Vm { size: Size::new(4000, 4000, 2), ..labelled("w", "a", "1") };
     state.apply(Change::Listed { at: Millis(30), vms: vec![with_accelerators] });
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn work_that_needs_no_accelerator_leaves_them_free() {
+fn unit_without_accelerators_avoids_vms_that_have_them() {
     let rich = Vm { size: Size::new(4000, 4000, 2), ..vm("rich") };
     let mut state = state(vec![rich, vm("plain")]);
     apply(&mut state, vec![job("job")]);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn urgent_work_takes_the_place_of_the_cheapest_victim() {
+fn urgent_unit_preempts_the_cheapest_victim() {
     let mut state = state(vec![vm("a")]);
     let full =
         |name: &str, priority| Unit { size: Size::new(2000, 1000, 0), priority, ..job(name) };
@@ -147,14 +147,14 @@
     let phases: Vec<Phase> = state.tasks().map(|task| task.phase).collect();
     assert_eq!(phases.iter().filter(|phase| phase.ending()).count(), 1, "one victim is enough");
     state.apply(Change::Ended { at: Millis(30), task: low, end: End::Stopped { checkpoint: 5 } });
-    // The room is kept for it, though the victim waits too.
+    // The room is reserved for the urgent unit although the victim is waiting too.
     plan(&mut state, &mut scheduler, 40);
     assert_eq!(place(&state, "urgent").as_deref(), Some("a"));
     assert_eq!(place(&state, "low"), None);
 }
 
 #[test]
-fn urgent_work_takes_nothing_from_other_urgent_work() {
+fn urgent_unit_does_not_preempt_another_urgent_unit() {
     let mut state = state(vec![vm("a")]);
     let full = |name: &str| Unit { size: Size::new(4000, 1000, 0), priority: 100, ..job(name) };
     apply(&mut state, vec![full("first")]);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn of_equal_work_the_team_with_less_of_the_fleet_goes_first() {
+fn at_equal_priority_the_team_with_the_smaller_share_goes_first() {
     let mut state = state(vec![vm("a")]);
     let of = |name: &str, team: &str| Unit { team: team.to_owned(), ..job(name) };
     apply(&mut state, vec![of("a1", "amara"), of("a2", "amara"), of("a3", "amara")]);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_job_whose_deadline_cannot_be_met_is_said_so_early_and_once() {
+fn job_that_cannot_meet_its_deadline_gets_one_early_warning() {
     let mut state = state(vec![vm("a")]);
     let kind = Kind::Job(Job { run_ms: 10 * MINUTE, deadline_ms: Some(5 * MINUTE), retries: 0 });
     let late = Unit { kind, size: Size::new(9000, 1, 0), ..job("late") };
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn little_slack_raises_a_job() {
+fn little_slack_raises_the_priority_of_a_job() {
     let mut state = state(vec![vm("a")]);
     let full = Size::new(4000, 1000, 0);
     let kind = Kind::Job(Job { run_ms: 10 * MINUTE, deadline_ms: Some(15 * MINUTE), retries: 0 });
@@ -216,7 +216,7 @@
     assert!(place(&state, "tight").is_some());
 }
 
-/// Three VMs with one service each, and jobs of two kinds of which one harms it.
+/// Three VMs with one service each, and jobs of two kinds, one of which slows the service down.
 fn scene() -> Scene {
     let mut guarded = service("query", 3);
     guarded.labels = Labels::from([(Unit::KIND.to_owned(), "query".to_owned())]);
@@ -250,23 +250,27 @@
 }
 
 #[test]
-fn services_keep_their_objective_beside_harmful_work() {
-    let off = LadderTuning { on: false, ..LadderTuning::default() };
-    let unprotected =
-        Tuning { avoid_harm: false, learn_pairs: false, ladder: off, first_fit: false };
+fn services_meet_their_objective_next_to_interfering_work() {
+    let off = ThrottleTuning { enabled: false, ..ThrottleTuning::default() };
+    let unprotected = Tuning {
+        avoid_interference: false,
+        learn_interference: false,
+        throttle: off,
+        first_fit: false,
+    };
     let bare = within(scene(), unprotected);
     let full = within(scene(), Tuning::default());
     assert!(bare < 0.8 && full > 0.97, "{bare} without, {full} with");
 }
 
 #[test]
-fn late_reports_blame_what_ran_then_and_not_what_runs_now() {
+fn delayed_reports_are_attributed_to_the_work_that_ran_then() {
     let full = within(Scene { lag_ms: 60_000, ..scene() }, Tuning::default());
     assert!(full > 0.95, "{full}");
 }
 
 #[test]
-fn the_harmful_kind_is_slowed_and_the_calm_one_is_not() {
+fn only_the_interfering_kind_is_slowed() {
     let mut run = Colocation::new(scene(), Tuning::default());
     run.run(40 * MINUTE);
     let shares = |kind: &str| {
@@ -283,7 +287,7 @@
 }
 
 #[test]
-fn held_work_is_released_when_the_service_beside_it_has_gone() {
+fn paused_job_is_released_when_no_service_is_on_its_vm() {
     let mut state = state(vec![vm("a")]);
     apply(&mut state, vec![job("job")]);
     let mut scheduler = Scheduler::new();
@@ -295,7 +299,7 @@
 }
 
 #[test]
-fn noisy_waves_cause_no_stampede_of_moves() {
+fn periodic_interference_causes_few_moves() {
     fn waves(ms: u64) -> f64 {
         if ms % (10 * MINUTE) < 2 * MINUTE { 4.0 } else { 1.0 }
     }
@@ -313,18 +317,18 @@
 }
 
 #[test]
-fn a_vm_that_fails_everything_is_left_alone_and_tried_again_later() {
+fn vm_that_fails_every_job_is_quarantined_and_probed_later() {
     let bad = Scene { bad_vm: Some("vm-1".to_owned()), ..scene() };
     let mut run = Colocation::new(bad, Tuning::default());
     run.run(60 * MINUTE);
     let failures = run.failures();
     assert!((3..=12).contains(&failures), "{failures} failed runs in an hour");
-    assert_eq!(run.given_up(), 0, "no job is given up for it");
+    assert_eq!(run.given_up(), 0, "no job is given up because of the VM");
     assert!(run.outcome.finished > 50);
 }
 
 #[test]
-fn a_job_that_fails_everywhere_ends_with_its_reason_and_no_vm_is_blamed() {
+fn job_that_fails_everywhere_is_given_up_and_no_vm_is_blamed() {
     let mut scene = scene();
     let broken = Unit {
         kind: Kind::Job(Job { run_ms: MINUTE, deadline_ms: None, retries: 6 }),
--- a/crates/pond-sched/tests/aside.rs
+++ b/crates/pond-sched/tests/set_aside.rs
@@ -1,4 +1,4 @@
-//! A unit that was set aside is looked at again once what was in its way is gone.
+//! A unit that was set aside is tried again once its obstacle is gone.
 
 use pond_proto::{Labels, Millis, Selector, Unit, VmKey};
 use pond_sched::Scheduler;
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn unit_that_wants_to_stand_beside_another_is_placed_once_that_one_is() {
+fn unit_with_an_affinity_is_placed_once_the_required_unit_is() {
     let mut state = State::new();
     state.apply(Change::Listed { at: Millis(1), vms: vec![vm("x")] });
     let (at, vm, why) = (Millis(1), VmKey(0), String::new());
     state.apply(Change::Judged { at, vm, liveness: Liveness::Live, why });
     let mut scheduler = Scheduler::new();
-    let beside = Selector::equals("role", "db");
-    apply(&mut state, vec![Unit { affinity: Some(beside), ..job("near") }]);
+    let neighbour = Selector::equals("role", "db");
+    apply(&mut state, vec![Unit { affinity: Some(neighbour), ..job("near") }]);
     plan(&mut state, &mut scheduler, 10);
     assert!(state.unit("near").unwrap().tasks.is_empty());
     let labels = Labels::from([("role".to_owned(), "db".to_owned())]);
