--- a/crates/pond-control/benches/capacity.rs
+++ b/crates/pond-control/benches/capacity.rs
@@ -201,7 +201,7 @@
                 service: "checkout".to_owned(),
                 key: format!("purchase-{number:012}"),
                 digest: 7,
-                holder: Holder { life: 1, number },
+                holder: Holder { incarnation: 1, number },
             };
             if number % 1000 == 0 {
                 bytes += change.encode().len();
--- a/crates/pond-control/src/reconcile/reconciler/mod.rs
+++ b/crates/pond-control/src/reconcile/reconciler/mod.rs
@@ -197,7 +197,7 @@
         self.statuses.retain(|vm, _| state.vm(*vm).is_some());
         self.looked.retain(|vm, _| state.vm(*vm).is_some());
         self.calls.retain(|_, calls| *calls > 0);
-        if self.seen_running.len() > state.tasks_len() * 2 + 1000 {
+        if self.seen_running.len() > state.task_count() * 2 + 1000 {
             self.seen_running.retain(|task, _| state.task(*task).is_some());
         }
         self.wait.retain(|_, until| now < *until);
--- a/crates/pond-control/src/replica/orders.rs
+++ b/crates/pond-control/src/replica/orders.rs
@@ -32,7 +32,7 @@
             service: ask.service,
             key: ask.key,
             digest: ask.digest,
-            holder: Holder { life: ask.id.life, number: ask.id.number },
+            holder: Holder { incarnation: ask.id.life, number: ask.id.number },
         };
         self.propose(now, change, Waiter::Claim { link, ticket });
     }
@@ -47,7 +47,7 @@
             at: self.parts.clock.wall(),
             service: end.service,
             key: end.key,
-            holder: Holder { life: end.id.life, number: end.id.number },
+            holder: Holder { incarnation: end.id.life, number: end.id.number },
             not_run: end.not_run,
             answer,
         };
--- a/crates/pond-control/src/replica/report.rs
+++ b/crates/pond-control/src/replica/report.rs
@@ -31,7 +31,7 @@
             vms_open: self.state.vms().filter(|vm| vm.open()).count() as u32,
             vms: self.state.vms().count() as u32,
             tasks: self.state.tasks().count() as u32,
-            wanting: self.state.wanting().count() as u32,
+            wanting: self.state.incomplete_units().count() as u32,
             claims: self.state.claims().len() as u64,
             checksum: format!("{:08x}", self.state.checksum()),
         }
--- a/crates/pond-sched/src/deadline.rs
+++ b/crates/pond-sched/src/deadline.rs
@@ -17,7 +17,7 @@
     /// Warns once of each waiting job whose slack is used up, judged by its declared run time.
     pub fn warn(&mut self, state: &State, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
-        for record in state.wanting().filter(|record| slack(record, now) == Some(0)) {
+        for record in state.incomplete_units().filter(|record| slack(record, now) == Some(0)) {
             let unit = record.unit.name.clone();
             if !self.warned.insert(unit.clone()) {
                 continue;
--- a/crates/pond-sched/src/info.rs
+++ b/crates/pond-sched/src/info.rs
@@ -54,7 +54,7 @@
 
     /// Removes tasks that no longer exist, once the cache has grown well beyond the task table.
     pub fn remove_stale(&mut self, state: &State) {
-        let tasks = state.tasks_len();
+        let tasks = state.task_count();
         if self.tasks.len() > tasks * 2 + 1000 {
             self.tasks.retain(|task, _| state.task(*task).is_some());
         }
--- a/crates/pond-sched/src/plan.rs
+++ b/crates/pond-sched/src/plan.rs
@@ -227,7 +227,7 @@
 
     /// Returns how often room was freed, in the state or by the end of a quarantine.
     fn room(&self, state: &State) -> u64 {
-        state.room() + self.ended_quarantines
+        state.room_version() + self.ended_quarantines
     }
 
     fn plan_throttling(&mut self, state: &State, now: Millis) -> Vec<Change> {
@@ -277,7 +277,7 @@
         let fleet = Fleet::new(state, now);
         let total = fleet.total();
         let mut waiting: Vec<(Rank, &UnitRecord)> = state
-            .wanting()
+            .incomplete_units()
             .filter(|record| self.is_due(state, record, now))
             .map(|record| (Rank::new(state, record, total, now), record))
             .collect();
--- a/crates/pond-state/src/change.rs
+++ b/crates/pond-state/src/change.rs
@@ -9,90 +9,90 @@
 use crate::decision::Decision;
 use crate::vm::Liveness;
 
-/// Who asked for a change, when, and under which identity.
+/// The origin of a change: who requested it, when, and under which identity.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Meta {
     /// The operator, or `scheduler` or `platform`.
     pub who: String,
-    /// When the leader took it in, milliseconds since 1970.
+    /// When the leader received it, in milliseconds since 1970.
     pub at: Millis,
-    /// The sender's identity for this change; a resend carries the same.
+    /// The sender's identity for this change; a resend carries the same one.
     pub request: String,
-    /// The version that the sender based the change on; another one is a conflict.
+    /// The version that the sender based the change on; any other current version is a conflict.
     pub expect: Option<u64>,
 }
 
-/// One change.
+/// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// An operator's order.
     Order {
-        /// Who, when, and based on what.
+        /// The origin of the order.
         meta: Meta,
-        /// What.
+        /// The order.
         order: Order,
     },
-    /// The platform's list names these VMs, new or changed.
+    /// The platform's list contains these new or changed VMs.
     Listed {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The VMs.
         vms: Vec<Vm>,
     },
-    /// A VM's liveness was judged anew.
+    /// The liveness of a VM changed.
     Judged {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The VM.
         vm: VmKey,
-        /// The judgement.
+        /// The new liveness.
         liveness: Liveness,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// The scheduler gives a VM to a unit.
+    /// The scheduler places a replica of a unit on a VM.
     Place {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The unit.
         unit: UnitName,
-        /// Which of its replicas.
+        /// The index of the replica.
         replica: u32,
-        /// Where.
+        /// The VM.
         vm: VmKey,
-        /// Why.
+        /// The action and its reason.
         decision: Decision,
     },
     /// The scheduler found no VM for a unit.
     SetAside {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The unit.
         unit: UnitName,
-        /// Why.
+        /// The action and its reason.
         decision: Decision,
     },
-    /// The scheduler says something about a unit.
+    /// The scheduler warns about a unit.
     Warn {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The unit.
         unit: UnitName,
-        /// What and why.
+        /// The action and its reason.
         decision: Decision,
     },
-    /// The scheduler changes how a task runs.
+    /// The scheduler throttles, pauses, moves or stops a task.
     Steer {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The task.
         task: TaskKey,
-        /// What and why.
+        /// The action and its reason.
         decision: Decision,
     },
-    /// A worker started a task.
+    /// A worker has started a task.
     Started {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The task.
         task: TaskKey,
@@ -103,34 +103,34 @@
     Checkpointed {
         /// The task.
         task: TaskKey,
-        /// How far it came.
+        /// The progress at the checkpoint.
         checkpoint: u64,
     },
-    /// A task ended, surely.
+    /// A task has certainly ended.
     Ended {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The task.
         task: TaskKey,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// An entry asks for the right to run a request.
+    /// An entry claims an idempotency key before it runs a request.
     Claim {
-        /// When.
+        /// When the leader received it.
         at: Millis,
-        /// Service and idempotency key.
+        /// The service.
         service: String,
         /// The caller's idempotency key.
         key: String,
-        /// Checksum of the body.
+        /// The checksum of the request body.
         digest: u32,
         /// The request.
         holder: Holder,
     },
-    /// An entry tells how a claimed request ended.
+    /// An entry reports how a claimed request ended.
     Unclaim {
-        /// When.
+        /// When the leader received it.
         at: Millis,
         /// The service.
         service: String,
@@ -138,61 +138,61 @@
         key: String,
         /// The request.
         holder: Holder,
-        /// It did not run: the claim is free again.
+        /// Whether the request did not run; the claim is then removed.
         not_run: bool,
-        /// The answer, if it is kept.
+        /// The answer to keep, if any.
         answer: Option<KeptAnswer>,
     },
 }
 
-/// What an operator may order.
+/// An operator's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Create units or replace them.
+    /// Creates units or replaces them.
     Apply {
         /// The units.
         units: Vec<Unit>,
     },
-    /// Set and remove labels.
+    /// Sets and removes labels.
     Label {
-        /// On VMs or on units.
+        /// Whether the labels are those of VMs or of units.
         target: Target,
-        /// On which.
+        /// Selects the VMs or units.
         selector: Selector,
         /// Labels to set.
         set: Labels,
         /// Keys to remove.
         unset: Vec<String>,
     },
-    /// Take VMs out of use, or back into it.
+    /// Drains VMs, or puts them back into use.
     Drain {
         /// Which VMs.
         selector: Selector,
-        /// Out of use, or back.
+        /// True to drain them, false to put them back into use.
         drained: bool,
     },
-    /// Place nothing more in a data centre, or use it again.
+    /// Stops placing work in a data centre, or allows it again.
     Evacuate {
         /// The data centre.
         data_centre: String,
-        /// Nothing more, or again.
+        /// True to stop placing work there, false to allow it again.
         evacuated: bool,
     },
-    /// Cancel units.
+    /// Cancels units.
     Cancel {
-        /// Which units, by name; or none for those that the selector matches.
+        /// The names of the units; ignored if there is a selector.
         names: Vec<UnitName>,
-        /// Which units, by label.
+        /// Selects the units by label.
         selector: Option<Selector>,
     },
-    /// Limit what a team may have running.
+    /// Limits the resources that teams may use.
     Quota {
-        /// Limits by team; a team without one has none.
+        /// The limit of each team; a team that is not named keeps its limit, and has none at first.
         teams: BTreeMap<String, Size>,
     },
 }
 
-/// What carries a label.
+/// What an order sets labels on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
     /// VMs.
@@ -204,42 +204,42 @@
 /// How a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// It came to its own end.
+    /// It finished.
     Done,
     /// It failed.
     Failed {
-        /// Why, in the worker's words.
+        /// The reason that the worker gave.
         reason: String,
     },
     /// It was stopped; its last checkpoint is known.
     Stopped {
-        /// How far it came.
+        /// The progress at the last checkpoint.
         checkpoint: u64,
     },
-    /// Its lease ran out or its worker does not know it.
+    /// Its lease has expired, or its worker does not know it.
     Lost,
     /// The worker refused to start it.
     Refused {
-        /// Why, in the worker's words.
+        /// The reason that the worker gave.
         reason: String,
     },
 }
 
 impl Change {
-    /// The bytes for the log.
+    /// Encodes the change for the log.
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec_named(self).unwrap_or_default()
     }
 
-    /// Reads the bytes of the log.
+    /// Decodes a change from the log.
     ///
     /// # Errors
-    /// What the codec says, if the bytes are no change.
+    /// The codec's error if the bytes are not a valid change.
     pub fn decode(bytes: &[u8]) -> Result<Change, rmp_serde::decode::Error> {
         rmp_serde::from_slice(bytes)
     }
 
-    /// When the leader took it in; zero where that does not matter.
+    /// Returns when the leader received the change; zero for changes without a time.
     pub fn at(&self) -> Millis {
         match self {
             Change::Order { meta, .. } => meta.at,
--- a/crates/pond-state/src/claims.rs
+++ b/crates/pond-state/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one run for each service and idempotency key.
+//! Claims: they ensure at most one run for each service and idempotency key.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,35 +8,36 @@
 
 use crate::reply::Decided;
 
-/// How long a claim is kept after it was made, in milliseconds: a day.
-pub const KEPT_MS: Span = 24 * 3600 * 1000;
+/// How long a claim is kept after it was made, in milliseconds: one day.
+pub const RETENTION_MS: Span = 24 * 3600 * 1000;
 
-/// How many claims there may be; more are refused, none is forgotten early.
-pub const CAPACITY: usize = 500_000;
+/// Maximum number of claims. Further ones are refused, and no claim is dropped early.
+pub const MAX_CLAIMS: usize = 500_000;
 
 /// The largest answer that is kept, in bytes.
-pub const ANSWER_BYTES: usize = 4096;
+pub const MAX_ANSWER_BYTES: usize = 4096;
 
-/// Bytes of kept answers in all; beyond it claims are kept without their answers.
-pub const ANSWERS_BYTES: usize = 64 << 20;
+/// Maximum total size of kept answers, in bytes; beyond it claims are kept without answers.
+pub const MAX_ANSWERS_BYTES: usize = 64 << 20;
 
 /// The request that holds a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
-    /// The entry's life.
-    pub life: u64,
-    /// The request's number in it.
+    /// The incarnation of the entry.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The number of the request within the incarnation.
     pub number: u64,
 }
 
-/// An answer that is given again to a resend.
+/// An answer that is kept to reply to a resent request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
     /// `Content-Type`.
     pub content_type: String,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
@@ -56,32 +57,32 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     table: BTreeMap<String, BTreeMap<String, Claim>>,
-    /// In the order they were made, with the time and the holder.
+    /// The claims in the order in which they were made, with the time and the holder.
     made: VecDeque<(Millis, Name, Holder)>,
     count: usize,
     answers_bytes: usize,
 }
 
 impl Claims {
-    /// How many there are.
+    /// Returns the number of claims.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Decides a claim. The holder of a claim that asks again is granted it again, since its
-    /// first answer may have been lost before it ran anything.
+    /// Decides a claim. A holder that repeats its claim is granted it again, because the first
+    /// answer may have been lost before the request ran.
     pub fn claim(&mut self, at: Millis, name: Name, digest: u32, holder: Holder) -> Decided {
         self.expire(at);
         let (service, key) = name.clone();
         if let Some(claim) = self.table.get(&service).and_then(|keys| keys.get(&key)) {
             return decide(claim, digest, holder);
         }
-        if self.count >= CAPACITY {
+        if self.count >= MAX_CLAIMS {
             return Decided::new(Verdict::Full);
         }
         let claim = Claim { holder, digest, ended: false, answer: None };
@@ -91,7 +92,7 @@
         Decided::new(Verdict::Granted)
     }
 
-    /// Takes in how a claimed request ended; only its holder may tell.
+    /// Records how a claimed request ended. Reports from others than the holder are ignored.
     pub fn end(&mut self, name: &Name, holder: Holder, not_run: bool, answer: Option<KeptAnswer>) {
         let Some(keys) = self.table.get_mut(&name.0) else { return };
         let Some(claim) = keys.get_mut(&name.1).filter(|claim| claim.holder == holder) else {
@@ -109,14 +110,14 @@
             return;
         }
         claim.ended = true;
-        let room = ANSWERS_BYTES.saturating_sub(self.answers_bytes);
-        claim.answer = answer.filter(|a| a.body.len() <= ANSWER_BYTES && a.body.len() <= room);
+        let room = MAX_ANSWERS_BYTES.saturating_sub(self.answers_bytes);
+        claim.answer = answer.filter(|a| a.body.len() <= MAX_ANSWER_BYTES && a.body.len() <= room);
         self.answers_bytes += claim.answer.as_ref().map_or(0, |answer| answer.body.len());
     }
 
-    /// Drops claims that are older than [`KEPT_MS`].
+    /// Drops claims that are older than [`RETENTION_MS`].
     fn expire(&mut self, at: Millis) {
-        while self.made.front().is_some_and(|(made, _, _)| at.since(*made) > KEPT_MS) {
+        while self.made.front().is_some_and(|(made, _, _)| at.since(*made) > RETENTION_MS) {
             let Some((_, (service, key), holder)) = self.made.pop_front() else { return };
             let Some(keys) = self.table.get_mut(&service) else { continue };
             if keys.get(&key).is_none_or(|claim| claim.holder != holder) {
--- a/crates/pond-state/src/decision.rs
+++ b/crates/pond-state/src/decision.rs
@@ -1,60 +1,60 @@
-//! Decisions with their reasons, as `explain` shows them.
+//! Decisions with their reasons, as shown by the `explain` command.
 
 use pond_proto::{Millis, TaskKey};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What was decided.
+/// The action that was decided on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub enum Action {
-    /// Run it on a VM.
+    /// Run the task on a VM.
     Place,
-    /// It can run nowhere now.
+    /// Set the unit aside, as no VM can run it now.
     SetAside,
-    /// Give it this many hundredths of its processors.
+    /// Limit the task to this percentage of its processors.
     Slow(u32),
-    /// Checkpoint it and let it stand still.
+    /// Checkpoint the task and pause it.
     Pause,
-    /// Let it run at full speed again.
+    /// Let the task run at full speed again.
     Release,
-    /// Move it elsewhere: drain a service, checkpoint a job, then stop it.
+    /// Move the task to another VM: drain a service or checkpoint a job, then stop it.
     Move,
-    /// Stop it for good.
+    /// Stop the task permanently.
     Stop,
-    /// Only say something to operators.
+    /// Only warn operators.
     Warn,
 }
 
 /// One decision with its reasons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Decision {
-    /// When, milliseconds since 1970.
+    /// When it was made, in milliseconds since 1970.
     pub at: Millis,
-    /// What.
+    /// The action.
     pub action: Action,
     /// The VM concerned, by name.
     pub vm: Option<String>,
     /// The task concerned.
     pub task: Option<TaskKey>,
-    /// What was known and weighed.
+    /// The reasons, for people.
     pub why: String,
-    /// The alternative that came next.
+    /// The next best alternative.
     pub next_best: Option<String>,
 }
 
 impl Decision {
-    /// A decision with its reason.
+    /// Creates a decision with its reason.
     pub fn new(at: Millis, action: Action, why: impl Into<String>) -> Decision {
         Decision { at, action, vm: None, task: None, why: why.into(), next_best: None }
     }
 
-    /// Names the VM.
+    /// Sets the name of the VM.
     pub fn with_vm(mut self, vm: &str) -> Decision {
         self.vm = Some(vm.to_owned());
         self
     }
 
-    /// Names the alternative that came next.
+    /// Sets the next best alternative.
     pub fn with_next_best(mut self, next_best: Option<String>) -> Decision {
         self.next_best = next_best;
         self
--- a/crates/pond-state/src/evacuation.rs
+++ b/crates/pond-state/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres in which nothing more is placed, at the word of an operator. What runs there goes on.
+//! Data centres in which an operator has stopped placements. Tasks that already run there continue.
 
 use pond_proto::Millis;
 use serde::{Deserialize, Serialize};
@@ -11,19 +11,20 @@
 /// An evacuation that is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Who ordered it.
+    /// The operator who ordered it.
     pub who: String,
-    /// Since when.
+    /// When it was ordered.
     pub since: Millis,
 }
 
 impl State {
-    /// The evacuated data centres.
+    /// Returns the evacuated data centres, by name.
     pub fn evacuations(&self) -> impl Iterator<Item = (&str, &Evacuation)> + '_ {
         self.evacuations.iter().map(|(name, evacuation)| (name.as_str(), evacuation))
     }
 
-    /// Places nothing more in a data centre, or uses it again. One that no VM stands in may only be taken back.
+    /// Stops placing work in a data centre, or allows it again. A data centre without VMs can only
+    /// be taken back into use.
     pub(crate) fn evacuate(
         &mut self,
         meta: &Meta,
--- a/crates/pond-state/src/lib.rs
+++ b/crates/pond-state/src/lib.rs
@@ -1,8 +1,8 @@
 //! The replicated state: VMs, units, tasks, claims, configuration and audit trail.
 //!
 //! [`State::apply`] is the only way to change it. It is deterministic: the same changes in the
-//! same order give the same bytes on every replica. Time comes in with the changes. Every rule
-//! that a promise leans on is checked here, whatever the scheduler or an operator proposed.
+//! same order produce the same bytes on every replica. The time is part of the changes. Every rule
+//! that a guarantee depends on is checked here, whatever the scheduler or an operator proposes.
 
 mod change;
 mod claims;
--- a/crates/pond-state/src/operate.rs
+++ b/crates/pond-state/src/operate.rs
@@ -1,4 +1,4 @@
-//! Operators' orders.
+//! Execution of operators' orders.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use crate::task::Phase;
 use crate::unit::{Standing, UnitRecord};
 
-/// How many records a conflict shows.
-const CONFLICT_RECORDS: usize = 10;
+/// Maximum number of audit records that a conflict lists.
+const MAX_CONFLICT_RECORDS: usize = 10;
 
-/// What an order changed.
+/// The effect of an order: its description, and the tasks and units that it touched.
 pub(crate) struct Effect {
     what: String,
     tasks: Vec<TaskKey>,
@@ -22,7 +22,7 @@
 }
 
 impl Effect {
-    /// A change that concerns no task and no unit by itself.
+    /// Creates an effect that touches no task and no unit directly.
     pub fn new(what: String) -> Effect {
         Effect { what, tasks: Vec::new(), units: Vec::new() }
     }
@@ -35,8 +35,8 @@
         }
         let reply = match self.check_version(&meta) {
             Some(refusal) => Reply::Refused(refusal),
-            None => match self.carry_out(&meta, &order) {
-                Ok(effect) => self.accept(&meta, effect),
+            None => match self.execute(&meta, &order) {
+                Ok(effect) => self.accept_order(&meta, effect),
                 Err(refusal) => Reply::Refused(refusal),
             },
         };
@@ -46,15 +46,15 @@
 
     fn check_version(&self, meta: &Meta) -> Option<Refusal> {
         let expected = meta.expect?;
-        // Only orders count: endpoints come and go without an operator.
+        // Only orders count, as endpoints also change without an operator.
         let mut since = self.trail.after(expected).filter(|record| !record.request.is_empty());
         let first = since.next()?;
-        let lines = std::iter::once(first).chain(since).take(CONFLICT_RECORDS);
+        let lines = std::iter::once(first).chain(since).take(MAX_CONFLICT_RECORDS);
         let since = lines.map(|r| format!("version {} by {}: {}", r.version, r.who, r.what));
         Some(Refusal::Conflict { have: self.version(), expected, since: since.collect() })
     }
 
-    fn accept(&mut self, meta: &Meta, effect: Effect) -> Reply {
+    fn accept_order(&mut self, meta: &Meta, effect: Effect) -> Reply {
         let Effect { what, tasks, units } = effect;
         let version = self.views.touch(tasks, units);
         let request = if meta.request.is_empty() { "-".to_owned() } else { meta.request.clone() };
@@ -62,7 +62,7 @@
         Reply::Accepted { version, what }
     }
 
-    fn carry_out(&mut self, meta: &Meta, order: &Order) -> Result<Effect, Refusal> {
+    fn execute(&mut self, meta: &Meta, order: &Order) -> Result<Effect, Refusal> {
         match order {
             Order::Apply { units } => Ok(self.apply_units(units)),
             Order::Label { target: Target::Vms, selector, set, unset } => {
@@ -92,7 +92,7 @@
                     record.standing = Standing::Wanted;
                 }
                 Some(record) if !record.tasks.is_empty() => {
-                    // Its last tasks are still ending; it starts again when they have.
+                    // Its last tasks are still being stopped; it starts again once they have ended.
                     record.unit = unit.clone();
                     record.version = version;
                     record.standing = Standing::Wanted;
@@ -137,7 +137,7 @@
             return Err(Refusal::NoMatch { what: format!("VMs with {selector}") });
         }
         self.room += 1;
-        let what = format!("labelled VMs {}: {}", names.join(", "), show_labels(set, unset));
+        let what = format!("labelled VMs {}: {}", names.join(", "), describe_labels(set, unset));
         Ok(Effect::new(what))
     }
 
@@ -162,7 +162,7 @@
             return Err(Refusal::NoMatch { what: format!("units with {selector}") });
         }
         self.room += 1;
-        let what = format!("labelled units {}: {}", names.join(", "), show_labels(set, unset));
+        let what = format!("labelled units {}: {}", names.join(", "), describe_labels(set, unset));
         Ok(Effect { what, tasks: Vec::new(), units: names })
     }
 
@@ -215,7 +215,7 @@
         let Some(record) = self.units.get_mut(name) else { return };
         if !record.ended() {
             record.standing = Standing::Cancelled;
-            record.note(Decision::new(clock, Action::Stop, "an operator cancelled it"));
+            record.note(Decision::new(clock, Action::Stop, "cancelled by an operator"));
         }
         let service = record.unit.service().is_some();
         for key in record.tasks.values() {
@@ -231,13 +231,13 @@
     fn set_quotas(&mut self, teams: &BTreeMap<String, Size>) -> Effect {
         self.quotas.extend(teams.iter().map(|(team, size)| (team.clone(), *size)));
         self.room += 1;
-        let shown: Vec<String> = teams.iter().map(|(t, size)| format!("{t}: {size}")).collect();
-        let what = format!("set quotas {}", shown.join("; "));
+        let limits: Vec<String> = teams.iter().map(|(t, size)| format!("{t}: {size}")).collect();
+        let what = format!("set quotas {}", limits.join("; "));
         Effect { what, tasks: Vec::new(), units: Vec::new() }
     }
 }
 
-fn show_labels(set: &Labels, unset: &[String]) -> String {
+fn describe_labels(set: &Labels, unset: &[String]) -> String {
     let set = set.iter().map(|(key, value)| format!("{key}={value}"));
     let unset = unset.iter().map(|key| format!("{key}-"));
     set.chain(unset).collect::<Vec<_>>().join(" ")
--- a/crates/pond-state/src/place.rs
+++ b/crates/pond-state/src/place.rs
@@ -1,4 +1,4 @@
-//! Tasks from placement to end.
+//! The life cycle of tasks, from placement to end.
 
 use pond_proto::{Span, TaskKey, VmKey};
 
@@ -9,18 +9,19 @@
 use crate::task::{Phase, Task};
 use crate::unit::{Resume, Standing};
 
-/// A job that failed on this many VMs is itself to blame.
-const BLAMED_VMS: usize = 2;
+/// Number of VMs a unit must fail on before the failures are attributed to the unit and not to the
+/// VMs.
+const VMS_TO_BLAME_UNIT: usize = 2;
 
-/// Wait after the first failure of a job, in milliseconds; doubled with each more.
+/// Backoff after the first failure of a unit, in milliseconds; it doubles with each further failure.
 const BACKOFF_MS: Span = 1_000;
 
-/// A task that is lost with its VM within this time of its start may have taken it down, in milliseconds:
-/// most VMs go for reasons of their own, which are a matter of days and not of seconds.
-const SOON_MS: Span = 30_000;
+/// A task that is lost within this time after its start, in milliseconds, may have crashed its VM.
+/// VMs that fail for other reasons usually run for days and not for seconds.
+const EARLY_LOSS_MS: Span = 30_000;
 
-/// The longest wait after a failure, in milliseconds.
-const BACKOFF_LIMIT_MS: Span = 300_000;
+/// The longest backoff after a failure, in milliseconds.
+const MAX_BACKOFF_MS: Span = 300_000;
 
 impl State {
     pub(crate) fn place(
@@ -30,7 +31,7 @@
         vm: VmKey,
         decision: Decision,
     ) -> Reply {
-        if let Err(refusal) = self.may_place(name, replica, vm) {
+        if let Err(refusal) = self.check_placement(name, replica, vm) {
             return Reply::Refused(refusal);
         }
         let key = TaskKey(self.next_task);
@@ -60,15 +61,15 @@
         record.note(Decision { task: Some(key), ..decision });
         let (team, size) = (record.unit.team.clone(), record.unit.size);
         self.next_task = next;
-        self.take_room(vm, &team, size);
+        self.reserve_room(vm, &team, size);
         self.tasks.insert(key, task);
         self.by_vm.entry(vm).or_default().insert(key);
         self.refresh_wanting(name);
         Reply::Placed(key)
     }
 
-    /// The rules that hold for every placement, whoever proposes it.
-    fn may_place(&self, name: &str, replica: u32, vm: VmKey) -> Result<(), Refusal> {
+    /// Checks the rules that every placement must meet, whoever proposes it.
+    fn check_placement(&self, name: &str, replica: u32, vm: VmKey) -> Result<(), Refusal> {
         let record = self.units.get(name).ok_or(Refusal::NotNeeded)?;
         if !record.missing().any(|missing| missing == replica) {
             return Err(Refusal::NotNeeded);
@@ -86,7 +87,7 @@
         Ok(())
     }
 
-    fn take_room(&mut self, vm: VmKey, team: &str, size: pond_proto::Size) {
+    fn reserve_room(&mut self, vm: VmKey, team: &str, size: pond_proto::Size) {
         if let Some(record) = self.vms.get_mut(&vm) {
             record.taken = record.taken.plus(size);
         }
@@ -94,7 +95,7 @@
         *used = used.plus(size);
     }
 
-    fn give_room_back(&mut self, task: &Task) {
+    fn release_room(&mut self, task: &Task) {
         if let Some(record) = self.vms.get_mut(&task.vm) {
             record.taken = record.taken.minus(task.size);
         }
@@ -105,7 +106,7 @@
         self.room += 1;
     }
 
-    /// Keeps the set of units that lack tasks.
+    /// Updates the set of units that lack tasks.
     pub(crate) fn refresh_wanting(&mut self, name: &str) {
         let wants = self.units.get(name).is_some_and(|record| record.missing().next().is_some());
         if wants {
@@ -121,8 +122,8 @@
         if record.ended() {
             return Reply::Noted;
         }
-        let told = record.decisions.back().is_some_and(|last| last.why == decision.why);
-        if !told {
+        let already_noted = record.decisions.back().is_some_and(|last| last.why == decision.why);
+        if !already_noted {
             record.note(decision);
         }
         record.standing = Standing::Aside { room };
@@ -138,7 +139,7 @@
             return Reply::Refused(Refusal::NoTask);
         };
         let service = record.unit.service().is_some();
-        let Some(phase) = steered(task.phase, &decision.action, service) else {
+        let Some(phase) = next_phase(task.phase, &decision.action, service) else {
             return Reply::Refused(Refusal::WrongPhase);
         };
         task.phase = phase;
@@ -179,15 +180,15 @@
 
     pub(crate) fn ended(&mut self, key: TaskKey, end: End) -> Reply {
         let Some(task) = self.tasks.remove(&key) else {
-            // A second report of the same end changes nothing.
+            // A repeated report of the same end has no effect.
             return Reply::Refused(Refusal::NoTask);
         };
         if let Some(keys) = self.by_vm.get_mut(&task.vm) {
             keys.remove(&key);
         }
-        self.give_room_back(&task);
-        self.blame(&task, &end);
-        self.settle(&task, end);
+        self.release_room(&task);
+        self.attribute_failure(&task, &end);
+        self.update_unit(&task, end);
         self.refresh_wanting(&task.unit);
         if task.endpoint.is_some() {
             self.views.touch(vec![key], Vec::new());
@@ -195,26 +196,27 @@
         Reply::Noted
     }
 
-    /// Tells a VM that fails everything from a job that fails everywhere.
-    fn blame(&mut self, task: &Task, end: &End) {
+    /// Attributes a failure to the VM or to the unit: a VM fails many units, a faulty unit fails on
+    /// several VMs.
+    fn attribute_failure(&mut self, task: &Task, end: &End) {
         let clock = self.clock;
         if *end == End::Done
             && let Some(vm) = self.vms.get_mut(&task.vm)
         {
-            vm.succeed();
+            vm.record_success();
         }
         if !matches!(end, End::Failed { .. } | End::Refused { .. }) {
             return;
         }
         let Some(record) = self.units.get_mut(&task.unit) else { return };
         record.failed_on.insert(task.vm);
-        if record.failed_on.len() < BLAMED_VMS {
+        if record.failed_on.len() < VMS_TO_BLAME_UNIT {
             if let Some(vm) = self.vms.get_mut(&task.vm) {
-                vm.fail(&task.unit, clock);
+                vm.record_failure(&task.unit, clock);
             }
             return;
         }
-        // It fails wherever it runs: no VM is to blame for it.
+        // The unit fails on every VM, so its failures do not count against any of them.
         let failed_on = record.failed_on.clone();
         for key in failed_on {
             if let Some(vm) = self.vms.get_mut(&key) {
@@ -223,8 +225,8 @@
         }
     }
 
-    /// What the end of a task means for its unit.
-    fn settle(&mut self, task: &Task, end: End) {
+    /// Updates the unit of a task that ended.
+    fn update_unit(&mut self, task: &Task, end: End) {
         let clock = self.clock;
         let Some(record) = self.units.get_mut(&task.unit) else { return };
         record.tasks.remove(&task.replica);
@@ -233,9 +235,9 @@
             return;
         }
         if end == End::Lost {
-            // The first loss is nobody's fault: the replica is needed at once.
-            let soon = task.started.is_none_or(|at| clock.since(at) < SOON_MS);
-            record.losses = if soon { record.losses + 1 } else { 0 };
+            // The first loss does not count against the unit: the replica is placed again at once.
+            let early = task.started.is_none_or(|at| clock.since(at) < EARLY_LOSS_MS);
+            record.losses = if early { record.losses + 1 } else { 0 };
             if record.losses > 1 {
                 record.not_before = clock + backoff(record.losses - 1);
             }
@@ -250,7 +252,7 @@
                 record.resume = Some(Resume { attempt: task.attempt, checkpoint });
             }
             (End::Refused { .. }, Some(_)) => {
-                // It never ran, so it still stands where it stood before.
+                // The task never ran, so the unit still resumes from the same checkpoint.
                 record.resume =
                     task.resume_from.map(|checkpoint| Resume { attempt: task.attempt, checkpoint });
                 record.not_before = clock + BACKOFF_MS;
@@ -275,11 +277,11 @@
 
 fn backoff(failures: u32) -> Span {
     let doubled = BACKOFF_MS << failures.saturating_sub(1).min(20);
-    doubled.min(BACKOFF_LIMIT_MS)
+    doubled.min(MAX_BACKOFF_MS)
 }
 
-/// The phase after an action, or none if it does not fit.
-fn steered(phase: Phase, action: &Action, service: bool) -> Option<Phase> {
+/// Returns the phase after an action, or `None` if the action is invalid in `phase`.
+fn next_phase(phase: Phase, action: &Action, service: bool) -> Option<Phase> {
     let running = matches!(phase, Phase::Running | Phase::Slowed(_));
     match action {
         Action::Slow(share) if (running || phase == Phase::Paused) && !service => {
--- a/crates/pond-state/src/reply.rs
+++ b/crates/pond-state/src/reply.rs
@@ -1,4 +1,4 @@
-//! What a change led to.
+//! The results of changes.
 
 use pond_proto::TaskKey;
 use pond_proto::wire::Verdict;
@@ -6,71 +6,71 @@
 
 use crate::claims::KeptAnswer;
 
-/// What a change led to.
+/// The result of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It is accepted and made this version.
+    /// The order was accepted.
     Accepted {
         /// The version of the configuration after it.
         version: u64,
-        /// What changed, for people.
+        /// A description of the change, for people.
         what: String,
     },
-    /// It was placed as this task.
+    /// The replica was placed as this task.
     Placed(TaskKey),
-    /// It was not taken.
+    /// The change was refused.
     Refused(Refusal),
-    /// How a claim was decided.
+    /// The claim was decided.
     Claim(Decided),
-    /// It was taken note of.
+    /// The change was recorded.
     Noted,
 }
 
-/// How a claim was decided.
+/// The decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decided {
-    /// A [`Verdict`] by number.
+    /// The number of a [`Verdict`].
     pub verdict: i32,
-    /// The kept answer.
+    /// The kept answer, if the request was already answered.
     pub answer: Option<KeptAnswer>,
 }
 
 impl Decided {
-    /// A decision without an answer.
+    /// Creates a decision without an answer.
     pub fn new(verdict: Verdict) -> Decided {
         Decided { verdict: verdict as i32, answer: None }
     }
 }
 
-/// Why a change was not taken.
+/// The reason why a change was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The sender based it on another version.
+    /// The sender based the change on another version.
     Conflict {
-        /// The version now.
+        /// The current version.
         have: u64,
-        /// The version that the sender named.
+        /// The version that the sender expected.
         expected: u64,
-        /// What changed in between, for people.
+        /// Descriptions of the changes in between, for people.
         since: Vec<String>,
     },
-    /// The same identity came with another content.
+    /// The same identity was already used for another order.
     IdentityUsed,
-    /// Nothing matches.
+    /// Nothing matches the order.
     NoMatch {
-        /// What was looked for.
+        /// A description of what was searched for.
         what: String,
     },
-    /// The VM is not there or takes no work.
+    /// The VM does not exist or accepts no work.
     VmClosed,
-    /// The VM has not that much room.
+    /// The VM has too little free room.
     NoRoom,
-    /// The unit needs no such task now.
+    /// The unit does not need this replica now.
     NotNeeded,
     /// The team has no quota left.
     Quota,
-    /// There is no such task.
+    /// The task does not exist.
     NoTask,
-    /// The task is in another phase.
+    /// The action is invalid in the task's phase.
     WrongPhase,
 }
--- a/crates/pond-state/src/state.rs
+++ b/crates/pond-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The state and the dispatch of changes.
+//! The replicated state and the dispatch of changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,10 +15,10 @@
 use crate::views::Views;
 use crate::vm::{Liveness, VmRecord};
 
-/// The whole replicated state.
+/// The replicated state.
 ///
-/// The tables are keyed by keys that are handed out in order and never used again, and are kept
-/// in key order, so that a replica restored from a snapshot goes on exactly as the others do.
+/// Keys are assigned in increasing order and never reused, and all tables are sorted by key. A
+/// replica that was restored from a snapshot therefore behaves exactly like the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     pub(crate) clock: Millis,
@@ -36,13 +36,13 @@
     pub(crate) claims: Claims,
     pub(crate) trail: Trail,
     pub(crate) views: Views,
-    /// By the name of the data centre. (Snapshots of earlier versions have none.)
+    /// By the name of the data centre. Snapshots of earlier versions lack this field.
     #[serde(default)]
     pub(crate) evacuations: BTreeMap<String, Evacuation>,
 }
 
 impl State {
-    /// An empty state.
+    /// Creates an empty state.
     pub fn new() -> State {
         State::default()
     }
@@ -78,119 +78,119 @@
         }
     }
 
-    /// The bytes of a snapshot; equal states give equal bytes.
+    /// Encodes the state as a snapshot; equal states produce equal bytes.
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the bytes of a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// What the codec says, if the bytes are no state.
+    /// The codec's error if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<State, rmp_serde::decode::Error> {
         rmp_serde::from_slice(bytes)
     }
 
-    /// A checksum of the state, equal on all replicas that applied the same changes.
+    /// Returns a checksum of the state, which is equal on all replicas that applied the same changes.
     pub fn checksum(&self) -> u32 {
         crc32c::crc32c(&self.encode())
     }
 
-    /// The leader's clock as of the last change, milliseconds since 1970.
+    /// Returns the leader's time at the last change, in milliseconds since 1970.
     pub fn clock(&self) -> Millis {
         self.clock
     }
 
-    /// The version of the configuration; it only grows.
+    /// Returns the version of the configuration, which only grows.
     pub fn version(&self) -> u64 {
         self.views.version()
     }
 
-    /// All VMs, by key.
+    /// Returns all VMs, by key.
     pub fn vms(&self) -> impl Iterator<Item = &VmRecord> {
         self.vms.values()
     }
 
-    /// One VM.
+    /// Returns one VM.
     pub fn vm(&self, key: VmKey) -> Option<&VmRecord> {
         self.vms.get(&key)
     }
 
-    /// The VM of that name.
+    /// Returns the VM with this name.
     pub fn vm_named(&self, name: &str) -> Option<&VmRecord> {
         self.vm_names.get(name).and_then(|key| self.vms.get(key))
     }
 
-    /// All units, by name.
+    /// Returns all units, by name.
     pub fn units(&self) -> impl Iterator<Item = &UnitRecord> {
         self.units.values()
     }
 
-    /// One unit.
+    /// Returns one unit.
     pub fn unit(&self, name: &str) -> Option<&UnitRecord> {
         self.units.get(name)
     }
 
-    /// The units that lack tasks.
-    pub fn wanting(&self) -> impl Iterator<Item = &UnitRecord> {
+    /// Returns the units that have fewer tasks than they need.
+    pub fn incomplete_units(&self) -> impl Iterator<Item = &UnitRecord> {
         self.wanting.iter().filter_map(|name| self.units.get(name))
     }
 
-    /// How many tasks there are.
-    pub fn tasks_len(&self) -> usize {
+    /// Returns the number of tasks.
+    pub fn task_count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// All tasks, by key.
+    /// Returns all tasks, by key.
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
         self.tasks.values()
     }
 
-    /// One task.
+    /// Returns one task.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         self.tasks.get(&key)
     }
 
-    /// The tasks on a VM, ending ones among them.
+    /// Returns the tasks on a VM, including those that are being stopped.
     pub fn tasks_on(&self, vm: VmKey) -> impl Iterator<Item = &Task> {
         let keys = self.by_vm.get(&vm).into_iter().flatten();
         keys.filter_map(|key| self.tasks.get(key))
     }
 
-    /// Counts the times that room appeared somewhere: a unit set aside is looked at again when
-    /// this has grown.
-    pub fn room(&self) -> u64 {
+    /// Returns a counter that grows whenever room may have become available. A unit that was set
+    /// aside is tried again when the counter has grown.
+    pub fn room_version(&self) -> u64 {
         self.room
     }
 
-    /// The limit of a team, if it has one.
+    /// Returns the limit of a team, if it has one.
     pub fn quota(&self, team: &str) -> Option<Size> {
         self.quotas.get(team).copied()
     }
 
-    /// What a team's tasks take.
+    /// Returns the resources that a team's tasks use.
     pub fn used(&self, team: &str) -> Size {
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// All claims.
+    /// Returns all claims.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// The audit trail.
+    /// Returns the audit trail.
     pub fn trail(&self) -> &Trail {
         &self.trail
     }
 
     fn listed(&mut self, vms: Vec<Vm>) -> Reply {
         for vm in vms {
-            self.list_one(vm);
+            self.upsert_vm(vm);
         }
         Reply::Noted
     }
 
-    fn list_one(&mut self, vm: Vm) {
+    fn upsert_vm(&mut self, vm: Vm) {
         let key = match self.vm_names.get(&vm.name) {
             Some(key) => *key,
             None => {
@@ -226,8 +226,8 @@
         }
         self.record("platform", String::new(), what);
         self.touch_vm(key);
-        let empty = self.by_vm.get(&key).is_none_or(BTreeSet::is_empty);
-        if liveness == Liveness::Gone && empty {
+        let is_empty_vm = self.by_vm.get(&key).is_none_or(BTreeSet::is_empty);
+        if liveness == Liveness::Gone && is_empty_vm {
             self.vms.remove(&key);
             self.vm_names.remove(&name);
             self.by_vm.remove(&key);
@@ -235,7 +235,7 @@
         Reply::Noted
     }
 
-    /// Makes a new version for all endpoints on a VM.
+    /// Starts a new version that covers all endpoints on a VM.
     pub(crate) fn touch_vm(&mut self, key: VmKey) {
         let tasks: Vec<TaskKey> =
             self.by_vm.get(&key).map(|tasks| tasks.iter().copied().collect()).unwrap_or_default();
@@ -251,7 +251,8 @@
         self.trail.add(pond_proto::audit::Record { version, at, who, request, what });
     }
 
-    /// What a process at version `from` must be told; everything if that is too long ago.
+    /// Returns the changes that a process at version `from` needs, or the complete configuration if
+    /// that version is too old.
     pub fn delta(&self, from: u64, term: u64) -> view::Delta {
         let to = self.version();
         let difference = if from == 0 { None } else { self.views.since(from) };
--- a/crates/pond-state/src/task.rs
+++ b/crates/pond-state/src/task.rs
@@ -1,58 +1,58 @@
-//! Tasks: runs of units on VMs.
+//! Tasks, which are the runs of units on VMs.
 
 use pond_proto::{Millis, Size, TaskKey, UnitName, VmKey};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Where a task stands. Only ended tasks leave the table.
+/// The phase of a task. Tasks that have ended are removed from the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub enum Phase {
-    /// The worker was or will be told to start it.
+    /// It was placed; the worker has not confirmed its start.
     Starting,
     /// It runs.
     Running,
-    /// It runs with this many hundredths of its processors.
+    /// It runs with this percentage of its processors.
     Slowed(u32),
-    /// It stands still after a checkpoint.
+    /// It is paused after a checkpoint.
     Paused,
-    /// It finishes its requests before it is stopped.
+    /// It is finishing its requests before it is stopped.
     Draining,
-    /// The worker was or will be told to stop it.
+    /// It is to be stopped; the worker has not confirmed the stop.
     Stopping,
 }
 
 impl Phase {
-    /// Whether it is on its way out.
+    /// Returns whether the task is being drained or stopped.
     pub fn ending(self) -> bool {
         matches!(self, Phase::Draining | Phase::Stopping)
     }
 }
 
-/// One task.
+/// A task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
     /// Its key.
     pub key: TaskKey,
     /// Its unit.
     pub unit: UnitName,
-    /// Which of the unit's replicas.
+    /// The index of the unit's replica.
     pub replica: u32,
-    /// Counts the runs of this replica.
+    /// The number of this run of the replica, from 1.
     pub attempt: u32,
-    /// Where.
+    /// The VM it runs on.
     pub vm: VmKey,
-    /// What it takes there.
+    /// The resources it takes there.
     pub size: Size,
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
-    /// Since when.
+    /// When the phase began.
     pub since: Millis,
     /// When the worker started it.
     pub started: Option<Millis>,
     /// The checkpoint that it resumes from.
     pub resume_from: Option<u64>,
-    /// The last checkpoint known.
+    /// The last known checkpoint.
     pub checkpoint: Option<u64>,
-    /// The endpoint's address, for a service that runs.
+    /// The endpoint's address, for a running service.
     pub endpoint: Option<String>,
 }
--- a/crates/pond-state/src/trail.rs
+++ b/crates/pond-state/src/trail.rs
@@ -8,20 +8,20 @@
 use crate::change::{Meta, Order};
 use crate::reply::{Refusal, Reply};
 
-/// How many records are kept.
-pub const RECORDS_KEPT: usize = 20_000;
+/// Maximum number of records that are kept.
+pub const MAX_RECORDS: usize = 20_000;
 
-/// How many identities of changes are kept, so that resends are known.
-pub const IDENTITIES_KEPT: usize = 20_000;
+/// Maximum number of identities that are kept to recognise resent changes.
+pub const MAX_IDENTITIES: usize = 20_000;
 
-/// What an identity stood for.
+/// The change that an identity was used for, and its result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Known {
     checksum: u32,
     reply: Reply,
 }
 
-/// Records of changes, newest last, and what identities led to.
+/// Records of changes, newest last, and the results of recent changes by identity.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trail {
     records: VecDeque<Record>,
@@ -29,14 +29,15 @@
     order: VecDeque<String>,
 }
 
-/// The checksum of an order and of the version that it was based on.
+/// Returns the checksum of an order and of the version that it was based on.
 fn checksum(meta: &Meta, order: &Order) -> u32 {
     let bytes = rmp_serde::to_vec_named(&(meta.expect, order)).unwrap_or_default();
     crc32c::crc32c(&bytes)
 }
 
 impl Trail {
-    /// What this change led to, if it came before; a refusal if its identity stood for another.
+    /// Returns the result of this change if it was applied before, or a refusal if its identity was
+    /// used for a different one.
     pub fn known(&self, meta: &Meta, order: &Order) -> Option<Reply> {
         let known = self.known.get(&meta.request)?;
         if known.checksum == checksum(meta, order) {
@@ -45,7 +46,7 @@
         Some(Reply::Refused(Refusal::IdentityUsed))
     }
 
-    /// Remembers what a change led to.
+    /// Records the result of a change under its identity.
     pub fn remember(&mut self, meta: &Meta, order: &Order, reply: &Reply) {
         if meta.request.is_empty() {
             return;
@@ -54,7 +55,7 @@
         if self.known.insert(meta.request.clone(), known).is_none() {
             self.order.push_back(meta.request.clone());
         }
-        if self.order.len() > IDENTITIES_KEPT
+        if self.order.len() > MAX_IDENTITIES
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
@@ -64,17 +65,17 @@
     /// Adds a record.
     pub fn add(&mut self, record: Record) {
         self.records.push_back(record);
-        if self.records.len() > RECORDS_KEPT {
+        if self.records.len() > MAX_RECORDS {
             self.records.pop_front();
         }
     }
 
-    /// The newest `count` records, oldest first.
+    /// Returns the newest `count` records, oldest first.
     pub fn newest(&self, count: usize) -> impl Iterator<Item = &Record> {
         self.records.iter().skip(self.records.len().saturating_sub(count))
     }
 
-    /// The records after a version.
+    /// Returns the records after a version.
     pub fn after(&self, version: u64) -> impl Iterator<Item = &Record> {
         self.records.iter().filter(move |record| record.version > version)
     }
--- a/crates/pond-state/src/unit.rs
+++ b/crates/pond-state/src/unit.rs
@@ -1,4 +1,4 @@
-//! Units as the state knows them.
+//! Units and their records in the replicated state.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,22 +8,22 @@
 
 use crate::decision::Decision;
 
-/// How many decisions are kept for each unit.
-const DECISIONS_KEPT: usize = 32;
+/// Maximum number of decisions that are kept for each unit.
+const MAX_DECISIONS: usize = 32;
 
-/// Where a unit stands.
+/// The status of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub enum Standing {
-    /// It shall run.
+    /// It should run.
     Wanted,
-    /// It can run nowhere now; judged when the room had this count.
+    /// No VM can run it now.
     Aside {
-        /// See [`crate::State::room`].
+        /// The value of [`crate::State::room_version`] when it was set aside.
         room: u64,
     },
-    /// A job that came to its end.
+    /// The job finished.
     Done,
-    /// A job that failed too often.
+    /// The job failed too often.
     Failed {
         /// The last reason.
         reason: String,
@@ -32,49 +32,51 @@
     Cancelled,
 }
 
-/// The record of an eviction. A resume consumes it, so that work resumes exactly once.
+/// The checkpoint of a run that was stopped or lost. The next placement consumes it, so that work
+/// resumes exactly once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Resume {
-    /// The run that was evicted.
+    /// The run that ended.
     pub attempt: u32,
-    /// How far it came.
+    /// The progress at the checkpoint.
     pub checkpoint: u64,
 }
 
-/// One unit.
+/// The record of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnitRecord {
-    /// As the operator described it.
+    /// The unit as the operator described it.
     pub unit: Unit,
     /// The version that last changed it.
     pub version: u64,
     /// When it was created.
     pub created: Millis,
-    /// Where it stands.
+    /// Its status.
     pub standing: Standing,
     /// Its tasks by replica.
     pub tasks: BTreeMap<u32, TaskKey>,
-    /// Runs so far, by replica.
+    /// The number of runs so far, by replica.
     pub attempts: BTreeMap<u32, u32>,
-    /// The open eviction, for a job.
+    /// The checkpoint that the next run of a job resumes from.
     pub resume: Option<Resume>,
-    /// How often a run failed.
+    /// The number of failed runs.
     pub failures: u32,
-    /// VMs on which a run failed.
+    /// The VMs on which a run failed.
     pub failed_on: BTreeSet<VmKey>,
-    /// How often in a row a task was lost soon after its start. (Snapshots of earlier versions have none.)
+    /// The number of consecutive tasks that were lost soon after their start. Snapshots of earlier
+    /// versions lack this field.
     #[serde(default)]
     pub losses: u32,
-    /// How often it was moved.
+    /// The number of moves.
     pub moves: u32,
-    /// It is not placed before this time.
+    /// The earliest time at which it may be placed.
     pub not_before: Millis,
-    /// The last decisions, oldest first.
+    /// The most recent decisions, oldest first.
     pub decisions: VecDeque<Decision>,
 }
 
 impl UnitRecord {
-    /// A unit that was just created.
+    /// Creates the record of a new unit.
     pub fn new(unit: Unit, version: u64, created: Millis) -> UnitRecord {
         UnitRecord {
             unit,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The replicas that shall run and have no task.
+    /// Returns the replicas that should run but have no task.
     pub fn missing(&self) -> impl Iterator<Item = u32> + '_ {
         let wanted = match self.standing {
             Standing::Wanted | Standing::Aside { .. } => self.unit.replicas(),
@@ -102,15 +104,15 @@
         (0..wanted).filter(|replica| !self.tasks.contains_key(replica))
     }
 
-    /// Keeps a decision and forgets the oldest.
+    /// Adds a decision and drops the oldest one if there are too many.
     pub fn note(&mut self, decision: Decision) {
         self.decisions.push_back(decision);
-        if self.decisions.len() > DECISIONS_KEPT {
+        if self.decisions.len() > MAX_DECISIONS {
             self.decisions.pop_front();
         }
     }
 
-    /// Whether it ended for good.
+    /// Returns whether the unit has ended permanently.
     pub fn ended(&self) -> bool {
         matches!(self.standing, Standing::Done | Standing::Failed { .. } | Standing::Cancelled)
     }
--- a/crates/pond-state/src/views.rs
+++ b/crates/pond-state/src/views.rs
@@ -1,14 +1,16 @@
-//! Which version of the configuration touched what, so that processes are sent deltas.
+//! The tasks and units that each recent version of the configuration touched, from which deltas for
+//! processes are computed.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use pond_proto::{TaskKey, UnitName};
 use serde::{Deserialize, Serialize};
 
-/// How many versions back a delta reaches; a process further behind is sent everything.
-const VERSIONS_KEPT: usize = 4096;
+/// Number of versions that a delta can cover; a process further behind gets the complete
+/// configuration.
+const MAX_VERSIONS: usize = 4096;
 
-/// What one version touched.
+/// The tasks and units that one version touched.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Touched {
     version: u64,
@@ -16,16 +18,16 @@
     units: Vec<UnitName>,
 }
 
-/// The version of what entries and endpoint processes are told.
+/// The version of the configuration that is sent to entries and endpoint processes.
 ///
-/// It only grows. Every accepted order and every change of an endpoint makes a new one.
+/// It only grows. Every accepted order and every change of an endpoint starts a new version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Views {
     version: u64,
     touched: VecDeque<Touched>,
 }
 
-/// What changed between two versions.
+/// The difference between two versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
     /// Tasks that may have changed.
@@ -35,22 +37,22 @@
 }
 
 impl Views {
-    /// The version now.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Makes a new version.
+    /// Starts a new version and returns it.
     pub fn touch(&mut self, tasks: Vec<TaskKey>, units: Vec<UnitName>) -> u64 {
         self.version += 1;
         self.touched.push_back(Touched { version: self.version, tasks, units });
-        if self.touched.len() > VERSIONS_KEPT {
+        if self.touched.len() > MAX_VERSIONS {
             self.touched.pop_front();
         }
         self.version
     }
 
-    /// What changed after a version; none if that is too long ago.
+    /// Returns the changes after a version, or `None` if it is too old.
     pub fn since(&self, version: u64) -> Option<Difference> {
         let oldest = self.touched.front().map_or(self.version + 1, |touched| touched.version);
         if version + 1 < oldest || version > self.version {
--- a/crates/pond-state/src/vm.rs
+++ b/crates/pond-state/src/vm.rs
@@ -1,4 +1,4 @@
-//! VMs as the state knows them.
+//! VMs and their records in the replicated state.
 
 use std::collections::BTreeSet;
 
@@ -6,70 +6,71 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What is believed of a VM.
+/// The liveness of a VM as judged by the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub enum Liveness {
-    /// Listed, and its worker answers.
+    /// The VM is listed and its worker answers.
     Live,
-    /// Listed or answering a moment ago, but not both; takes no new work.
+    /// The VM is not both listed and answering; it accepts no new work.
     #[default]
     Suspect,
-    /// Going away; its work is moved.
+    /// The VM is leaving; its work is moved.
     Leaving,
-    /// Every lease on it has surely run out.
+    /// Every lease on the VM has certainly expired.
     Gone,
 }
 
-/// One VM.
+/// The record of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
     /// Its key.
     pub key: VmKey,
-    /// As the platform lists it.
+    /// The VM as the platform lists it.
     pub vm: Vm,
-    /// Labels that operators set; they go before the platform's.
+    /// Labels that operators set; they override the platform's.
     pub set: Labels,
-    /// Keys that operators removed.
+    /// Keys of labels that operators removed.
     pub unset: Vec<String>,
-    /// An operator took it out of use.
+    /// Whether an operator has drained it.
     pub drained: bool,
-    /// What is believed of it.
+    /// Its liveness.
     pub liveness: Liveness,
-    /// What its tasks take, unconfirmed starts and stops in progress among them.
+    /// The resources that its tasks take, including unconfirmed starts and stops in progress.
     pub taken: Size,
-    /// Units that failed here since the last one that came to its end.
+    /// The units that failed here since the last task that finished.
     pub failed: BTreeSet<UnitName>,
-    /// When the last one failed.
+    /// When a unit last failed here.
     pub failed_at: Millis,
-    /// How often it was put into quarantine since the last one that came to its end.
+    /// The number of quarantines since the last task that finished.
     pub quarantines: u32,
-    /// An operator evacuated its data centre. (Snapshots of earlier versions have none.)
+    /// Whether an operator has evacuated its data centre. Snapshots of earlier versions lack this
+    /// field.
     #[serde(default)]
     pub evacuated: bool,
 }
 
-/// Whether a VM is believed to run what it is given.
+/// Whether a VM is trusted with work, given the failures on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// It is.
+    /// The VM is trusted.
     Good,
-    /// Too many different units failed on it; it gets nothing.
+    /// Too many different units failed on the VM; it gets no work.
     Quarantined,
-    /// Its quarantine is over; it gets one job to show that it is well.
+    /// The quarantine is over; the VM gets one job at a time as a test.
     Probe,
 }
 
-/// Different units that must fail on a VM before it is put into quarantine.
-const EVIDENCE: usize = 3;
+/// Number of different units that must fail on a VM before it is put into quarantine.
+const QUARANTINE_FAILURES: usize = 3;
 
-/// How long the first quarantine lasts, in milliseconds; doubled with each that follows.
+/// Duration of the first quarantine, in milliseconds; it doubles with each further one.
 const QUARANTINE_MS: Span = 60_000;
 
-/// How often the time is doubled at most.
-const DOUBLINGS: u32 = 5;
+/// Maximum number of times that the duration is doubled.
+const MAX_DOUBLINGS: u32 = 5;
 
 impl VmRecord {
-    /// A VM that was just listed.
+    /// Creates the record of a VM that was just listed.
     pub fn new(key: VmKey, vm: Vm) -> VmRecord {
         VmRecord {
             key,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Its labels with the operators' changes.
+    /// Returns its labels with the operators' changes.
     pub fn labels(&self) -> Labels {
         let mut labels = self.vm.labels.clone();
         labels.retain(|key, _| !self.unset.contains(key));
@@ -94,57 +95,57 @@
         labels
     }
 
-    /// The value of one label with the operators' changes.
+    /// Returns the value of one label with the operators' changes.
     pub fn label(&self, key: &str) -> Option<&str> {
         let set = self.set.get(key).map(String::as_str);
         let removed = || self.unset.iter().any(|other| other == key);
         set.or_else(|| if removed() { None } else { self.vm.labels.get(key).map(String::as_str) })
     }
 
-    /// Whether its labels meet a selector.
+    /// Returns whether its labels match a selector.
     pub fn matches(&self, selector: &Selector) -> bool {
         selector.terms.iter().all(|term| term.matches_value(self.label(&term.key)))
     }
 
-    /// Takes in that a unit failed here.
-    pub fn fail(&mut self, unit: &str, now: Millis) {
+    /// Records that a unit failed here.
+    pub fn record_failure(&mut self, unit: &str, now: Millis) {
         self.failed.insert(unit.to_owned());
         self.failed_at = now;
-        if self.failed.len() >= EVIDENCE {
+        if self.failed.len() >= QUARANTINE_FAILURES {
             self.quarantines += 1;
         }
     }
 
-    /// Takes in that a unit came to its end here.
-    pub fn succeed(&mut self) {
+    /// Records that a task finished here.
+    pub fn record_success(&mut self) {
         self.failed.clear();
         self.quarantines = 0;
     }
 
-    /// Whether it is believed to run what it is given.
+    /// Returns whether the VM is trusted with work now.
     pub fn trust(&self, now: Millis) -> Trust {
-        if self.failed.len() < EVIDENCE {
+        if self.failed.len() < QUARANTINE_FAILURES {
             return Trust::Good;
         }
-        let doublings = self.quarantines.saturating_sub(1).min(DOUBLINGS);
+        let doublings = self.quarantines.saturating_sub(1).min(MAX_DOUBLINGS);
         if now < self.failed_at + (QUARANTINE_MS << doublings) {
             return Trust::Quarantined;
         }
         Trust::Probe
     }
 
-    /// What it has left.
+    /// Returns its free resources.
     pub fn free(&self) -> Size {
         self.vm.size.minus(self.taken)
     }
 
-    /// Whether it takes new work.
+    /// Returns whether it accepts new work.
     pub fn open(&self) -> bool {
         let listed = self.vm.presence == Presence::Live;
         listed && !self.drained && !self.evacuated && self.liveness == Liveness::Live
     }
 
-    /// Whether its work shall go elsewhere.
+    /// Returns whether its work must be moved to other VMs.
     pub fn leaving(&self) -> bool {
         let leaving = self.vm.presence == Presence::Leaving || self.drained;
         leaving || self.liveness == Liveness::Leaving
--- a/crates/pond-state/tests/promises.rs
+++ b/crates/pond-state/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! The promises that the replicated state keeps, whatever is proposed.
+//! The guarantees that the replicated state keeps, whatever is proposed.
 
 use pond_proto::wire::Verdict;
 use pond_proto::{Labels, Millis, Selector, Size, TaskKey, VmKey};
@@ -36,7 +36,7 @@
     state.apply(Change::Steer { at: Millis(1), task: TaskKey(task), decision })
 }
 
-/// Two live VMs of four processors each.
+/// Returns a state with two live VMs of four processors each.
 fn state() -> State {
     let mut state = State::new();
     state.apply(Change::Listed { at: Millis(1), vms: vec![vm("a"), vm("b")] });
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_vm_is_never_given_more_than_it_has() {
+fn vm_is_never_overcommitted() {
     let mut state = state();
     let units = (0..6).map(|i| job(&format!("job-{i}"))).collect();
     apply(&mut state, "1", units);
@@ -67,7 +67,7 @@
         assert!(matches!(place(&mut state, &format!("job-{i}"), 0, 0), Reply::Placed(_)));
     }
     assert_eq!(refused(&place(&mut state, "job-4", 0, 0)), Some(&Refusal::NoRoom));
-    // A stop in progress still takes its room.
+    // A task that is being stopped still takes room.
     steer(&mut state, 0, Action::Stop);
     assert_eq!(refused(&place(&mut state, "job-4", 0, 0)), Some(&Refusal::NoRoom));
     end(&mut state, 0, End::Stopped { checkpoint: 5 });
@@ -91,7 +91,7 @@
     place(&mut state, "job", 0, 0);
     steer(&mut state, 0, Action::Move);
     end(&mut state, 0, End::Stopped { checkpoint: 700 });
-    // A second report of the same end, as after a lost answer, changes nothing.
+    // A repeated report of the same end, as after a lost answer, has no effect.
     assert_eq!(refused(&end(&mut state, 0, End::Lost)), Some(&Refusal::NoTask));
     place(&mut state, "job", 0, 1);
     let task = state.task(TaskKey(1)).expect("the resumed task");
@@ -112,17 +112,17 @@
 }
 
 #[test]
-fn cancelled_means_it_will_not_start() {
+fn cancelled_unit_does_not_start() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job")]);
     let order = Order::Cancel { names: vec!["job".to_owned()], selector: None };
     state.apply(Change::Order { meta: meta("2"), order });
     assert_eq!(refused(&place(&mut state, "job", 0, 0)), Some(&Refusal::NotNeeded));
-    assert_eq!(state.wanting().count(), 0);
+    assert_eq!(state.incomplete_units().count(), 0);
 }
 
 #[test]
-fn a_cancelled_job_that_runs_is_stopped_and_not_resumed() {
+fn running_job_that_is_cancelled_is_stopped_and_not_resumed() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job")]);
     place(&mut state, "job", 0, 0);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn closed_vms_take_nothing() {
+fn closed_vms_accept_no_work() {
     type Close = fn(&mut State);
     let closed: [(&str, Close); 4] = [
         ("suspect", |state| {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn evacuations_hold_for_vms_that_come_later_and_until_they_are_taken_back() {
+fn evacuation_covers_new_vms_and_lasts_until_it_is_revoked() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job"), job("later")]);
     assert!(matches!(evacuate(&mut state, "2", "north", true), Reply::Accepted { .. }));
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn work_goes_on_in_an_evacuated_data_centre() {
+fn tasks_keep_running_in_an_evacuated_data_centre() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job")]);
     place(&mut state, "job", 0, 0);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_team_never_gets_more_than_its_quota() {
+fn team_never_exceeds_its_quota() {
     let mut state = state();
     let teams = [("team".to_owned(), Size::new(2000, 8000, 0))].into();
     state.apply(Change::Order { meta: meta("q"), order: Order::Quota { teams } });
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_resent_order_gets_its_first_result_and_changes_nothing() {
+fn resent_order_gets_its_first_result_and_changes_nothing() {
     let mut state = state();
     let first = apply(&mut state, "same", vec![job("job")]);
     let version = state.version();
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_identity_that_stood_for_another_order_is_refused() {
+fn identity_of_another_order_is_refused() {
     let mut state = state();
     apply(&mut state, "same", vec![job("job")]);
     let reply = apply(&mut state, "same", vec![job("other")]);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn of_two_operators_at_the_same_version_one_wins_and_the_other_sees_the_difference() {
+fn second_order_based_on_the_same_version_is_refused_with_the_changes_since() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job")]);
     let version = state.version();
@@ -269,7 +269,7 @@
         service: "loans".to_owned(),
         key: key.to_owned(),
         digest,
-        holder: Holder { life: 1, number },
+        holder: Holder { incarnation: 1, number },
     };
     match state.apply(change) {
         Reply::Claim(decided) => decided,
@@ -282,7 +282,7 @@
         at: Millis(1),
         service: "loans".to_owned(),
         key: "key".to_owned(),
-        holder: Holder { life: 1, number },
+        holder: Holder { incarnation: 1, number },
         not_run,
         answer,
     });
@@ -295,14 +295,14 @@
 
 #[test]
 fn claims_are_granted_at_most_once() {
-    // What happened to the first request, and what a second one with the same key is told.
+    // What happened to the first request, and the verdict on a second one with the same key.
     type Step = fn(&mut State);
     let table: [(&str, Step, Verdict); 5] = [
         ("still running", |_| {}, Verdict::Held),
         ("answered", |s| unclaim(s, 1, false, answer()), Verdict::Answered),
-        ("fate unknown", |s| unclaim(s, 1, false, None), Verdict::Ended),
+        ("outcome unknown", |s| unclaim(s, 1, false, None), Verdict::Ended),
         ("did not run", |s| unclaim(s, 1, true, None), Verdict::Granted),
-        ("another tells its end", |s| unclaim(s, 9, true, None), Verdict::Held),
+        ("end reported by another holder", |s| unclaim(s, 9, true, None), Verdict::Held),
     ];
     for (name, step, expected) in table {
         let mut state = State::new();
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn claims_end_after_a_day_and_not_before() {
+fn claims_expire_after_a_day_and_not_before() {
     let day = 24 * 3600 * 1000;
     for (at, expected) in [(day, Verdict::Held), (day + 2, Verdict::Granted)] {
         let mut state = State::new();
@@ -339,7 +339,7 @@
             service: "loans".to_owned(),
             key: "key".to_owned(),
             digest: 5,
-            holder: Holder { life: 2, number: 1 },
+            holder: Holder { incarnation: 2, number: 1 },
         };
         let Reply::Claim(decided) = state.apply(change) else { panic!("no claim") };
         assert_eq!(decided.verdict, expected as i32, "at {at}");
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn deltas_lead_from_any_version_to_the_newest() {
+fn deltas_lead_from_any_version_to_the_current_one() {
     let mut state = state();
     let mut versions = vec![(0, state.delta(0, 1))];
     apply(&mut state, "1", vec![service("s", 2)]);
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_process_too_far_behind_is_sent_everything() {
+fn process_too_far_behind_gets_the_complete_configuration() {
     let mut state = state();
     for i in 0..5000 {
         apply(&mut state, &format!("{i}"), vec![job("job")]);
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn a_failed_job_waits_longer_each_time_and_ends_with_its_reason() {
+fn failing_job_backs_off_longer_each_time_and_ends_with_its_reason() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job")]);
     let mut waits = Vec::new();
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn a_vm_that_is_gone_with_no_task_is_forgotten_and_one_with_a_task_is_not() {
+fn gone_vm_is_removed_only_once_it_has_no_task() {
     let mut state = state();
     apply(&mut state, "1", vec![job("job")]);
     place(&mut state, "job", 0, 0);
@@ -408,7 +408,7 @@
     assert!(state.vm(VmKey(1)).is_none());
 }
 
-/// Any change, sensible or not.
+/// Generates arbitrary changes, valid or not.
 fn any_change() -> impl Strategy<Value = Change> {
     let at = Millis(1);
     let unit = (0..4u32).prop_map(|i| format!("unit-{i}"));
@@ -458,13 +458,13 @@
     #![proptest_config(cases(500))]
 
     #[test]
-    fn no_sequence_of_changes_breaks_a_promise(changes in prop::collection::vec(any_change(), 1..60)) {
+    fn no_sequence_of_changes_breaks_a_guarantee(changes in prop::collection::vec(any_change(), 1..60)) {
         let mut state = state();
         let mut version = 0;
         let mut restored = state.clone();
         for change in changes {
             let reply = state.apply(change.clone());
-            // A replica that was restored from a snapshot a moment ago goes on in the same way.
+            // A replica that was just restored from a snapshot must give the same result.
             prop_assert_eq!(restored.apply(change), reply);
             prop_assert_eq!(restored.checksum(), state.checksum());
             restored = State::decode(&state.encode()).expect("decodes");
