--- a/crates/pond-control/benches/capacity.rs
+++ b/crates/pond-control/benches/capacity.rs
@@ -1,4 +1,5 @@
-//! Measures the slopes that docs/CAPACITY.md is worked out from, at several sizes each.
+//! Measures the cost per VM, task and claim that docs/CAPACITY.md is derived from, for several
+//! sizes.
 //!
 //! `cargo bench -p pond-control --bench capacity`
 
@@ -6,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use pond_control::{Answer, Call, Fact, Reconciler, Step, Times};
+use pond_control::{Answer, Call, CallResult, Reconciler, Step, Times};
 use pond_platform::{LeaseAnswer, Stamp, TaskState, TaskStatus};
 use pond_proto::wire::Frame;
 use pond_proto::{Labels, Millis, Size, Vm, VmKey};
@@ -15,7 +16,8 @@
 use pond_test::{job, service, vm};
 use prost::Message;
 
-/// VMs; each runs five endpoints and ten batch tasks, as the letter's 1,200 do.
+/// Numbers of VMs; each VM runs five endpoints and ten batch tasks. The largest installation has
+/// 1,200.
 const SIZES: [u32; 4] = [100, 300, 600, 1_200];
 
 fn memory_mib() -> f64 {
@@ -27,7 +29,7 @@
 fn times() -> Times {
     Times {
         lease_ms: 10_000,
-        surely_over_ms: 10_501,
+        lease_expiry_ms: 10_501,
         renew_ms: 2_000,
         drain_ms: 30_000,
         grace_ms: 1_000,
@@ -35,7 +37,7 @@
     }
 }
 
-/// A fleet with all its tasks running.
+/// Returns the state of a fleet with all tasks running.
 fn fleet(vms: u32) -> State {
     let mut state = State::new();
     let at = Millis(1);
@@ -112,7 +114,8 @@
     }
 }
 
-/// The steady work of a leader: leases renewed and answered, usage taken in, nothing to change.
+/// Measures the steady work of a leader: leases are renewed and answered, usage reports are
+/// processed, and nothing needs to change.
 fn steady_leader() {
     println!(
         "\n| VMs | us a tick of the reconciler | us to take in one lease answer | us to take in one usage report of a VM | us a plan with nothing to place | share of a core |"
@@ -133,9 +136,10 @@
             ticking += micros(begun);
             for step in reconciler.take_steps() {
                 let Step::Call { vm, call: call @ Call::Lease(_), .. } = step else { continue };
-                let fact = Fact { vm, call, sent: Millis(now), result: Ok(lease(&state, vm, now)) };
+                let call_result =
+                    CallResult { vm, call, sent: Millis(now), result: Ok(lease(&state, vm, now)) };
                 let begun = Instant::now();
-                reconciler.fact(&state, Millis(now), Millis(now), fact);
+                reconciler.call_ended(&state, Millis(now), Millis(now), call_result);
                 taking += micros(begun);
                 answers += 1;
             }
@@ -153,8 +157,8 @@
         }
         let planning = micros(begun) / 10.0;
         let (tick, answer) = (ticking / f64::from(ticks), taking / f64::from(answers.max(1)));
-        // 50 ticks and 2 looks of the ladder a second; each VM answers a lease and a usage call
-        // every two seconds.
+        // There are 50 ticks and 2 throttling rounds a second; each VM answers a lease and a usage
+        // call every two seconds.
         let per_vm = f64::from(size) / 2.0;
         let share = (tick * 50.0 + planning * 2.0 + (answer + measuring) * per_vm) / 1e6;
         println!(
@@ -219,7 +223,8 @@
     }
 }
 
-/// Bytes that a worker with fifteen tasks exchanges with the leader, without HTTP's heads.
+/// Measures the bytes that a worker with fifteen tasks exchanges with the leader, without HTTP
+/// headers.
 fn worker_bytes() {
     let state = fleet(100);
     let vm = VmKey(0);
--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -1,4 +1,4 @@
-//! Measures three real control replicas on loopback with real syncs.
+//! Measures three control replicas on the loopback interface with real disk syncs.
 //!
 //! `cargo bench -p pond-control --bench control` writes the tables of docs/MEASUREMENTS.md.
 
@@ -23,13 +23,13 @@
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
 
-/// How long each rate is measured.
+/// Duration of each rate measurement.
 const RATE_TIME: Duration = Duration::from_secs(3);
 
-/// Links of stand-ins for entries and endpoint processes.
-const NODES: usize = 1_200;
+/// Number of simulated endpoint processes that follow the replicas.
+const FOLLOWERS: usize = 1_200;
 
-/// Rounds of elections.
+/// Number of elections that are measured.
 const ELECTIONS: usize = 7;
 
 fn free_address() -> SocketAddr {
@@ -37,15 +37,15 @@
     listener.local_addr().expect("an address")
 }
 
-/// Three replicas and where they are.
-struct Trio {
+/// Three replicas with their settings and data folder.
+struct Cluster {
     folder: PathBuf,
     settings: Vec<Settings>,
     running: Vec<Option<Process>>,
 }
 
-impl Trio {
-    fn start() -> Trio {
+impl Cluster {
+    fn start() -> Cluster {
         let folder =
             std::env::temp_dir().join(format!("pondbay-bench-{:08x}", rand::random::<u32>()));
         let replicas: Vec<Replica> = (0..3)
@@ -78,7 +78,7 @@
             .iter()
             .map(|settings| Some(Process::start(settings, pond_log::silent()).expect("starts")))
             .collect();
-        Trio { folder, settings, running }
+        Cluster { folder, settings, running }
     }
 
     fn operators(&self) -> Vec<String> {
@@ -86,7 +86,7 @@
     }
 }
 
-impl Drop for Trio {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for process in self.running.iter_mut().filter_map(Option::take) {
             process.kill();
@@ -114,7 +114,7 @@
     pond_http::get_json(client, address, path, Duration::from_secs(5)).await.ok()
 }
 
-/// The replica that accepts orders, and how long it took to find.
+/// Returns the index of the replica that accepts orders, and the time it took to find it.
 async fn leader(client: &Client, operators: &[String]) -> (usize, Duration) {
     let begun = Instant::now();
     loop {
@@ -132,8 +132,8 @@
     sorted.get(place).map_or(0.0, |time| time.as_secs_f64() * 1000.0)
 }
 
-/// Bare writes and syncs of 200 bytes on the same disk.
-fn bare_syncs(folder: &Path) -> Vec<Duration> {
+/// Measures plain writes and syncs of 200 bytes on the same disk.
+fn plain_syncs(folder: &Path) -> Vec<Duration> {
     let mut file = File::create(folder.join("bare")).expect("a file");
     let begun = Instant::now();
     let mut times = Vec::new();
@@ -183,12 +183,12 @@
 fn rates(runtime: &Runtime) {
     println!("\n### Accepted changes\n");
     println!("| writers | a second | p50 ms | p99 ms |\n|---|---|---|---|");
-    let trio = Trio::start();
+    let cluster = Cluster::start();
     let client = Client::new();
-    let bare = bare_syncs(&trio.folder);
+    let bare = plain_syncs(&cluster.folder);
     row("bare syncs", &bare, RATE_TIME);
-    let (at, _) = runtime.block_on(leader(&client, &trio.operators()));
-    let address = trio.operators()[at].clone();
+    let (at, _) = runtime.block_on(leader(&client, &cluster.operators()));
+    let address = cluster.operators()[at].clone();
     for count in [1, 16, 256] {
         let times = runtime.block_on(writers(&client, &address, count));
         row(&count.to_string(), &times, RATE_TIME);
@@ -196,19 +196,20 @@
 }
 
 fn elections(runtime: &Runtime) {
-    let mut trio = Trio::start();
+    let mut cluster = Cluster::start();
     let client = Client::new();
-    let operators = trio.operators();
+    let operators = cluster.operators();
     let mut times = Vec::new();
     for _ in 0..ELECTIONS {
         let (at, _) = runtime.block_on(leader(&client, &operators));
-        if let Some(process) = trio.running[at].take() {
+        if let Some(process) = cluster.running[at].take() {
             process.kill();
         }
         let (_, time) = runtime.block_on(leader(&client, &operators));
         times.push(time);
-        let again = Process::start(&trio.settings[at], pond_log::silent()).expect("starts again");
-        trio.running[at] = Some(again);
+        let again =
+            Process::start(&cluster.settings[at], pond_log::silent()).expect("starts again");
+        cluster.running[at] = Some(again);
         std::thread::sleep(Duration::from_millis(700));
     }
     times.sort_unstable();
@@ -220,7 +221,7 @@
     );
 }
 
-/// Bytes that went over the loopback interface so far.
+/// Returns the number of bytes received on the loopback interface so far.
 fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find(|line| line.trim_start().starts_with("lo:"));
@@ -228,11 +229,11 @@
     bytes.unwrap_or(0)
 }
 
-/// Stand-ins that follow control and acknowledge every configuration.
+/// Runs simulated processes that follow the replicas and acknowledge every configuration.
 async fn follow(replicas: Vec<Replica>, stop: Arc<AtomicBool>) {
     let (events, mut happened) = mpsc::channel(65_536);
     let mut key = 0;
-    for node in 0..NODES {
+    for node in 0..FOLLOWERS {
         let terms = Terms::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
         let terms = terms.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
         let terms = Arc::new(terms.with_times(pond_follow::BEAT, pond_follow::SILENCE));
@@ -262,20 +263,21 @@
     }
 }
 
-fn in_force(runtime: &Runtime) {
-    let trio = Trio::start();
+fn configuration_in_force(runtime: &Runtime) {
+    let cluster = Cluster::start();
     let client = Client::new();
-    let operators = trio.operators();
+    let operators = cluster.operators();
     let (at, _) = runtime.block_on(leader(&client, &operators));
     let stop = Arc::new(AtomicBool::new(false));
-    let (replicas, flag) = (trio.settings[0].replicas.clone(), stop.clone());
+    let (replicas, flag) = (cluster.settings[0].replicas.clone(), stop.clone());
     let nodes = std::thread::spawn(move || {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(follow(replicas, flag));
     });
     let address = &operators[at];
-    let all_in = |status: &Status| status.told as usize == NODES && status.in_force == status.told;
+    let all_in =
+        |status: &Status| status.told as usize == FOLLOWERS && status.in_force == status.told;
     let wait = || async {
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(30) {
@@ -298,10 +300,10 @@
     times.sort_unstable();
     let before = loopback_bytes();
     std::thread::sleep(Duration::from_secs(5));
-    let idle = (loopback_bytes() - before) as f64 / 5.0 / NODES as f64;
-    println!("\n### Configuration in force at {NODES} linked processes\n");
+    let idle = (loopback_bytes() - before) as f64 / 5.0 / FOLLOWERS as f64;
+    println!("\n### Configuration in force at {FOLLOWERS} linked processes\n");
     println!(
-        "All linked and told after {:.1} s. From an order to in force everywhere, {} orders: median \
+        "All linked and up to date after {:.1} s. From an order to in force everywhere, {} orders: median \
          {:.0} ms, p99 {:.0} ms. Idle, each process costs {idle:.0} bytes a second in both \
          directions, headers included.",
         linked.as_secs_f64(),
@@ -310,11 +312,11 @@
         quantile(&times, 0.99)
     );
     stop.store(true, Ordering::Relaxed);
-    drop(trio);
+    drop(cluster);
     let _ = nodes.join();
 }
 
-/// Memory of this process, in MiB.
+/// Returns the resident memory of this process, in MiB.
 fn memory_mib() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = text.split_whitespace().nth(1).and_then(|p| p.parse().ok()).unwrap_or(0.0);
@@ -356,6 +358,6 @@
         .expect("a runtime");
     rates(&runtime);
     elections(&runtime);
-    in_force(&runtime);
+    configuration_in_force(&runtime);
     recovery();
 }
--- a/crates/pond-control/src/formation.rs
+++ b/crates/pond-control/src/formation.rs
@@ -1,10 +1,10 @@
-//! The first start of a quorum, and replicas that come back with another disk.
+//! The formation of a new quorum, and the replacement of replicas that return with an empty disk.
 
 use std::collections::BTreeMap;
 
 use pond_proto::quorum::{Member, Members, Present};
 
-/// What this replica knows of the others.
+/// What this replica knows about the other replicas.
 #[derive(Debug)]
 pub struct Formation {
     own: Member,
@@ -14,30 +14,32 @@
 }
 
 impl Formation {
-    /// A replica among those that the settings name; `formed` if its disk holds a log.
+    /// Creates the formation of a replica; `names` are all replicas in the settings, and `formed`
+    /// tells whether its disk holds a log.
     pub fn new(own: Member, names: Vec<String>, formed: bool) -> Formation {
         Formation { own, names, formed, present: BTreeMap::new() }
     }
 
-    /// How this replica presents itself, with the index of its last entry.
+    /// Returns the message in which this replica presents itself, with the index of its last entry.
     pub fn present(&self, last_index: u64) -> Present {
         Present { member: self.own.clone(), formed: self.formed, last_index }
     }
 
-    /// This replica has taken in a log that names members.
+    /// Records that this replica's log names members.
     pub fn set_formed(&mut self) {
         self.formed = true;
     }
 
-    /// Another replica presented itself.
-    pub fn hear(&mut self, present: Present) {
+    /// Records the message in which another replica presented itself.
+    pub fn record_present(&mut self, present: Present) {
         self.present.insert(present.member.name.clone(), present);
     }
 
-    /// The members of the first start, once all replicas of the settings are there and new.
+    /// Returns the initial members once all replicas in the settings are present and none has a
+    /// log.
     ///
-    /// If one of them has a log already, this replica is new to a quorum that exists, and waits
-    /// to be added by its leader.
+    /// If one of them has a log, a quorum already exists, and this replica waits until its leader
+    /// adds it.
     pub fn first_members(&self) -> Option<Members> {
         if self.formed {
             return None;
@@ -50,9 +52,9 @@
         Some(Members::new(list))
     }
 
-    /// A replica that is known under another disk: the member to remove and the one to add.
+    /// Returns the next step to replace a replica that has returned with another disk.
     ///
-    /// Only one step at a time: the old one is removed first, then the new one is added.
+    /// Members change one at a time: the old member is removed first, then the new one is added.
     pub fn replacement(&self, members: &Members) -> Option<Replacement> {
         for present in self.present.values().filter(|present| !present.formed) {
             let new = &present.member;
@@ -69,10 +71,10 @@
     }
 }
 
-/// One step of replacing a replica.
+/// A step of replacing a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Replacement {
-    /// Remove the member with the lost disk.
+    /// Remove the member whose disk was lost.
     Remove(Member),
     /// Add the member with the new disk.
     Add(Member),
--- a/crates/pond-control/src/operator/api.rs
+++ b/crates/pond-control/src/operator/api.rs
@@ -17,33 +17,33 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
+use crate::input::Input;
 use crate::operator::Tokens;
-use crate::operator::ask::Asker;
+use crate::operator::client::Client;
 use crate::operator::show;
-use crate::ring::Input;
 
-/// Largest order, in bytes.
-const ORDER_BYTES: usize = 4 << 20;
+/// Maximum size of an order, in bytes.
+const MAX_ORDER_BYTES: usize = 4 << 20;
 
-/// Records of the audit trail that are shown unless asked otherwise.
-const AUDIT_RECORDS: usize = 50;
+/// Default number of audit records in an answer.
+const DEFAULT_AUDIT_RECORDS: usize = 50;
 
-/// What the endpoints share.
+/// The context that all endpoints share.
 pub struct Api {
-    asker: Asker,
+    client: Client,
     tokens: Tokens,
 }
 
 type Context = RequestContext<Api>;
 
 impl Api {
-    /// An API that asks through a ring.
-    pub fn new(ring: Sender<Input>, tokens: Tokens) -> Api {
-        Api { asker: Asker::new(ring), tokens }
+    /// Creates an API that sends its requests to `input_sender`.
+    pub fn new(input_sender: Sender<Input>, tokens: Tokens) -> Api {
+        Api { client: Client::new(input_sender), tokens }
     }
 }
 
-/// The origin of an order, under the name of the token's owner if tokens are in use.
+/// Returns the origin of an order, with the token's owner as its author if tokens are in use.
 fn origin(context: &Context, origin: Origin) -> Result<Origin, HttpError> {
     let owner = authorize(context)?;
     Ok(Origin { who: owner.unwrap_or(origin.who), ..origin })
@@ -51,12 +51,13 @@
 
 fn authorize(context: &Context) -> Result<Option<String>, HttpError> {
     let headers = context.request.headers();
-    let shown = headers.get("authorization").and_then(|value| value.to_str().ok());
-    context.context().tokens.owner(shown).map_err(|()| {
+    let header = headers.get("authorization").and_then(|value| value.to_str().ok());
+    context.context().tokens.owner(header).map_err(|()| {
         HttpError::for_client_error(
             Some("unauthorized".to_owned()),
             dropshot::ClientErrorStatusCode::UNAUTHORIZED,
-            "show a token of the operator_tokens file as 'Authorization: Bearer TOKEN'".to_owned(),
+            "send a token from the operator_tokens file as 'Authorization: Bearer TOKEN'"
+                .to_owned(),
         )
     })
 }
@@ -71,7 +72,7 @@
         let message = "origin.who and origin.request must not be empty".to_owned();
         return Err(HttpError::for_bad_request(Some("origin".to_owned()), message));
     }
-    context.context().asker.order(from, order).await.map(HttpResponseOk)
+    context.context().client.order(from, order).await.map(HttpResponseOk)
 }
 
 /// Create units, or replace those of the same names.
@@ -121,7 +122,7 @@
     context: Context,
 ) -> Result<HttpResponseOk<Vec<EvacuationRow>>, HttpError> {
     authorize(&context)?;
-    context.context().asker.read(show::evacuation_rows).await.map(HttpResponseOk)
+    context.context().client.read(show::evacuation_rows).await.map(HttpResponseOk)
 }
 
 /// Cancel units by name or by label.
@@ -148,10 +149,10 @@
 #[endpoint { method = GET, path = "/v1/units" }]
 async fn list_units(context: Context) -> Result<HttpResponseOk<Vec<UnitRow>>, HttpError> {
     authorize(&context)?;
-    let look = |state: &pond_state::State| {
+    let read_state = |state: &pond_state::State| {
         state.units().map(|record| show::unit_row(state, record)).collect()
     };
-    context.context().asker.read(look).await.map(HttpResponseOk)
+    context.context().client.read(read_state).await.map(HttpResponseOk)
 }
 
 /// The name of a unit in a path.
@@ -170,38 +171,38 @@
     authorize(&context)?;
     let name = path.into_inner().name;
     let wanted = name.clone();
-    let shown = context.context().asker.read(move |state| show::unit_shown(state, &wanted)).await?;
+    let unit = context.context().client.read(move |state| show::unit_shown(state, &wanted)).await?;
     let missing = || {
         let message = format!("there is no unit {name}");
         let code = dropshot::ClientErrorStatusCode::NOT_FOUND;
         HttpError::for_client_error(Some("no-unit".to_owned()), code, message)
     };
-    shown.map(HttpResponseOk).ok_or_else(missing)
+    unit.map(HttpResponseOk).ok_or_else(missing)
 }
 
 /// All VMs.
 #[endpoint { method = GET, path = "/v1/vms" }]
 async fn list_vms(context: Context) -> Result<HttpResponseOk<Vec<VmRow>>, HttpError> {
     authorize(&context)?;
-    let look =
+    let read_state =
         |state: &pond_state::State| state.vms().map(|record| show::vm_row(state, record)).collect();
-    context.context().asker.read(look).await.map(HttpResponseOk)
+    context.context().client.read(read_state).await.map(HttpResponseOk)
 }
 
 /// All tasks.
 #[endpoint { method = GET, path = "/v1/tasks" }]
 async fn list_tasks(context: Context) -> Result<HttpResponseOk<Vec<TaskRow>>, HttpError> {
     authorize(&context)?;
-    let look =
+    let read_state =
         |state: &pond_state::State| state.tasks().map(|task| show::task_row(state, task)).collect();
-    context.context().asker.read(look).await.map(HttpResponseOk)
+    context.context().client.read(read_state).await.map(HttpResponseOk)
 }
 
 /// The status of this replica.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn show_status(context: Context) -> Result<HttpResponseOk<Status>, HttpError> {
     authorize(&context)?;
-    context.context().asker.status().await.map(HttpResponseOk)
+    context.context().client.status().await.map(HttpResponseOk)
 }
 
 /// How many records are asked for.
@@ -218,11 +219,11 @@
     query: Query<AuditQuery>,
 ) -> Result<HttpResponseOk<Audit>, HttpError> {
     authorize(&context)?;
-    let count = query.into_inner().count.map_or(AUDIT_RECORDS, |count| count as usize);
-    let look = move |state: &pond_state::State| Audit {
+    let count = query.into_inner().count.map_or(DEFAULT_AUDIT_RECORDS, |count| count as usize);
+    let read_state = move |state: &pond_state::State| Audit {
         records: state.trail().newest(count).cloned().collect(),
     };
-    context.context().asker.read(look).await.map(HttpResponseOk)
+    context.context().client.read(read_state).await.map(HttpResponseOk)
 }
 
 fn describe() -> Result<ApiDescription<Api>, Error> {
@@ -245,10 +246,10 @@
     Ok(api)
 }
 
-/// The OpenAPI document of the operators' API, in JSON.
+/// Returns the OpenAPI document of the operators' API, in JSON.
 ///
 /// # Errors
-/// If the API does not fit together.
+/// [`Error::Operator`] if the endpoints conflict or the document cannot be written.
 pub fn openapi() -> Result<String, Error> {
     let mut bytes = Vec::new();
     let version = "1.0.0".parse().map_err(|_| Error::Operator { what: "version".to_owned() })?;
@@ -259,17 +260,17 @@
     String::from_utf8(bytes).map_err(|error| Error::Operator { what: error.to_string() })
 }
 
-/// Starts the server; it runs until it is closed.
+/// Starts the server, which runs until it is closed.
 ///
 /// # Errors
-/// If it cannot listen.
+/// [`Error::Operator`] if it cannot listen.
 pub fn start(address: SocketAddr, api: Api, log: &Logger) -> Result<HttpServer<Api>, Error> {
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: ORDER_BYTES,
+        default_request_body_max_bytes: MAX_ORDER_BYTES,
         ..ConfigDropshot::default()
     };
-    // The library logs every request; only its warnings are of use here.
+    // The library logs every request; only its warnings are useful here.
     let drain = slog::LevelFilter::new(log.clone(), slog::Level::Warning);
     let quiet = slog::Logger::root(slog::Fuse::new(drain), slog::o!());
     ServerBuilder::new(describe()?, api, quiet)
--- a/crates/pond-control/src/operator/ask.rs
+++ b/crates/pond-control/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! Asks the deciding thread and turns its answers into HTTP.
+//! Sends operators' requests to the deciding thread and converts its answers to HTTP.
 
 use crossbeam_channel::Sender;
 use dropshot::HttpError;
@@ -6,68 +6,68 @@
 use pond_state::{Meta, Order, Refusal, Reply, State};
 use tokio::sync::oneshot;
 
-use crate::ring::{Input, Unready};
+use crate::input::{Input, NotLeader};
 
-/// How long an operator waits for the quorum, in seconds.
-const PATIENCE_S: u64 = 10;
+/// Maximum time that a request waits for the quorum, in seconds.
+const QUORUM_TIMEOUT_S: u64 = 10;
 
-/// Asks the deciding thread.
+/// Sends requests to the deciding thread.
 #[derive(Clone)]
-pub struct Asker {
-    ring: Sender<Input>,
+pub struct Client {
+    input_sender: Sender<Input>,
 }
 
-impl Asker {
-    /// Asks through that ring.
-    pub fn new(ring: Sender<Input>) -> Asker {
-        Asker { ring }
+impl Client {
+    /// Creates a client that sends its requests to `input_sender`.
+    pub fn new(input_sender: Sender<Input>) -> Client {
+        Client { input_sender }
     }
 
-    /// Gives an order and waits until it is accepted or refused.
+    /// Sends an order and waits until it is accepted or refused.
     pub async fn order(&self, origin: Origin, order: Order) -> Result<Accepted, HttpError> {
         let (reply, answer) = oneshot::channel();
         let Origin { who, request, expect } = origin;
         let meta = Meta { who, request, expect, ..Meta::default() };
-        self.put(Input::Order { meta, order, reply })?;
+        self.send(Input::Order { meta, order, reply })?;
         match wait(answer).await? {
             Ok(Reply::Accepted { version, what }) => Ok(Accepted { version, what }),
             Ok(Reply::Refused(refusal)) => Err(refused(refusal)),
-            Ok(_) => Err(HttpError::for_internal_error("an order led to no answer".to_owned())),
-            Err(unready) => Err(not_leading(unready)),
+            Ok(_) => Err(HttpError::for_internal_error("unexpected reply to an order".to_owned())),
+            Err(not_leader) => Err(not_leading(not_leader)),
         }
     }
 
-    /// Looks at the state as it is now or later.
+    /// Reads the state as of the time of the call or later.
     pub async fn read<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&State) -> T + Send + 'static,
+        read_state: impl FnOnce(&State) -> T + Send + 'static,
     ) -> Result<T, HttpError> {
         let (reply, answer) = oneshot::channel();
-        let look = Box::new(move |state: Result<&State, Unready>| {
-            let _ = reply.send(state.map(look));
+        let read_state = Box::new(move |state: Result<&State, NotLeader>| {
+            let _ = reply.send(state.map(read_state));
         });
-        self.put(Input::Read { look })?;
+        self.send(Input::Read { read_state })?;
         wait(answer).await?.map_err(not_leading)
     }
 
-    /// The status of this replica.
+    /// Returns the status of this replica.
     pub async fn status(&self) -> Result<Status, HttpError> {
         let (reply, answer) = oneshot::channel();
-        self.put(Input::Status { reply })?;
+        self.send(Input::Status { reply })?;
         wait(answer).await
     }
 
-    fn put(&self, input: Input) -> Result<(), HttpError> {
-        self.ring.try_send(input).map_err(|_| {
-            let message = "too much is waiting; try again in a second".to_owned();
+    fn send(&self, input: Input) -> Result<(), HttpError> {
+        self.input_sender.try_send(input).map_err(|_| {
+            let message = "too many requests are waiting; try again in a second".to_owned();
             HttpError::for_unavail(Some("busy".to_owned()), message)
         })
     }
 }
 
 async fn wait<T>(answer: oneshot::Receiver<T>) -> Result<T, HttpError> {
-    let patience = std::time::Duration::from_secs(PATIENCE_S);
-    match tokio::time::timeout(patience, answer).await {
+    let timeout = std::time::Duration::from_secs(QUORUM_TIMEOUT_S);
+    match tokio::time::timeout(timeout, answer).await {
         Ok(Ok(answer)) => Ok(answer),
         _ => {
             let message = "no majority of the control replicas answered; the order may still be \
@@ -78,18 +78,18 @@
     }
 }
 
-fn not_leading(unready: Unready) -> HttpError {
-    let message = match &unready.leader {
-        Some(leader) => format!("this replica does not lead; ask {leader}"),
-        None => "no replica leads now; try again in a second".to_owned(),
+fn not_leading(not_leader: NotLeader) -> HttpError {
+    let message = match &not_leader.leader {
+        Some(leader) => format!("this replica is not the leader; ask {leader}"),
+        None => "there is no leader now; try again in a second".to_owned(),
     };
     let error = HttpError::for_unavail(Some("not-leading".to_owned()), message);
     let HttpError { internal_message, .. } = error;
     HttpError::for_unavail(Some("not-leading".to_owned()), internal_message)
-        .with_leader(unready.leader)
+        .with_leader(not_leader.leader)
 }
 
-/// Names the leader in a header, for programs.
+/// Adds the leader's address as a header, for programs.
 trait WithLeader {
     fn with_leader(self, leader: Option<String>) -> HttpError;
 }
@@ -109,14 +109,14 @@
     let (code, name, message) = match refusal {
         Refusal::Conflict { have, expected, since } => {
             let message = format!(
-                "the order was based on version {expected}, version {have} is in force; since \
-                 then: {}",
+                "the order was based on version {expected}, but version {have} is in force; \
+                 changes since then: {}",
                 since.join("; ")
             );
             (Code::CONFLICT, "conflict", message)
         }
         Refusal::IdentityUsed => {
-            let message = "this request identity stood for another order; use a new one";
+            let message = "this request identity was used for another order; use a new one";
             (Code::CONFLICT, "identity-used", message.to_owned())
         }
         Refusal::NoMatch { what } => (Code::NOT_FOUND, "no-match", format!("there are no {what}")),
--- a/crates/pond-control/src/operator/mod.rs
+++ b/crates/pond-control/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' HTTP API.
 
 mod api;
-mod ask;
+mod client;
 mod show;
 mod token;
 
--- a/crates/pond-control/src/operator/show.rs
+++ b/crates/pond-control/src/operator/show.rs
@@ -1,11 +1,11 @@
-//! Turns the state into what operators are shown.
+//! Converts the state to the rows that operators are shown.
 
 use pond_proto::operator::{
     DecisionRow, EvacuationRow, ResumeRow, TaskRow, UnitRow, UnitShown, VmRow,
 };
 use pond_state::{Decision, Evacuation, Phase, Standing, State, Task, UnitRecord, VmRecord};
 
-/// The row of a unit.
+/// Returns the row of a unit.
 pub fn unit_row(state: &State, record: &UnitRecord) -> UnitRow {
     let tasks = record.tasks.values().filter_map(|key| state.task(*key));
     let running = tasks.filter(|task| task.phase != Phase::Starting).count();
@@ -34,7 +34,7 @@
     .to_owned()
 }
 
-/// The row of a task.
+/// Returns the row of a task.
 pub fn task_row(state: &State, task: &Task) -> TaskRow {
     let vm = state.vm(task.vm).map(|record| record.vm.name.clone());
     TaskRow {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The row of a VM.
+/// Returns the row of a VM.
 pub fn vm_row(state: &State, record: &VmRecord) -> VmRow {
     VmRow {
         name: record.vm.name.clone(),
@@ -69,7 +69,7 @@
     }
 }
 
-/// The rows of the evacuated data centres.
+/// Returns the rows of the evacuated data centres.
 pub fn evacuation_rows(state: &State) -> Vec<EvacuationRow> {
     let row = |(name, evacuation): (&str, &Evacuation)| {
         let vms: Vec<&VmRecord> =
@@ -97,7 +97,7 @@
     }
 }
 
-/// All that is known of a unit.
+/// Returns the details of a unit.
 pub fn unit_shown(state: &State, name: &str) -> Option<UnitShown> {
     let record = state.unit(name)?;
     let tasks = record.tasks.values().filter_map(|key| state.task(*key));
--- a/crates/pond-control/src/platform.rs
+++ b/crates/pond-control/src/platform.rs
@@ -1,4 +1,4 @@
-//! The thread that talks to the platform: reads the VM list and calls workers.
+//! The platform thread: reads the VM list and calls workers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use pond_proto::{Millis, VmKey};
 use tokio::sync::{Semaphore, mpsc};
 
-use crate::reconcile::{Answer, Call, Fact};
-use crate::ring::Input;
+use crate::input::Input;
+use crate::reconcile::{Answer, Call, CallResult};
 
-/// Orders that may wait for the platform thread.
-pub const ORDERS: usize = 16_384;
+/// Maximum number of orders that wait for the platform thread.
+pub const MAX_ORDERS: usize = 16_384;
 
-/// Calls to workers that may be under way.
-const CALLS: usize = 1024;
+/// Maximum number of concurrent calls to workers.
+const MAX_CALLS: usize = 1024;
 
-/// How often the VM list is read.
-const LIST_EVERY: Duration = Duration::from_millis(1000);
+/// Interval at which the VM list is read.
+const LIST_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// A call to a worker.
+/// An order to call a worker.
 #[derive(Debug)]
 pub struct Order {
     /// The VM.
@@ -29,42 +29,42 @@
     pub worker: String,
     /// The call.
     pub call: Call,
-    /// When it was handed out.
+    /// When the order was given.
     pub sent: Millis,
 }
 
-/// Runs until the orders end.
+/// Carries out orders until their channel is closed.
 pub async fn run(
     platform: Arc<dyn Platform>,
     mut orders: mpsc::Receiver<Order>,
-    ring: Sender<Input>,
+    input_sender: Sender<Input>,
 ) {
-    let lister = tokio::spawn(read_list(platform.clone(), ring.clone()));
-    let room = Arc::new(Semaphore::new(CALLS));
+    let lister = tokio::spawn(read_list(platform.clone(), input_sender.clone()));
+    let call_slots = Arc::new(Semaphore::new(MAX_CALLS));
     while let Some(order) = orders.recv().await {
-        let Ok(permit) = room.clone().acquire_owned().await else { break };
-        let (platform, ring) = (platform.clone(), ring.clone());
+        let Ok(permit) = call_slots.clone().acquire_owned().await else { break };
+        let (platform, input_sender) = (platform.clone(), input_sender.clone());
         tokio::spawn(async move {
-            let fact = carry_out(platform.as_ref(), order).await;
-            put(&ring, Input::Worker(fact)).await;
+            let call_result = execute(platform.as_ref(), order).await;
+            send_input(&input_sender, Input::Worker(call_result)).await;
             drop(permit);
         });
     }
     lister.abort();
 }
 
-async fn read_list(platform: Arc<dyn Platform>, ring: Sender<Input>) {
+async fn read_list(platform: Arc<dyn Platform>, input_sender: Sender<Input>) {
     loop {
         let list = platform.vms().await.map_err(|error| error.to_string());
-        put(&ring, Input::Listed(list)).await;
-        tokio::time::sleep(LIST_EVERY).await;
+        send_input(&input_sender, Input::Listed(list)).await;
+        tokio::time::sleep(LIST_INTERVAL).await;
     }
 }
 
-/// Puts an input into the ring, waiting while it is full.
-async fn put(ring: &Sender<Input>, mut input: Input) {
+/// Sends an input to the deciding thread, waiting while the channel is full.
+async fn send_input(input_sender: &Sender<Input>, mut input: Input) {
     loop {
-        match ring.try_send(input) {
+        match input_sender.try_send(input) {
             Err(crossbeam_channel::TrySendError::Full(back)) => input = back,
             _ => return,
         }
@@ -72,10 +72,10 @@
     }
 }
 
-async fn carry_out(platform: &dyn Platform, order: Order) -> Fact {
+async fn execute(platform: &dyn Platform, order: Order) -> CallResult {
     let Order { vm, worker, call, sent } = order;
     let result = call_worker(platform, &worker, &call).await;
-    Fact { vm, call, sent, result }
+    CallResult { vm, call, sent, result }
 }
 
 async fn call_worker(platform: &dyn Platform, worker: &str, call: &Call) -> Result<Answer, Error> {
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the threads of a control replica.
+//! The threads of a control replica.
 
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 use pond_store::{Folder, Store, Writer};
 use tokio::sync::mpsc;
 
+use crate::input::{INPUT_CAPACITY, Input};
 use crate::operator::{self, Api, Tokens};
 use crate::platform;
 use crate::reconcile::Times;
 use crate::replica::{Parts, Replica};
-use crate::ring::{Input, RING};
 use pond_clock::Clock;
 
-/// Events of links that may wait on their way to the ring.
-const LINK_EVENTS: usize = 4096;
+/// Maximum number of link events that wait to be forwarded to the deciding thread.
+const MAX_LINK_EVENTS: usize = 4096;
 
-/// How long a draining endpoint may take at most, in milliseconds.
-const DRAIN_MS: u64 = 30_000;
+/// Maximum time for draining an endpoint, in milliseconds.
+const MAX_DRAIN_MS: u64 = 30_000;
 
-/// How long a task may take to stop, in milliseconds.
-const GRACE_MS: u64 = 1_000;
+/// Time that a task gets to stop, in milliseconds.
+const STOP_GRACE_MS: u64 = 1_000;
 
-/// How long a VM may be missing from the list before its work is moved, in milliseconds.
-const MISSING_MS: u64 = 30_000;
+/// Time for which a VM may be missing from the list before its work is moved, in milliseconds.
+const MAX_MISSING_MS: u64 = 30_000;
 
 /// A running control replica.
 pub struct Process {
-    ring: Sender<Input>,
+    input_sender: Sender<Input>,
     decider: Option<JoinHandle<bool>>,
     threads: Threads,
     log: Logger,
@@ -47,7 +47,7 @@
     /// Starts a replica from its settings.
     ///
     /// # Errors
-    /// See [`Error`]; nothing is left running.
+    /// See [`Error`]; no thread is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Control(control) = &settings.role else {
             return Err(Error::Role { wanted: "control" });
@@ -58,8 +58,8 @@
         let folder = Folder::open(&control.data_folder).map_err(failed)?;
         let (store, recovered) = Store::open(Box::new(folder)).map_err(failed)?;
         let clock = Clock::new();
-        let (ring, inputs) = bounded(RING);
-        let (orders, order_queue) = mpsc::channel(platform::ORDERS);
+        let (input_sender, inputs) = bounded(INPUT_CAPACITY);
+        let (orders, order_queue) = mpsc::channel(platform::MAX_ORDERS);
         let member = Member {
             id: recovered.id,
             name: settings.name.clone(),
@@ -73,22 +73,22 @@
             writer: Writer::new(store),
             recovered,
             member,
-            ring: inputs,
+            input_receiver: inputs,
             orders,
             times: Times {
                 lease_ms: lease.span_ms,
-                surely_over_ms: lease.surely_over_ms(),
+                lease_expiry_ms: lease.surely_over_ms(),
                 renew_ms: lease.renew_ms,
-                drain_ms: DRAIN_MS,
-                grace_ms: GRACE_MS,
-                missing_ms: MISSING_MS,
+                drain_ms: MAX_DRAIN_MS,
+                grace_ms: STOP_GRACE_MS,
+                missing_ms: MAX_MISSING_MS,
             },
             clock,
             log: log.clone(),
             stop_ms: settings.limits.stop_ms,
         };
         let mut process = Process {
-            ring: ring.clone(),
+            input_sender: input_sender.clone(),
             decider: None,
             threads: Threads::new(),
             log: log.clone(),
@@ -131,16 +131,16 @@
                 .with_times(pond_follow::BEAT, pond_follow::SILENCE)
                 .with_token(&token);
         let terms = Arc::new(terms);
-        // One link for each pair: the replica whose name comes first dials.
+        // There is one link for each pair of replicas: the one whose name sorts first dials.
         let dialled: Vec<SocketAddr> = settings
             .replicas
             .iter()
             .filter(|replica| replica.name > settings.name)
             .map(|replica| replica.internal)
             .collect();
-        let ring = self.ring.clone();
+        let input_sender = self.input_sender.clone();
         self.threads.spawn("links", move || async move {
-            let (events, mut queue) = mpsc::channel(LINK_EVENTS);
+            let (events, mut queue) = mpsc::channel(MAX_LINK_EVENTS);
             let Ok(listener) = tokio::net::TcpListener::from_std(internal) else { return };
             tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
             for (i, address) in dialled.into_iter().enumerate() {
@@ -149,7 +149,7 @@
             }
             drop(events);
             while let Some(event) = queue.recv().await {
-                if !put(&ring, Input::Link(event)).await {
+                if !send_input(&input_sender, Input::Link(event)).await {
                     return;
                 }
             }
@@ -157,16 +157,16 @@
     }
 
     fn start_operators(&mut self, address: SocketAddr, tokens: Tokens) -> Result<(), Error> {
-        let (told, ready) = std::sync::mpsc::channel();
-        let (ring, log) = (self.ring.clone(), self.log.clone());
+        let (started, ready) = std::sync::mpsc::channel();
+        let (input_sender, log) = (self.input_sender.clone(), self.log.clone());
         self.threads.spawn("operators", move || async move {
-            match operator::start(address, Api::new(ring, tokens), &log) {
+            match operator::start(address, Api::new(input_sender, tokens), &log) {
                 Ok(server) => {
-                    let _ = told.send(Ok(()));
+                    let _ = started.send(Ok(()));
                     let _ = server.await;
                 }
                 Err(error) => {
-                    let _ = told.send(Err(error));
+                    let _ = started.send(Err(error));
                 }
             }
         })?;
@@ -178,37 +178,38 @@
         platform: Arc<dyn Platform>,
         orders: mpsc::Receiver<platform::Order>,
     ) -> Result<(), Error> {
-        let ring = self.ring.clone();
-        self.threads.spawn("platform", move || platform::run(platform, orders, ring))
+        let input_sender = self.input_sender.clone();
+        self.threads.spawn("platform", move || platform::run(platform, orders, input_sender))
     }
 
-    /// Whether the deciding thread has ended, as it does when the files fail.
+    /// Returns whether the deciding thread has ended, which also happens when the data files fail.
     pub fn ended(&self) -> bool {
         self.decider.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Ends at once, as if it had been killed: nothing more is written or sent.
+    /// Ends the process at once, as if it had been killed: nothing more is written or sent.
     pub fn kill(mut self) {
-        let _ = self.ring.send(Input::Kill);
+        let _ = self.input_sender.send(Input::Kill);
         if let Some(thread) = self.decider.take() {
             let _ = thread.join();
         }
         self.threads.cut_short();
     }
 
-    /// Stops as planned: hands the lead over, then ends all threads. True if all went well.
+    /// Stops the process as planned: hands leadership over, then ends all threads. Returns whether
+    /// the deciding thread ended without an error.
     pub fn stop(mut self) -> bool {
-        let _ = self.ring.send(Input::Stop);
-        let well = self.decider.take().is_some_and(|thread| thread.join().unwrap_or(false));
+        let _ = self.input_sender.send(Input::Stop);
+        let succeeded = self.decider.take().is_some_and(|thread| thread.join().unwrap_or(false));
         self.threads.cut_short();
         event!(self.log, STOPPED);
-        well
+        succeeded
     }
 }
 
-async fn put(ring: &Sender<Input>, mut input: Input) -> bool {
+async fn send_input(input_sender: &Sender<Input>, mut input: Input) -> bool {
     loop {
-        match ring.try_send(input) {
+        match input_sender.try_send(input) {
             Ok(()) => return true,
             Err(crossbeam_channel::TrySendError::Disconnected(_)) => return false,
             Err(crossbeam_channel::TrySendError::Full(back)) => input = back,
--- a/crates/pond-control/src/publish.rs
+++ b/crates/pond-control/src/publish.rs
@@ -1,4 +1,4 @@
-//! Tells entries and endpoint processes the configuration.
+//! Sends the configuration to entries and endpoint processes.
 
 use std::collections::BTreeMap;
 
@@ -8,130 +8,134 @@
 use pond_proto::wire::{Beat, Body, Hello, Role, ViewAck};
 use pond_state::State;
 
-/// One process that is told the configuration.
+/// A linked process that receives the configuration.
 #[derive(Debug)]
-struct Told {
+struct Subscriber {
     role: Role,
     name: String,
     address: String,
     sender: Sender,
-    /// The version in force there, once it has said so.
-    acked: Option<u64>,
+    /// The version in force there, once the process has reported it.
+    acknowledged: Option<u64>,
     /// The version that was last sent.
     sent: u64,
-    /// Leaving endpoints there that run nothing any more.
-    quiet: Vec<u64>,
+    /// The leaving endpoints there that have no requests left.
+    drained_tasks: Vec<u64>,
 }
 
-/// All linked processes.
+/// The linked processes that receive the configuration.
 #[derive(Debug, Default)]
 pub struct Publisher {
-    told: BTreeMap<LinkKey, Told>,
-    /// Deltas of this round by their first version, so that equal ones are made once.
-    made: BTreeMap<u64, Delta>,
+    subscribers: BTreeMap<LinkKey, Subscriber>,
+    /// The deltas of the current round by their first version, so that each is computed only once.
+    deltas: BTreeMap<u64, Delta>,
 }
 
 impl Publisher {
-    /// A process is linked.
+    /// Adds a process that was linked.
     pub fn link_up(&mut self, link: LinkKey, hello: &Hello, sender: Sender) {
-        let told = Told {
+        let subscriber = Subscriber {
             role: hello.role(),
             name: hello.name.clone(),
             address: hello.address.clone(),
             sender,
-            acked: None,
+            acknowledged: None,
             sent: 0,
-            quiet: Vec::new(),
+            drained_tasks: Vec::new(),
         };
-        self.told.insert(link, told);
+        self.subscribers.insert(link, subscriber);
     }
 
-    /// A link is lost.
+    /// Removes the process of a lost link.
     pub fn link_down(&mut self, link: LinkKey) {
-        self.told.remove(&link);
+        self.subscribers.remove(&link);
     }
 
-    /// A process told which version is in force there.
-    pub fn acked(&mut self, link: LinkKey, ack: ViewAck) {
-        let Some(told) = self.told.get_mut(&link) else { return };
-        // The first one says where the process stands; it also asks for everything with zero.
-        if told.acked.is_none() || ack.version == 0 {
-            told.sent = ack.version;
+    /// Records which version a process reports as in force.
+    pub fn acknowledged(&mut self, link: LinkKey, ack: ViewAck) {
+        let Some(subscriber) = self.subscribers.get_mut(&link) else { return };
+        // The first acknowledgement gives the initial version of the process; version zero requests
+        // the complete configuration.
+        if subscriber.acknowledged.is_none() || ack.version == 0 {
+            subscriber.sent = ack.version;
         }
-        told.acked = Some(ack.version);
-        told.quiet = ack.quiet;
+        subscriber.acknowledged = Some(ack.version);
+        subscriber.drained_tasks = ack.quiet;
     }
 
-    /// Whether the process beside a leaving endpoint runs nothing for it any more; none if that
-    /// process is not linked.
-    pub fn quiet(&self, address: &str, task: u64) -> Option<bool> {
-        let told = self.told.values().find(|told| told.address == address)?;
-        Some(told.quiet.contains(&task))
+    /// Returns whether a leaving endpoint has no requests left in the process at `address`, or
+    /// `None` if that process is not linked.
+    pub fn is_drained(&self, address: &str, task: u64) -> Option<bool> {
+        let subscriber =
+            self.subscribers.values().find(|subscriber| subscriber.address == address)?;
+        Some(subscriber.drained_tasks.contains(&task))
     }
 
-    /// Puts a frame on a link; false if that is not possible now.
+    /// Sends a frame on a link; returns false if that is not possible now.
     pub fn send(&self, link: LinkKey, body: Body) -> bool {
-        self.told.get(&link).is_some_and(|told| told.sender.send(body))
+        self.subscribers.get(&link).is_some_and(|subscriber| subscriber.sender.send(body))
     }
 
-    /// Tells one process who leads.
-    pub fn beat_one(&self, link: LinkKey, leader: &str, term: u64) {
-        let beat = Beat { leader: leader.to_owned(), term, ..Beat::default() };
-        self.send(link, Body::Beat(beat));
+    /// Sends a heartbeat with the current leader to one process.
+    pub fn send_heartbeat(&self, link: LinkKey, leader: &str, term: u64) {
+        let heartbeat = Beat { leader: leader.to_owned(), term, ..Beat::default() };
+        self.send(link, Body::Beat(heartbeat));
     }
 
-    /// Tells everyone who leads.
-    pub fn beat(&self, leader: &str, term: u64) {
-        for told in self.told.values() {
-            let beat = Beat { leader: leader.to_owned(), term, ..Beat::default() };
-            told.sender.send(Body::Beat(beat));
+    /// Sends a heartbeat with the current leader to all processes.
+    pub fn broadcast_heartbeat(&self, leader: &str, term: u64) {
+        for subscriber in self.subscribers.values() {
+            let heartbeat = Beat { leader: leader.to_owned(), term, ..Beat::default() };
+            subscriber.sender.send(Body::Beat(heartbeat));
         }
     }
 
-    /// Sends to each process what is new since it was last sent something. Only a leader does so.
+    /// Sends each process the changes since the version that was last sent to it. Only a leader
+    /// calls this.
     pub fn publish(&mut self, state: &State, term: u64) {
         let version = state.version();
-        self.made.clear();
-        for told in self.told.values_mut() {
-            if told.acked.is_none() || told.sent >= version {
+        self.deltas.clear();
+        for subscriber in self.subscribers.values_mut() {
+            if subscriber.acknowledged.is_none() || subscriber.sent >= version {
                 continue;
             }
-            let from = told.sent;
-            let delta = self.made.entry(from).or_insert_with(|| state.delta(from, term));
-            let delta = for_process(delta, told);
-            if told.sender.send(Body::View(delta)) {
-                told.sent = version;
+            let from = subscriber.sent;
+            let delta = self.deltas.entry(from).or_insert_with(|| state.delta(from, term));
+            let delta = for_process(delta, subscriber);
+            if subscriber.sender.send(Body::View(delta)) {
+                subscriber.sent = version;
             }
         }
     }
 
-    /// A new leader sends to everyone anew what they have not acknowledged.
-    pub fn restart(&mut self) {
-        for told in self.told.values_mut() {
-            told.sent = told.acked.unwrap_or(0);
+    /// Resets the sent versions to the acknowledged ones, so that a new leader resends the rest.
+    pub fn reset_to_acknowledged(&mut self) {
+        for subscriber in self.subscribers.values_mut() {
+            subscriber.sent = subscriber.acknowledged.unwrap_or(0);
         }
     }
 
-    /// The processes that are told the configuration, with the version in force there.
+    /// Returns the processes that receive the configuration, with the version in force there.
     pub fn followers(&self) -> Vec<Follower> {
-        let follower = |told: &Told| Follower {
-            role: match told.role {
+        let follower = |subscriber: &Subscriber| Follower {
+            role: match subscriber.role {
                 Role::Entry => "entry".to_owned(),
                 _ => "endpoint".to_owned(),
             },
-            name: told.name.clone(),
-            version: told.acked.unwrap_or(0),
+            name: subscriber.name.clone(),
+            version: subscriber.acknowledged.unwrap_or(0),
         };
-        self.told.values().map(follower).collect()
+        self.subscribers.values().map(follower).collect()
     }
 }
 
-/// The part of a delta that concerns a process: an endpoint process needs only its own endpoints.
-fn for_process(delta: &Delta, told: &Told) -> Delta {
-    if told.role == Role::Entry {
+/// Returns the part of a delta that concerns a process. An endpoint process needs only its own
+/// endpoints.
+fn for_process(delta: &Delta, subscriber: &Subscriber) -> Delta {
+    if subscriber.role == Role::Entry {
         return delta.clone();
     }
-    let own = delta.endpoints.iter().filter(|endpoint| endpoint.process == told.address);
+    let own = delta.endpoints.iter().filter(|endpoint| endpoint.process == subscriber.address);
     Delta {
         term: delta.term,
         from: delta.from,
--- a/crates/pond-control/src/reconcile/mod.rs
+++ b/crates/pond-control/src/reconcile/mod.rs
@@ -1,12 +1,12 @@
-//! Brings the workers in line with the replicated state, as a pure core.
+//! Reconciles the workers with the replicated state, without input or output.
 //!
-//! The reconciler of the leader looks at the state, at what workers answered, and at the time. It
-//! hands out calls to workers and changes to propose. It owns the rules about leases: a task is
-//! given up only when its worker confirmed the stop or its lease has surely run out.
+//! The leader's reconciler takes the state, the workers' answers and the time, and returns calls to
+//! workers and changes to propose. It enforces the rules about leases: a task is given up only when
+//! its worker has confirmed the stop or its lease has certainly expired.
 
 mod contact;
 mod reconciler;
 mod steps;
 
 pub use reconciler::Reconciler;
-pub use steps::{Answer, Call, Fact, Step, Times};
+pub use steps::{Answer, Call, CallResult, Step, Times};
--- a/crates/pond-control/src/reconcile/reconciler/answers.rs
+++ b/crates/pond-control/src/reconcile/reconciler/answers.rs
@@ -1,54 +1,71 @@
-//! What workers answered, and what follows from it.
+//! Processing of workers' answers.
 
 use pond_platform::{Ending, LeaseAnswer, RefusalCode, StartAnswer, StopAnswer, TaskStatus};
 use pond_proto::{Millis, Span, TaskKey, VmKey};
 use pond_state::{Change, End, Phase, State};
 
-use super::super::steps::{Answer, Call, Fact};
+use super::super::steps::{Answer, Call, CallResult};
 use super::Reconciler;
 
-/// How long after a failed call to a task's worker the next one waits, in milliseconds.
+/// Delay before the next call for a task after a failed one, in milliseconds.
 const RETRY_MS: Span = 200;
 
 /// A call that was answered.
-struct Asked {
+struct AnsweredCall {
     vm: VmKey,
     call: Call,
     sent: Millis,
 }
 
 impl Reconciler {
-    /// A call to a worker ended.
-    pub fn fact(&mut self, state: &State, now: Millis, wall: Millis, fact: Fact) {
-        if let Some(task) = fact.call.task()
-            && self.calling.remove(&task).is_some()
-            && let Some(calls) = self.calls.get_mut(&fact.vm)
+    /// Processes the result of a call to a worker.
+    pub fn call_ended(
+        &mut self,
+        state: &State,
+        now: Millis,
+        wall: Millis,
+        call_result: CallResult,
+    ) {
+        if let Some(task) = call_result.call.task()
+            && self.pending_calls.remove(&task).is_some()
+            && let Some(call_counts) = self.call_counts.get_mut(&call_result.vm)
         {
-            *calls = calls.saturating_sub(1);
+            *call_counts = call_counts.saturating_sub(1);
         }
-        self.looked.remove(&fact.vm);
-        if matches!(fact.call, Call::Lease(_)) {
-            self.contact(fact.vm).asking = false;
+        self.last_checked.remove(&call_result.vm);
+        if matches!(call_result.call, Call::Lease(_)) {
+            self.contact(call_result.vm).lease_call_pending = false;
         }
-        match fact.result {
+        match call_result.result {
             Ok(answer) => {
-                let asked = Asked { vm: fact.vm, call: fact.call, sent: fact.sent };
-                self.answer(state, now, wall, asked, answer);
+                let answered_call = AnsweredCall {
+                    vm: call_result.vm,
+                    call: call_result.call,
+                    sent: call_result.sent,
+                };
+                self.answer(state, now, wall, answered_call, answer);
             }
-            Err(error) => self.failed(state, now, wall, fact.vm, fact.call, error),
+            Err(error) => self.failed(state, now, wall, call_result.vm, call_result.call, error),
         }
     }
 
-    fn answer(&mut self, state: &State, now: Millis, wall: Millis, asked: Asked, answer: Answer) {
-        let Asked { vm, call, sent } = asked;
+    fn answer(
+        &mut self,
+        state: &State,
+        now: Millis,
+        wall: Millis,
+        answered_call: AnsweredCall,
+        answer: Answer,
+    ) {
+        let AnsweredCall { vm, call, sent } = answered_call;
         match (call, answer) {
             (_, Answer::Lease(answer)) => self.lease_answered(now, vm, sent, answer),
             (Call::Start(task, _), Answer::Start(answer)) => {
-                self.contact(vm).hear(now, None);
+                self.contact(vm).record_answer(now, None);
                 self.started(state, wall, task, answer);
             }
             (Call::Stop(task, _), Answer::Stop(answer)) => {
-                self.contact(vm).hear(now, None);
+                self.contact(vm).record_answer(now, None);
                 self.stopped(state, now, wall, task, answer);
             }
             (Call::Checkpoint(task, _), Answer::Status(status)) => {
@@ -67,7 +84,7 @@
     }
 
     fn lease_answered(&mut self, now: Millis, vm: VmKey, sent: Millis, answer: LeaseAnswer) {
-        self.contact(vm).hear(now, Some(answer.stamp));
+        self.contact(vm).record_answer(now, Some(answer.stamp));
         let statuses = answer.tasks.into_iter().map(|status| (status.task, status)).collect();
         self.statuses.insert(vm, (sent, statuses));
     }
@@ -82,13 +99,13 @@
         error: pond_platform::Error,
     ) {
         let Some(task) = call.task() else { return };
-        self.wait.insert(task, now + RETRY_MS);
+        self.delayed_until.insert(task, now + RETRY_MS);
         let pond_platform::Error::Refused(refusal) = error else { return };
         match (&call, refusal.code) {
             (Call::Start(..), RefusalCode::Ended | RefusalCode::NoRoom) => {
                 self.end(state, wall, task, End::Refused { reason: refusal.message });
             }
-            (_, RefusalCode::StaleStamp) => self.contact(vm).asked = None,
+            (_, RefusalCode::StaleStamp) => self.contact(vm).last_lease_call = None,
             _ => {}
         }
     }
@@ -118,7 +135,7 @@
         answer: StopAnswer,
     ) {
         if !answer.stopped {
-            self.wait.insert(task, now + RETRY_MS);
+            self.delayed_until.insert(task, now + RETRY_MS);
             return;
         }
         let Some(known) = state.task(task) else { return };
--- a/crates/pond-control/src/reconcile/reconciler/mod.rs
+++ b/crates/pond-control/src/reconcile/reconciler/mod.rs
@@ -13,71 +13,71 @@
 use super::contact::Contact;
 use super::steps::{Call, Step, Times};
 
-/// How often a VM is looked at while nothing happens on it, in milliseconds.
-const LOOK_MS: Span = 500;
+/// Interval at which an idle VM is examined, in milliseconds.
+const CHECK_INTERVAL_MS: Span = 500;
 
-/// Calls for tasks that may be under way to one worker.
-const CALLS_PER_WORKER: usize = 16;
+/// Maximum number of concurrent calls for tasks to one worker.
+const MAX_CALLS_PER_WORKER: usize = 16;
 
-/// The reconciler of one time of leading.
+/// The reconciler of one term of leadership.
 #[derive(Debug)]
 pub struct Reconciler {
     times: Times,
     term: u64,
-    began: Millis,
+    started_at: Millis,
     contacts: BTreeMap<VmKey, Contact>,
-    /// Tasks with a call under way, and their VMs.
-    calling: BTreeMap<TaskKey, VmKey>,
-    /// Calls for a task wait until this time.
-    wait: BTreeMap<TaskKey, Millis>,
-    /// Tasks and VMs with a proposal under way.
-    proposed: BTreeSet<TaskKey>,
-    judged: BTreeSet<VmKey>,
-    /// What each worker last said of its tasks, and when it was asked.
+    /// The tasks with a pending call, and their VMs.
+    pending_calls: BTreeMap<TaskKey, VmKey>,
+    /// The time until which calls for a task are delayed.
+    delayed_until: BTreeMap<TaskKey, Millis>,
+    /// The tasks and VMs with a pending proposal.
+    pending_proposals: BTreeSet<TaskKey>,
+    pending_judgements: BTreeSet<VmKey>,
+    /// The last reported status of each worker's tasks, and when it was requested.
     statuses: BTreeMap<VmKey, (Millis, BTreeMap<TaskKey, TaskStatus>)>,
-    /// When this reconciler first saw a task as running.
+    /// When this reconciler first saw each task as running.
     seen_running: BTreeMap<TaskKey, Millis>,
-    /// When each VM was last looked at; one that is missing is looked at at once.
-    looked: BTreeMap<VmKey, Millis>,
-    /// Calls for tasks under way, by VM.
-    calls: BTreeMap<VmKey, usize>,
+    /// When each VM was last examined; a VM without an entry is examined at the next tick.
+    last_checked: BTreeMap<VmKey, Millis>,
+    /// The number of pending calls for tasks, by VM.
+    call_counts: BTreeMap<VmKey, usize>,
     listed: Option<BTreeSet<String>>,
     steps: Vec<Step>,
 }
 
 impl Reconciler {
-    /// A reconciler for a leader that has just become ready.
+    /// Creates the reconciler of a leader that has just become ready.
     pub fn new(times: Times, term: u64, now: Millis) -> Reconciler {
         Reconciler {
             times,
             term,
-            began: now,
+            started_at: now,
             contacts: BTreeMap::new(),
-            calling: BTreeMap::new(),
-            wait: BTreeMap::new(),
-            proposed: BTreeSet::new(),
-            judged: BTreeSet::new(),
+            pending_calls: BTreeMap::new(),
+            delayed_until: BTreeMap::new(),
+            pending_proposals: BTreeSet::new(),
+            pending_judgements: BTreeSet::new(),
             statuses: BTreeMap::new(),
             seen_running: BTreeMap::new(),
-            looked: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            last_checked: BTreeMap::new(),
+            call_counts: BTreeMap::new(),
             listed: None,
             steps: Vec::new(),
         }
     }
 
-    /// Takes what the shell must do, in order.
+    /// Takes the steps that the caller must carry out, in order.
     pub fn take_steps(&mut self) -> Vec<Step> {
         std::mem::take(&mut self.steps)
     }
 
     fn contact(&mut self, vm: VmKey) -> &mut Contact {
-        // An earlier leader stopped granting before this one began.
-        let (began, span) = (self.began, self.times.surely_over_ms);
-        self.contacts.entry(vm).or_insert_with(|| Contact::new(began, span))
+        // Earlier leaders stopped granting leases before this one started.
+        let (started_at, span) = (self.started_at, self.times.lease_expiry_ms);
+        self.contacts.entry(vm).or_insert_with(|| Contact::new(started_at, span))
     }
 
-    /// The platform's list came.
+    /// Processes a new VM list from the platform.
     pub fn listed(&mut self, state: &State, now: Millis, wall: Millis, vms: Vec<Vm>) {
         self.listed = Some(vms.iter().map(|vm| vm.name.clone()).collect());
         let changed: Vec<Vm> = vms
@@ -91,37 +91,37 @@
         for record in state.vms() {
             let missing = !names.contains(&record.vm.name);
             let contact = self.contact(record.key);
-            contact.missing = match (missing, contact.missing) {
+            contact.missing_since = match (missing, contact.missing_since) {
                 (false, _) => None,
                 (true, since) => since.or(Some(now)),
             };
         }
     }
 
-    /// A proposal of this reconciler was applied or is lost.
-    pub fn settled(&mut self, change: &Change) {
+    /// Records that a proposal of this reconciler was applied or lost.
+    pub fn proposal_ended(&mut self, change: &Change) {
         match change {
             Change::Started { task, .. }
             | Change::Ended { task, .. }
             | Change::Steer { task, .. }
             | Change::Checkpointed { task, .. } => {
-                self.proposed.remove(task);
+                self.pending_proposals.remove(task);
             }
             Change::Judged { vm, .. } => {
-                self.judged.remove(vm);
+                self.pending_judgements.remove(vm);
             }
             _ => {}
         }
     }
 
-    /// A change is about to be applied: its VM is looked at at once.
-    pub fn notice(&mut self, state: &State, change: &Change) {
+    /// Schedules the examination of the VM that a change, which is about to be applied, concerns.
+    pub fn before_apply(&mut self, state: &State, change: &Change) {
         let task = match change {
             Change::Place { vm, .. } | Change::Judged { vm, .. } => {
-                self.looked.remove(vm);
+                self.last_checked.remove(vm);
                 return;
             }
-            Change::Order { .. } | Change::Listed { .. } => return self.looked.clear(),
+            Change::Order { .. } | Change::Listed { .. } => return self.last_checked.clear(),
             Change::Steer { task, .. }
             | Change::Started { task, .. }
             | Change::Ended { task, .. }
@@ -129,7 +129,7 @@
             _ => return,
         };
         if let Some(task) = state.task(task) {
-            self.looked.remove(&task.vm);
+            self.last_checked.remove(&task.vm);
         }
     }
 
@@ -140,66 +140,73 @@
     }
 
     fn propose(&mut self, task: TaskKey, change: Change) {
-        if self.proposed.insert(task) {
+        if self.pending_proposals.insert(task) {
             self.steps.push(Step::Propose(change));
         }
     }
 
-    /// Lets time pass and hands out what is due.
+    /// Advances the time and adds the steps that are due.
     ///
-    /// `quiet` tells whether the process beside a leaving endpoint runs nothing for it any more,
-    /// or none if that process is not linked. `granting` is false when this replica may not be
-    /// the only leader any more: then it renews and starts nothing.
+    /// `is_drained` returns whether a leaving endpoint has no requests left in the given process,
+    /// or `None` if that process is not linked. `granting` is false when this replica may no longer
+    /// be the only leader: then it renews no lease and starts no task.
     pub fn tick(
         &mut self,
         state: &State,
         now: Millis,
         wall: Millis,
         granting: bool,
-        quiet: &dyn Fn(&str, u64) -> Option<bool>,
+        is_drained: &dyn Fn(&str, u64) -> Option<bool>,
     ) {
         for record in state.vms() {
-            if self.looked.get(&record.key).is_some_and(|at| now.since(*at) < LOOK_MS) {
+            if self
+                .last_checked
+                .get(&record.key)
+                .is_some_and(|at| now.since(*at) < CHECK_INTERVAL_MS)
+            {
                 continue;
             }
-            self.looked.insert(record.key, now);
+            self.last_checked.insert(record.key, now);
             self.judge(record, now, wall);
-            self.expire(state, record, now, wall);
+            self.end_expired_tasks(state, record, now, wall);
             if granting {
                 self.renew(state, record, now);
-                self.work(state, record, now, wall, quiet);
+                self.drive_tasks(state, record, now, wall, is_drained);
             }
         }
-        self.forget(state, now);
+        self.remove_stale(state, now);
     }
 
     fn call(&mut self, record: &VmRecord, call: Call) {
         if let Some(task) = call.task() {
-            self.calling.insert(task, record.key);
-            *self.calls.entry(record.key).or_default() += 1;
+            self.pending_calls.insert(task, record.key);
+            *self.call_counts.entry(record.key).or_default() += 1;
         }
         let (vm, worker) = (record.key, record.vm.worker.clone());
         self.steps.push(Step::Call { vm, worker, call });
     }
 
-    /// Whether a task must wait for a call, a proposal or its time.
-    fn busy(&self, task: TaskKey, vm: VmKey, now: Millis) -> bool {
-        let waits = self.wait.get(&task).is_some_and(|until| now < *until);
+    /// Returns whether a task must wait for a call, a proposal or a delay.
+    fn is_busy(&self, task: TaskKey, vm: VmKey, now: Millis) -> bool {
+        let waits = self.delayed_until.get(&task).is_some_and(|until| now < *until);
         waits
-            || self.calls.get(&vm).is_some_and(|calls| *calls >= CALLS_PER_WORKER)
-            || self.calling.contains_key(&task)
-            || self.proposed.contains(&task)
+            || self
+                .call_counts
+                .get(&vm)
+                .is_some_and(|call_counts| *call_counts >= MAX_CALLS_PER_WORKER)
+            || self.pending_calls.contains_key(&task)
+            || self.pending_proposals.contains(&task)
     }
 
-    /// Forgets tasks and VMs that are no more.
-    fn forget(&mut self, state: &State, now: Millis) {
+    /// Removes tasks and VMs that no longer exist.
+    fn remove_stale(&mut self, state: &State, now: Millis) {
         self.contacts.retain(|vm, _| state.vm(*vm).is_some());
         self.statuses.retain(|vm, _| state.vm(*vm).is_some());
-        self.looked.retain(|vm, _| state.vm(*vm).is_some());
-        self.calls.retain(|_, calls| *calls > 0);
+        self.last_checked.retain(|vm, _| state.vm(*vm).is_some());
+        self.call_counts.retain(|_, call_counts| *call_counts > 0);
         if self.seen_running.len() > state.task_count() * 2 + 1000 {
             self.seen_running.retain(|task, _| state.task(*task).is_some());
         }
-        self.wait.retain(|_, until| now < *until);
+        self.delayed_until.retain(|_, until| now < *until);
     }
 }
--- a/crates/pond-control/src/reconcile/reconciler/work.rs
+++ b/crates/pond-control/src/reconcile/reconciler/work.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a VM need: starts, steps of the ladder, stops.
+//! Calls that bring the tasks of a VM to their phases: starts, throttling, pauses and stops.
 
 use pond_platform::{Checkpoint, Ending, Start, Stop, TaskState, TaskStatus, Throttle};
 use pond_proto::{Millis, TaskKey};
@@ -8,56 +8,56 @@
 use super::Reconciler;
 
 impl Reconciler {
-    /// Hands out what the tasks of a VM need.
-    pub(super) fn work(
+    /// Issues the calls that the tasks of a VM need.
+    pub(super) fn drive_tasks(
         &mut self,
         state: &State,
         record: &VmRecord,
         now: Millis,
         wall: Millis,
-        quiet: &dyn Fn(&str, u64) -> Option<bool>,
+        is_drained: &dyn Fn(&str, u64) -> Option<bool>,
     ) {
         if self.contact(record.key).stamp.is_none() {
             return;
         }
-        self.stop_strangers(state, record, now);
+        self.stop_unassigned(state, record, now);
         for task in state.tasks_on(record.key) {
-            if !self.busy(task.key, record.key, now) {
-                self.work_on(state, record, task, now, wall, quiet);
+            if !self.is_busy(task.key, record.key, now) {
+                self.drive_task(state, record, task, now, wall, is_drained);
             }
         }
     }
 
-    /// Stops tasks that the worker has and the state does not give to it.
-    fn stop_strangers(&mut self, state: &State, record: &VmRecord, now: Millis) {
+    /// Stops tasks that the worker reports but that the state does not place on its VM.
+    fn stop_unassigned(&mut self, state: &State, record: &VmRecord, now: Millis) {
         let Some((_, statuses)) = self.statuses.get(&record.key) else { return };
-        let strange = |task: &TaskKey| state.task(*task).is_none_or(|t| t.vm != record.key);
-        let strangers: Vec<TaskKey> = statuses.keys().copied().filter(strange).collect();
-        for task in strangers {
-            if self.busy(task, record.key, now) {
+        let is_unassigned = |task: &TaskKey| state.task(*task).is_none_or(|t| t.vm != record.key);
+        let unassigned: Vec<TaskKey> = statuses.keys().copied().filter(is_unassigned).collect();
+        for task in unassigned {
+            if self.is_busy(task, record.key, now) {
                 continue;
             }
-            self.wait.insert(task, now + self.times.renew_ms);
+            self.delayed_until.insert(task, now + self.times.renew_ms);
             let stop = Stop { term: self.term, grace_ms: 0 };
             self.call(record, Call::Stop(task, stop));
         }
     }
 
-    fn work_on(
+    fn drive_task(
         &mut self,
         state: &State,
         record: &VmRecord,
         task: &Task,
         now: Millis,
         wall: Millis,
-        quiet: &dyn Fn(&str, u64) -> Option<bool>,
+        is_drained: &dyn Fn(&str, u64) -> Option<bool>,
     ) {
         match task.phase {
             Phase::Starting => self.start(state, record, task),
-            Phase::Running => self.keep(state, record, task, now, wall, 100),
-            Phase::Slowed(share) => self.keep(state, record, task, now, wall, share),
+            Phase::Running => self.keep_running(state, record, task, now, wall, 100),
+            Phase::Slowed(share) => self.keep_running(state, record, task, now, wall, share),
             Phase::Paused => self.pause(state, record, task, now, wall),
-            Phase::Draining => self.drain(record, task, wall, quiet),
+            Phase::Draining => self.drain(record, task, wall, is_drained),
             Phase::Stopping => {
                 let stop = Stop { term: self.term, grace_ms: self.times.grace_ms };
                 self.call(record, Call::Stop(task.key, stop));
@@ -67,10 +67,10 @@
 
     fn start(&mut self, state: &State, record: &VmRecord, task: &Task) {
         let Some(unit) = state.unit(&task.unit).map(|record| &record.unit) else { return };
-        let surely_over_ms = self.times.surely_over_ms;
+        let lease_expiry_ms = self.times.lease_expiry_ms;
         let contact = self.contact(record.key);
         let Some((stamp, _)) = contact.stamp else { return };
-        contact.grant(surely_over_ms);
+        contact.extend_leases(lease_expiry_ms);
         let service = unit.service();
         let order = Start {
             term: self.term,
@@ -86,7 +86,8 @@
         self.call(record, Call::Start(task.key, order));
     }
 
-    /// What the worker says of a task, if it was asked after the task was seen running here.
+    /// Returns the worker's status of a task: `Some(None)` if the worker does not know the task,
+    /// and `None` if its last report was requested before the task was seen running here.
     fn status(&mut self, task: &Task, now: Millis) -> Option<Option<TaskStatus>> {
         let seen = *self.seen_running.entry(task.key).or_insert(now);
         let (asked, statuses) = self.statuses.get(&task.vm)?;
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Keeps a task running at a share of its processors.
-    fn keep(
+    /// Keeps a task running with a share of its processors.
+    fn keep_running(
         &mut self,
         state: &State,
         record: &VmRecord,
@@ -109,7 +110,8 @@
     ) {
         match self.status(task, now) {
             None => {}
-            // The worker has lost it; a stop makes sure that no late start revives it.
+            // The worker does not know the task; a stop prevents a delayed start call from reviving
+            // it.
             Some(None) => {
                 let stop = Stop { term: self.term, grace_ms: 0 };
                 self.call(record, Call::Stop(task.key, stop));
@@ -125,36 +127,36 @@
         }
     }
 
-    /// Checkpoints a task, then lets it stand still.
+    /// Checkpoints a task, then pauses it.
     fn pause(&mut self, state: &State, record: &VmRecord, task: &Task, now: Millis, wall: Millis) {
         let Some(Some(status)) = self.status(task, now) else {
-            return self.keep(state, record, task, now, wall, 0);
+            return self.keep_running(state, record, task, now, wall, 0);
         };
-        let standing = status.share == 0;
-        if !standing && status.checkpoint == task.checkpoint {
+        let paused = status.share == 0;
+        if !paused && status.checkpoint == task.checkpoint {
             let order = Checkpoint { term: self.term };
             return self.call(record, Call::Checkpoint(task.key, order));
         }
-        self.keep(state, record, task, now, wall, 0);
+        self.keep_running(state, record, task, now, wall, 0);
     }
 
-    /// Stops a draining endpoint once it is quiet, or has taken too long.
+    /// Stops a draining endpoint once it has finished its requests or has taken too long.
     fn drain(
         &mut self,
         record: &VmRecord,
         task: &Task,
         wall: Millis,
-        quiet: &dyn Fn(&str, u64) -> Option<bool>,
+        is_drained: &dyn Fn(&str, u64) -> Option<bool>,
     ) {
         let process = record.vm.endpoint_process.as_deref();
-        let quiet = match process.filter(|_| task.endpoint.is_some()) {
+        let is_drained = match process.filter(|_| task.endpoint.is_some()) {
             None => true,
-            Some(process) => quiet(process, task.key.0).unwrap_or(false),
+            Some(process) => is_drained(process, task.key.0).unwrap_or(false),
         };
-        if !quiet && wall.since(task.since) < self.times.drain_ms {
+        if !is_drained && wall.since(task.since) < self.times.drain_ms {
             return;
         }
-        let why = if quiet { "it has finished its requests" } else { "it drained for too long" };
+        let why = if is_drained { "finished its requests" } else { "draining took too long" };
         let decision = Decision::new(wall, Action::Stop, why).with_vm(&record.vm.name);
         self.propose(task.key, Change::Steer { at: wall, task: task.key, decision });
     }
--- a/crates/pond-control/src/reconcile/steps.rs
+++ b/crates/pond-control/src/reconcile/steps.rs
@@ -1,4 +1,4 @@
-//! What the reconciler is given and hands out.
+//! The inputs and outputs of the reconciler.
 
 use pond_platform::{Error, LeaseAnswer, StartAnswer, StopAnswer, TaskStatus, Usage};
 use pond_proto::{Millis, Span, TaskKey, VmKey};
@@ -7,22 +7,22 @@
 /// A call to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Renew leases and ask what there is.
+    /// Renew leases and request the status of all tasks.
     Lease(pond_platform::Lease),
     /// Start a task.
     Start(TaskKey, pond_platform::Start),
     /// Make a checkpoint.
     Checkpoint(TaskKey, pond_platform::Checkpoint),
-    /// Set how fast a task runs.
+    /// Set the share of processors that a task may use.
     Throttle(TaskKey, pond_platform::Throttle),
-    /// Stop a task for good.
+    /// Stop a task permanently.
     Stop(TaskKey, pond_platform::Stop),
-    /// Ask for usage.
+    /// Request a usage report.
     Usage,
 }
 
 impl Call {
-    /// The task that it is about.
+    /// Returns the task that the call concerns.
     pub fn task(&self) -> Option<TaskKey> {
         match self {
             Call::Start(task, _)
@@ -34,7 +34,7 @@
     }
 }
 
-/// What a worker answered.
+/// A worker's answer.
 #[derive(Debug)]
 pub enum Answer {
     /// To [`Call::Lease`].
@@ -49,23 +49,23 @@
     Usage(Usage),
 }
 
-/// How a call to a worker ended.
+/// The result of a call to a worker.
 #[derive(Debug)]
-pub struct Fact {
+pub struct CallResult {
     /// The VM.
     pub vm: VmKey,
     /// The call.
     pub call: Call,
-    /// When it was handed out, on the clock of the reconciler.
+    /// When it was issued, on the reconciler's clock.
     pub sent: Millis,
-    /// What came of it.
+    /// The answer or the error.
     pub result: Result<Answer, Error>,
 }
 
-/// Something the shell must do.
+/// A step that the reconciler's caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Call a worker and bring the [`Fact`] back.
+    /// Call a worker and pass the [`CallResult`] back to the reconciler.
     Call {
         /// The VM.
         vm: VmKey,
@@ -78,19 +78,19 @@
     Propose(Change),
 }
 
-/// Times of the reconciler, in milliseconds.
+/// Durations that the reconciler uses, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// How long a lease is.
+    /// The duration of a lease.
     pub lease_ms: Span,
-    /// How long after a renewal the lease has surely run out.
-    pub surely_over_ms: Span,
-    /// How often leases are renewed.
+    /// The time after a renewal at which the lease has certainly expired.
+    pub lease_expiry_ms: Span,
+    /// The interval at which leases are renewed.
     pub renew_ms: Span,
-    /// How long a draining endpoint may take at most.
+    /// The maximum time for draining an endpoint.
     pub drain_ms: Span,
-    /// How long a task may take to stop.
+    /// The time that a task gets to stop.
     pub grace_ms: Span,
-    /// How long a VM may be missing from the list before its work is moved.
+    /// The time for which a VM may be missing from the list before its work is moved.
     pub missing_ms: Span,
 }
--- a/crates/pond-control/src/replica/leading.rs
+++ b/crates/pond-control/src/replica/leading.rs
@@ -1,4 +1,4 @@
-//! What only a leader does: plans, brings workers in line, sends configuration.
+//! The duties of the leader: planning, reconciling workers and publishing the configuration.
 
 use pond_log::event;
 use pond_proto::wire::{Beat, Body};
@@ -6,43 +6,45 @@
 use pond_quorum::{Input as QuorumInput, Role};
 use pond_sched::Scheduler;
 
-use super::{Duty, Replica};
+use super::{Leadership, Replica};
 use crate::formation::Replacement;
 use crate::platform::Order;
-use crate::reconcile::{Fact, Reconciler, Step};
+use crate::reconcile::{CallResult, Reconciler, Step};
 use crate::tickets::Waiter;
 
-/// Time between looks at what is to be decided, in milliseconds.
-const DECIDE_MS: Span = 20;
+/// Time between two rounds of decisions, in milliseconds.
+const DECISION_INTERVAL_MS: Span = 20;
 
-/// Time between beats to other replicas, in milliseconds.
-const BEAT_MS: Span = 200;
+/// Time between heartbeats to other replicas, in milliseconds.
+const HEARTBEAT_INTERVAL_MS: Span = 200;
 
-/// Time between beats to entries and endpoint processes while nothing changes, in milliseconds.
-const TOLD_MS: Span = 2_000;
+/// Time between heartbeats to entries and endpoint processes while the leader does not change, in
+/// milliseconds.
+const ANNOUNCE_INTERVAL_MS: Span = 2_000;
 
-/// Proposals of this replica that may be open before it plans more.
-const OWN_OPEN: usize = 2048;
+/// Maximum number of pending proposals of this replica's reconciler and scheduler.
+const MAX_OWN_PENDING: usize = 2048;
 
 impl Replica {
-    // Leading.
-
     pub(super) fn lead(&mut self, now: Millis) {
         if !self.core.ready() || self.abstains() {
             return;
         }
-        if self.duty.is_none() {
+        if self.leadership.is_none() {
             let reconciler = Reconciler::new(self.parts.times, self.core.term(), now);
             let scheduler = Scheduler::new();
-            self.duty = Some(Duty { reconciler, scheduler, decided: Millis(0) });
-            self.publisher.restart();
-            self.beat = Millis(0);
+            self.leadership = Some(Leadership { reconciler, scheduler, last_decision: Millis(0) });
+            self.publisher.reset_to_acknowledged();
+            self.last_heartbeat = Millis(0);
         }
         let granting = self.core.lease_until().is_some_and(|until| now < until);
         if granting {
             self.publisher.publish(&self.state, self.core.term());
         }
-        let due = self.duty.as_ref().is_some_and(|duty| now.since(duty.decided) >= DECIDE_MS);
+        let due = self
+            .leadership
+            .as_ref()
+            .is_some_and(|leadership| now.since(leadership.last_decision) >= DECISION_INTERVAL_MS);
         if due && self.stopping.is_none() {
             self.decide(now, granting);
             self.replace_lost_disks(now);
@@ -51,19 +53,19 @@
 
     pub(super) fn decide(&mut self, now: Millis, granting: bool) {
         let wall = self.parts.clock.wall();
-        let Some(mut duty) = self.duty.take() else { return };
-        duty.decided = now;
+        let Some(mut leadership) = self.leadership.take() else { return };
+        leadership.last_decision = now;
         let publisher = &self.publisher;
-        let quiet = |address: &str, task: u64| publisher.quiet(address, task);
-        duty.reconciler.tick(&self.state, now, wall, granting, &quiet);
-        let steps = duty.reconciler.take_steps();
-        let idle = self.tickets.own_open() == 0;
+        let is_drained = |address: &str, task: u64| publisher.is_drained(address, task);
+        leadership.reconciler.tick(&self.state, now, wall, granting, &is_drained);
+        let steps = leadership.reconciler.take_steps();
+        let idle = self.tickets.own_pending() == 0;
         let plan = if granting && idle && steps.is_empty() {
-            duty.scheduler.plan(&self.state, wall)
+            leadership.scheduler.plan(&self.state, wall)
         } else {
             Vec::new()
         };
-        self.duty = Some(duty);
+        self.leadership = Some(leadership);
         for step in steps {
             self.step(now, step);
         }
@@ -75,10 +77,10 @@
     pub(super) fn step(&mut self, now: Millis, step: Step) {
         match step {
             Step::Propose(change) => {
-                if self.tickets.own_open() < OWN_OPEN {
+                if self.tickets.own_pending() < MAX_OWN_PENDING {
                     self.propose(now, change, Waiter::Own);
-                } else if let Some(duty) = &mut self.duty {
-                    duty.reconciler.settled(&change);
+                } else if let Some(leadership) = &mut self.leadership {
+                    leadership.reconciler.proposal_ended(&change);
                 }
             }
             Step::Call { vm, worker, call } => {
@@ -86,10 +88,10 @@
                 if let Err(error) = self.parts.orders.try_send(order) {
                     let order = error.into_inner();
                     let result = Err(pond_platform::Error::NotSent("the ring is full".to_owned()));
-                    let fact = Fact { vm, call: order.call, sent: now, result };
+                    let call_result = CallResult { vm, call: order.call, sent: now, result };
                     let wall = self.parts.clock.wall();
-                    if let Some(duty) = &mut self.duty {
-                        duty.reconciler.fact(&self.state, now, wall, fact);
+                    if let Some(leadership) = &mut self.leadership {
+                        leadership.reconciler.call_ended(&self.state, now, wall, call_result);
                     }
                 }
             }
@@ -112,8 +114,8 @@
         match list {
             Ok(vms) => {
                 self.list_failed = false;
-                if let Some(duty) = &mut self.duty {
-                    duty.reconciler.listed(&self.state, now, wall, vms);
+                if let Some(leadership) = &mut self.leadership {
+                    leadership.reconciler.listed(&self.state, now, wall, vms);
                 }
             }
             Err(why) => {
@@ -125,24 +127,25 @@
         }
     }
 
-    pub(super) fn beat(&mut self, now: Millis) {
-        if now.since(self.beat) < BEAT_MS {
+    pub(super) fn send_heartbeats(&mut self, now: Millis) {
+        if now.since(self.last_heartbeat) < HEARTBEAT_INTERVAL_MS {
             return;
         }
-        self.beat = now;
+        self.last_heartbeat = now;
         let leader = self.core.leader().map(|leader| leader.address.clone()).unwrap_or_default();
-        let leads = self.core.ready() && self.stopping.is_none() && !self.abstains();
-        let news = (leader.clone(), self.core.term());
-        let due = self.told != news || now.since(self.told_at) >= TOLD_MS;
-        if due && (leads || self.core.role() != Role::Leader) {
-            self.publisher.beat(&leader, self.core.term());
-            self.told = news;
-            self.told_at = now;
+        let is_leader = self.core.ready() && self.stopping.is_none() && !self.abstains();
+        let announcement = (leader.clone(), self.core.term());
+        let due =
+            self.announced != announcement || now.since(self.announced_at) >= ANNOUNCE_INTERVAL_MS;
+        if due && (is_leader || self.core.role() != Role::Leader) {
+            self.publisher.broadcast_heartbeat(&leader, self.core.term());
+            self.announced = announcement;
+            self.announced_at = now;
         }
         let (snapshot_index, checksum) = self.checksum;
-        let beat = Beat { leader, term: self.core.term(), snapshot_index, checksum };
+        let heartbeat = Beat { leader, term: self.core.term(), snapshot_index, checksum };
         for (_, sender) in self.peers.values() {
-            sender.send(Body::Beat(beat.clone()));
+            sender.send(Body::Beat(heartbeat.clone()));
         }
     }
 }
--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -10,8 +10,6 @@
 use super::Replica;
 
 impl Replica {
-    // Links.
-
     pub(super) fn link(&mut self, now: Millis, event: Event) {
         match event.kind {
             EventKind::Up { hello, sender, .. } => {
@@ -29,9 +27,9 @@
                     event!(self.parts.log, LINK_UP, "peer" => hello.name.clone());
                     self.peers.insert(hello.name, (event.link, sender));
                 } else {
-                    let (leader, term) = self.told.clone();
+                    let (leader, term) = self.announced.clone();
                     self.publisher.link_up(event.link, &hello, sender);
-                    self.publisher.beat_one(event.link, &leader, term);
+                    self.publisher.send_heartbeat(event.link, &leader, term);
                 }
             }
             EventKind::Down(error) => self.link_down(event.link, &error),
@@ -59,7 +57,7 @@
         match (role, body) {
             (WireRole::Control, Body::Quorum(letter)) => self.letter(now, letter),
             (WireRole::Control, Body::Beat(beat)) => self.compare(link, &beat),
-            (_, Body::ViewAck(ack)) => self.publisher.acked(link, ack),
+            (_, Body::ViewAck(ack)) => self.publisher.acknowledged(link, ack),
             (WireRole::Entry, Body::ClaimAsk(ask)) => self.claim(now, link, ask),
             (WireRole::Entry, Body::ClaimEnd(end)) => self.end_claim(now, end),
             _ => {}
@@ -70,7 +68,7 @@
         if let Some(Letter::Present(present)) = letter.body {
             self.names.insert(present.member.id, present.member.name.clone());
             self.refuse_older_disk(now, &present);
-            self.formation.hear(present);
+            self.formation.record_present(present);
             self.try_to_form();
             return;
         }
@@ -94,8 +92,8 @@
         }
     }
 
-    /// Removes a member whose log has become shorter than what it acknowledged: its disk was put
-    /// back to an older state, and its votes cannot be trusted.
+    /// Removes a member whose log is shorter than what it has acknowledged: its disk was reset to
+    /// an older state, and its votes cannot be trusted.
     fn refuse_older_disk(&mut self, now: Millis, present: &Present) {
         let id = present.member.id;
         let acknowledged = self.core.acknowledged(id).unwrap_or(0);
@@ -106,7 +104,7 @@
         }
     }
 
-    /// Compares the checksum of the state with another replica's at the same index.
+    /// Compares the checksum of the state with that of another replica at the same index.
     pub(super) fn compare(&mut self, link: LinkKey, beat: &Beat) {
         let (index, checksum) = self.checksum;
         if index > 0 && beat.snapshot_index == index && beat.checksum != checksum {
--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -24,53 +24,54 @@
 use tokio::sync::mpsc;
 
 use crate::formation::Formation;
+use crate::input::Input;
 use crate::platform::Order;
 use crate::publish::Publisher;
 use crate::reconcile::{Answer, Reconciler, Times};
-use crate::ring::Input;
 use crate::tickets::Tickets;
 use pond_clock::Clock;
 
-/// Inputs that are taken in before outputs are carried out.
-const BATCH: usize = 2048;
+/// Maximum number of inputs that are processed before outputs are carried out.
+const MAX_INPUTS_PER_ROUND: usize = 2048;
 
-/// Longest wait for an input.
-const TICK: Duration = Duration::from_millis(5);
+/// Maximum time to wait for an input.
+const INPUT_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// What the deciding thread is made from.
+/// The components that the deciding thread is created from.
 pub struct Parts {
     /// The replica's name.
     pub name: String,
-    /// Names and operators' addresses of all replicas.
+    /// The names and operator addresses of all replicas.
     pub replicas: Vec<pond_settings::Replica>,
-    /// Writes the durable files; letters wait in it for what must last before them.
+    /// Writes the durable files; it holds letters back until the writes that they depend on are
+    /// durable.
     pub writer: Writer<Letter>,
-    /// What they held.
+    /// The contents that were recovered from them.
     pub recovered: Recovered,
     /// This replica as a member.
     pub member: pond_proto::quorum::Member,
     /// Inputs.
-    pub ring: Receiver<Input>,
+    pub input_receiver: Receiver<Input>,
     /// Orders to the platform thread.
     pub orders: mpsc::Sender<Order>,
-    /// Times of leases.
+    /// The durations that the reconciler uses.
     pub times: Times,
     /// The clocks.
     pub clock: Clock,
     /// The logger.
     pub log: Logger,
-    /// Longest time for a planned stop, in milliseconds.
+    /// Maximum time for a planned stop, in milliseconds.
     pub stop_ms: Span,
 }
 
-/// What a leader keeps while it leads.
-struct Duty {
+/// The data of a replica while it is the leader.
+struct Leadership {
     reconciler: Reconciler,
     scheduler: Scheduler,
-    decided: Millis,
+    last_decision: Millis,
 }
 
-/// The deciding thread's state.
+/// The state of the deciding thread.
 pub struct Replica {
     parts: Parts,
     core: Core,
@@ -82,13 +83,13 @@
     names: BTreeMap<u64, String>,
     publisher: Publisher,
     tickets: Tickets,
-    own: BTreeMap<u64, Change>,
-    duty: Option<Duty>,
-    led: Option<u64>,
-    beat: Millis,
-    /// Leader and term as entries and endpoint processes were last told, and when.
-    told: (String, u64),
-    told_at: Millis,
+    own_changes: BTreeMap<u64, Change>,
+    leadership: Option<Leadership>,
+    led_term: Option<u64>,
+    last_heartbeat: Millis,
+    /// The leader and term that were last announced to entries and endpoint processes, and when.
+    announced: (String, u64),
+    announced_at: Millis,
     checksum: (u64, u32),
     list_failed: bool,
     stopping: Option<Millis>,
@@ -96,10 +97,10 @@
 }
 
 impl Replica {
-    /// A replica from what its files held.
+    /// Creates a replica from its recovered files.
     ///
     /// # Errors
-    /// If the snapshot or an entry cannot be read.
+    /// If the snapshot cannot be decoded.
     pub fn new(mut parts: Parts) -> Result<Replica, String> {
         let now = parts.clock.now();
         let recovered = std::mem::replace(
@@ -146,12 +147,12 @@
             names: BTreeMap::new(),
             publisher: Publisher::default(),
             tickets: Tickets::default(),
-            own: BTreeMap::new(),
-            duty: None,
-            led: None,
-            beat: now,
-            told: (String::new(), 0),
-            told_at: Millis(0),
+            own_changes: BTreeMap::new(),
+            leadership: None,
+            led_term: None,
+            last_heartbeat: now,
+            announced: (String::new(), 0),
+            announced_at: Millis(0),
             checksum: (0, 0),
             list_failed: false,
             stopping: None,
@@ -162,7 +163,7 @@
     /// Runs until it is stopped or its files fail.
     ///
     /// # Errors
-    /// What failed.
+    /// The error of the data files.
     pub fn run(mut self) -> Result<(), pond_store::Error> {
         self.try_to_form();
         loop {
@@ -171,14 +172,14 @@
                 return Ok(());
             }
             let now = self.parts.clock.now();
-            // A candidate whose vote for itself cannot last can win nothing.
+            // A candidate that cannot store its vote for itself cannot win an election.
             if !self.abstains() || self.core.role() == Role::Leader {
                 self.core.step(now, QuorumInput::Tick);
             }
-            self.carry_out()?;
+            self.process_outputs()?;
             self.lead(now);
-            self.carry_out()?;
-            self.beat(now);
+            self.process_outputs()?;
+            self.send_heartbeats(now);
             if self.may_end(now) {
                 return Ok(());
             }
@@ -186,15 +187,15 @@
     }
 
     fn take_inputs(&mut self) {
-        let first = match self.parts.ring.recv_timeout(TICK) {
+        let first = match self.parts.input_receiver.recv_timeout(INPUT_TIMEOUT) {
             Ok(input) => input,
             Err(RecvTimeoutError::Timeout) => return,
             Err(RecvTimeoutError::Disconnected) => Input::Stop,
         };
         let now = self.parts.clock.now();
         self.input(now, first);
-        for _ in 1..BATCH {
-            let Ok(input) = self.parts.ring.try_recv() else { return };
+        for _ in 1..MAX_INPUTS_PER_ROUND {
+            let Ok(input) = self.parts.input_receiver.try_recv() else { return };
             self.input(now, input);
         }
     }
@@ -203,25 +204,25 @@
         match input {
             Input::Link(event) => self.link(now, event),
             Input::Order { meta, order, reply } => self.order(now, meta, order, reply),
-            Input::Read { look } => {
-                let ticket = self.tickets.read(look);
+            Input::Read { read_state } => {
+                let ticket = self.tickets.read(read_state);
                 self.core.step(now, QuorumInput::Read { ticket });
             }
             Input::Status { reply } => {
                 let _ = reply.send(self.status());
             }
             Input::Listed(list) => self.listed(now, list),
-            Input::Worker(fact) => {
+            Input::Worker(call_result) => {
                 let wall = self.parts.clock.wall();
-                if let Some(duty) = &mut self.duty {
-                    if let Err(error) = &fact.result {
+                if let Some(leadership) = &mut self.leadership {
+                    if let Err(error) = &call_result.result {
                         event!(self.parts.log, ORDER_FAILED,
-                            "vm" => fact.vm.to_string(), "why" => error.to_string());
+                            "vm" => call_result.vm.to_string(), "why" => error.to_string());
                     }
-                    if let Ok(Answer::Usage(usage)) = &fact.result {
-                        duty.scheduler.measure(&self.state, &measured(usage, wall));
+                    if let Ok(Answer::Usage(usage)) = &call_result.result {
+                        leadership.scheduler.measure(&self.state, &measured(usage, wall));
                     }
-                    duty.reconciler.fact(&self.state, now, wall, fact);
+                    leadership.reconciler.call_ended(&self.state, now, wall, call_result);
                 }
             }
             Input::Stop => self.stop(now),
@@ -237,7 +238,8 @@
         }
     }
 
-    /// Whether a planned stop is done: another leads, or there is no other, or time is up.
+    /// Returns whether a planned stop is complete: this replica no longer leads, is the only voter,
+    /// or has reached the time limit.
     fn may_end(&self, now: Millis) -> bool {
         let Some(until) = self.stopping else { return false };
         let alone = self.core.members().voters().all(|id| id == self.core.id());
@@ -248,7 +250,7 @@
     }
 }
 
-/// Late reports as the scheduler takes them.
+/// Converts a usage report to the scheduler's measurements.
 fn measured(usage: &Usage, wall: Millis) -> Vec<Measured> {
     let measured = usage.reports.iter().map(|report| Measured {
         task: report.task,
--- a/crates/pond-control/src/replica/orders.rs
+++ b/crates/pond-control/src/replica/orders.rs
@@ -1,4 +1,4 @@
-//! Orders, claims and proposals, and who is told what came of them.
+//! Orders, claims and proposals, and the replies to those who wait for them.
 
 use pond_link::LinkKey;
 use pond_log::event;
@@ -8,18 +8,16 @@
 use pond_state::{Change, Holder, KeptAnswer, Meta, Order as StateOrder, Reply};
 
 use super::Replica;
-use crate::ring::Unready;
+use crate::input::NotLeader;
 use crate::tickets::Waiter;
 
 impl Replica {
-    // Orders, claims and reads.
-
     pub(super) fn order(
         &mut self,
         now: Millis,
         meta: Meta,
         order: StateOrder,
-        reply: tokio::sync::oneshot::Sender<Result<Reply, Unready>>,
+        reply: tokio::sync::oneshot::Sender<Result<Reply, NotLeader>>,
     ) {
         let meta = Meta { at: self.parts.clock.wall(), ..meta };
         self.propose(now, Change::Order { meta, order }, Waiter::Operator(reply));
@@ -59,7 +57,7 @@
         let own = matches!(waiter, Waiter::Own);
         let ticket = self.tickets.propose(waiter);
         if own {
-            self.own.insert(ticket, change);
+            self.own_changes.insert(ticket, change);
         }
         if !self.core.ready() || self.abstains() {
             self.reject(ticket);
@@ -69,34 +67,36 @@
     }
 
     pub(super) fn reject(&mut self, ticket: u64) {
-        let unready = Unready { leader: self.leader_operator() };
-        let (waiter, look) = self.tickets.rejected(ticket);
-        if let Some(look) = look {
-            look(Err(unready.clone()));
+        let not_leader = NotLeader { leader: self.leader_operator() };
+        let (waiter, read_state) = self.tickets.rejected(ticket);
+        if let Some(read_state) = read_state {
+            read_state(Err(not_leader.clone()));
         }
         if let Some(waiter) = waiter {
-            self.tell_lost(waiter, unready);
+            self.reject_waiter(waiter, not_leader);
         }
-        if let (Some(change), Some(duty)) = (self.own.remove(&ticket), &mut self.duty) {
-            duty.reconciler.settled(&change);
+        if let (Some(change), Some(leadership)) =
+            (self.own_changes.remove(&ticket), &mut self.leadership)
+        {
+            leadership.reconciler.proposal_ended(&change);
         }
     }
 
-    pub(super) fn tell_lost(&self, waiter: Waiter, unready: Unready) {
+    pub(super) fn reject_waiter(&self, waiter: Waiter, not_leader: NotLeader) {
         match waiter {
             Waiter::Operator(reply) => {
-                let _ = reply.send(Err(unready));
+                let _ = reply.send(Err(not_leader));
             }
             Waiter::Claim { link, ticket } => {
                 let verdict = Verdict::NoQuorum as i32;
-                let tell = ClaimTell { ticket, verdict, answer: None };
-                self.publisher.send(link, Body::ClaimTell(tell));
+                let message = ClaimTell { ticket, verdict, answer: None };
+                self.publisher.send(link, Body::ClaimTell(message));
             }
             Waiter::Own => {}
         }
     }
 
-    pub(super) fn tell(&self, waiter: Waiter, reply: Reply) {
+    pub(super) fn answer_waiter(&self, waiter: Waiter, reply: Reply) {
         match waiter {
             Waiter::Operator(sender) => {
                 match &reply {
@@ -115,14 +115,14 @@
                     body: kept.body,
                     ..Default::default()
                 });
-                let tell = ClaimTell { ticket, verdict: decided.verdict, answer };
-                self.publisher.send(link, Body::ClaimTell(tell));
+                let message = ClaimTell { ticket, verdict: decided.verdict, answer };
+                self.publisher.send(link, Body::ClaimTell(message));
             }
             Waiter::Own => {}
         }
     }
 
-    /// The leader's address for operators.
+    /// Returns the leader's address for operators.
     pub(super) fn leader_operator(&self) -> Option<String> {
         let leader = self.core.leader()?;
         let replica = self.parts.replicas.iter().find(|replica| replica.name == leader.name)?;
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the quorum hands out: files, messages, the replicated state.
+//! Processes the outputs of the quorum: file writes, messages and committed changes.
 
 use std::sync::Arc;
 
@@ -10,18 +10,16 @@
 use pond_store::Snapshot;
 
 use super::Replica;
-use crate::ring::Unready;
+use crate::input::NotLeader;
 
-/// A snapshot is taken at every index that is a multiple of this, on all replicas.
-const SNAPSHOT_EVERY: u64 = 8192;
+/// Every replica takes a snapshot at each index that is a multiple of this.
+const SNAPSHOT_INTERVAL: u64 = 8192;
 
-/// Marks own changes that are known by their place in the log.
+/// Flag for keys of own changes that are log indexes and not tickets.
 const OWN_BY_INDEX: u64 = 1 << 63;
 
 impl Replica {
-    // Outputs of the quorum.
-
-    pub(super) fn carry_out(&mut self) -> Result<(), pond_store::Error> {
+    pub(super) fn process_outputs(&mut self) -> Result<(), pond_store::Error> {
         if self.parts.writer.full() {
             self.write()?;
         }
@@ -46,7 +44,8 @@
         }
     }
 
-    /// Writes what must last, and does what may follow. While the disk is full, this replica abstains.
+    /// Flushes pending writes, then sends the letters that depend on them. While the disk is full,
+    /// this replica abstains.
     fn write(&mut self) -> Result<(), pond_store::Error> {
         let was_full = self.parts.writer.full();
         let flushed = self.parts.writer.flush()?;
@@ -69,7 +68,7 @@
         Ok(())
     }
 
-    /// Whether this replica can neither lead nor vote now, as its disk is full.
+    /// Returns whether this replica can neither lead nor vote now because its disk is full.
     pub(super) fn abstains(&self) -> bool {
         self.parts.writer.full()
     }
@@ -79,9 +78,9 @@
             Output::Persist { .. } | Output::Send(_) | Output::SendDurable(_) => {}
             Output::Appended { ticket, index, term } => {
                 self.tickets.appended(ticket, index, term);
-                if let Some(change) = self.own.remove(&ticket) {
-                    // From now on it is known by its place in the log.
-                    self.own.insert(OWN_BY_INDEX | index, change);
+                if let Some(change) = self.own_changes.remove(&ticket) {
+                    // From now on the change is keyed by its log index.
+                    self.own_changes.insert(OWN_BY_INDEX | index, change);
                 }
             }
             Output::Rejected { ticket, .. } => self.reject(ticket),
@@ -89,7 +88,7 @@
             Output::Install { image, .. } => self.install(&image),
             Output::ReadReady { ticket, index } => {
                 self.tickets.confirmed(ticket, index);
-                self.look();
+                self.run_due_reads();
             }
             Output::RoleChanged => self.role_changed(),
             Output::MembersChanged(members) => {
@@ -121,37 +120,37 @@
             if entry.kind() == Kind::Change {
                 self.apply_change(&entry);
             }
-            if entry.index % SNAPSHOT_EVERY == 0 {
+            if entry.index % SNAPSHOT_INTERVAL == 0 {
                 self.save_snapshot(entry.index)?;
             }
         }
-        self.look();
+        self.run_due_reads();
         Ok(())
     }
 
     pub(super) fn apply_change(&mut self, entry: &Entry) {
         let Ok(change) = Change::decode(&entry.data) else { return };
-        let leads = self.duty.is_some();
-        if leads {
+        let is_leader = self.leadership.is_some();
+        if is_leader {
             self.log_change(&change);
         }
-        if let Some(duty) = &mut self.duty {
-            duty.reconciler.notice(&self.state, &change);
+        if let Some(leadership) = &mut self.leadership {
+            leadership.reconciler.before_apply(&self.state, &change);
             if matches!(change, Change::Order { .. }) {
-                duty.scheduler.units_changed();
+                leadership.scheduler.units_changed();
             }
         }
         let reply = self.state.apply(change);
-        if let (Some(own), Some(duty)) =
-            (self.own.remove(&(OWN_BY_INDEX | entry.index)), &mut self.duty)
+        if let (Some(own), Some(leadership)) =
+            (self.own_changes.remove(&(OWN_BY_INDEX | entry.index)), &mut self.leadership)
         {
-            duty.reconciler.settled(&own);
+            leadership.reconciler.proposal_ended(&own);
         }
         let Some((same, waiter)) = self.tickets.applied(entry.index, entry.term) else { return };
         if same {
-            self.tell(waiter, reply);
+            self.answer_waiter(waiter, reply);
         } else {
-            self.tell_lost(waiter, Unready { leader: self.leader_operator() });
+            self.reject_waiter(waiter, NotLeader { leader: self.leader_operator() });
         }
     }
 
@@ -160,7 +159,7 @@
         let data = self.state.encode();
         self.checksum = (index, self.state.checksum());
         let snapshot = Snapshot { head: head.clone(), data };
-        // Without room the next one is tried; the log grows meanwhile.
+        // If the disk has no room, the next snapshot is tried; until then the log grows.
         if !self.parts.writer.save(&snapshot)? {
             return Ok(());
         }
@@ -178,26 +177,26 @@
         }
     }
 
-    /// Does the reads that are due.
-    pub(super) fn look(&mut self) {
-        for look in self.tickets.due(self.applied) {
-            look(Ok(&self.state));
+    /// Runs the reads that are due.
+    pub(super) fn run_due_reads(&mut self) {
+        for read_state in self.tickets.take_due(self.applied) {
+            read_state(Ok(&self.state));
         }
     }
 
     pub(super) fn role_changed(&mut self) {
-        let leads = self.core.role() == Role::Leader;
-        if !leads && self.led.take().is_some() {
+        let is_leader = self.core.role() == Role::Leader;
+        if !is_leader && self.led_term.take().is_some() {
             event!(self.parts.log, FOLLOWER, "term" => self.core.term());
-            self.duty = None;
-            self.own.clear();
-            let unready = Unready { leader: self.leader_operator() };
+            self.leadership = None;
+            self.own_changes.clear();
+            let not_leader = NotLeader { leader: self.leader_operator() };
             for waiter in self.tickets.drain() {
-                self.tell_lost(waiter, unready.clone());
+                self.reject_waiter(waiter, not_leader.clone());
             }
         }
-        if leads && self.led.is_none() {
-            self.led = Some(self.core.term());
+        if is_leader && self.led_term.is_none() {
+            self.led_term = Some(self.core.term());
             event!(self.parts.log, LEADER, "term" => self.core.term());
         }
     }
--- a/crates/pond-control/src/replica/report.rs
+++ b/crates/pond-control/src/replica/report.rs
@@ -1,4 +1,4 @@
-//! What operators and the log are told.
+//! The status for operators and the log events of changes.
 
 use pond_log::event;
 use pond_proto::operator::{MemberRow, Status};
--- a/crates/pond-control/tests/leases.rs
+++ b/crates/pond-control/tests/leases.rs
@@ -1,12 +1,12 @@
 //! A task never runs in two places, whatever messages, clocks, leaders and workers do.
 //!
-//! The real state, scheduler and reconciler against pure workers, in virtual time, under a seed:
-//! calls and answers are late, lost and overtaken; clocks drift; workers restart and are cut off;
-//! leaders change, and calls of an old one still arrive.
+//! The tests run the real state, scheduler and reconciler with simulated workers in virtual time,
+//! from a seed. Calls and answers are delayed, lost and reordered; clocks drift; workers restart
+//! and are partitioned; leaders change, and calls of a former leader still arrive.
 
 use std::collections::BTreeMap;
 
-use pond_control::{Answer, Call, Fact, Reconciler, Step, Times};
+use pond_control::{Answer, Call, CallResult, Reconciler, Step, Times};
 use pond_platform::{Error, Refusal, StartAnswer};
 use pond_proto::{Millis, Size, TaskKey, Vm, VmKey};
 use pond_sched::Scheduler;
@@ -19,13 +19,13 @@
 
 const STEP_MS: u64 = 10;
 
-/// How far a worker's clock may run fast or slow, in thousandths; the leader reckons with 50.
-const DRIFT: u64 = 40;
+/// Maximum drift of a worker's clock, in thousandths; the leader allows for 50.
+const MAX_DRIFT: u64 = 40;
 
 fn times() -> Times {
     Times {
         lease_ms: 2_000,
-        surely_over_ms: 2_101,
+        lease_expiry_ms: 2_101,
         renew_ms: 400,
         drain_ms: 3_000,
         grace_ms: 100,
@@ -33,33 +33,35 @@
     }
 }
 
-/// How often things go wrong, in thousandths of a step or of a message.
+/// The probabilities of faults, in thousandths, for each step or message.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
     loss: u32,
     delay_ms: u64,
-    cut: u32,
+    partition: u32,
     restart: u32,
     leader: u32,
     steer: u32,
 }
 
-const NONE: Faults = Faults { loss: 0, delay_ms: 5, cut: 0, restart: 0, leader: 0, steer: 0 };
+const NO_FAULTS: Faults =
+    Faults { loss: 0, delay_ms: 5, partition: 0, restart: 0, leader: 0, steer: 0 };
 
-const ALL: Faults = Faults { loss: 100, delay_ms: 1_500, cut: 2, restart: 1, leader: 2, steer: 10 };
+const ALL_FAULTS: Faults =
+    Faults { loss: 100, delay_ms: 1_500, partition: 2, restart: 1, leader: 2, steer: 10 };
 
-struct Place {
+struct Node {
     worker: Worker,
     rate: u64,
-    cut_until: u64,
+    partitioned_until: u64,
 }
 
 enum Message {
     Call { leader: u64, vm: VmKey, call: Call, sent: Millis },
-    Fact { leader: u64, fact: Fact },
+    Result { leader: u64, call_result: CallResult },
 }
 
-struct World {
+struct Simulation {
     faults: Faults,
     rng: SmallRng,
     now: u64,
@@ -67,27 +69,27 @@
     scheduler: Scheduler,
     leader: u64,
     reconciler: Reconciler,
-    places: Vec<Place>,
-    flying: Vec<(u64, Message)>,
-    /// Progress at which each unit was started, in order.
+    nodes: Vec<Node>,
+    in_flight: Vec<(u64, Message)>,
+    /// The progress from which each unit was started, in order.
     resumed: BTreeMap<String, Vec<u64>>,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
 fn listed() -> Vec<Vm> {
     (0..3).map(|i| Vm { worker: i.to_string(), ..vm(&format!("vm-{i}")) }).collect()
 }
 
-impl World {
-    fn new(seed: u64, faults: Faults, jobs: u32) -> World {
+impl Simulation {
+    fn new(seed: u64, faults: Faults, jobs: u32) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let place = |_| Place {
+        let node = |_| Node {
             worker: Worker::new(rng.random(), Size::new(4000, 4000, 0), 0),
-            rate: rng.random_range(1000 - DRIFT..=1000 + DRIFT),
-            cut_until: 0,
+            rate: rng.random_range(1000 - MAX_DRIFT..=1000 + MAX_DRIFT),
+            partitioned_until: 0,
         };
-        let places = (0..3).map(place).collect();
-        let mut world = World {
+        let nodes = (0..3).map(node).collect();
+        let mut simulation = Simulation {
             faults,
             rng,
             now: 10_000,
@@ -95,18 +97,18 @@
             scheduler: Scheduler::new(),
             leader: 1,
             reconciler: Reconciler::new(times(), 1, Millis(10_000)),
-            places,
-            flying: Vec::new(),
+            nodes,
+            in_flight: Vec::new(),
             resumed: BTreeMap::new(),
-            wrong: None,
+            violation: None,
         };
         let units = (0..jobs).map(|i| {
             let program = "work seconds=4".to_owned();
             pond_proto::Unit { program, ..job(&format!("job-{i}")) }
         });
         let order = Order::Apply { units: units.collect() };
-        world.state.apply(Change::Order { meta: Meta::default(), order });
-        world
+        simulation.state.apply(Change::Order { meta: Meta::default(), order });
+        simulation
     }
 
     fn chance(&mut self, thousandths: u32) -> bool {
@@ -115,23 +117,23 @@
 
     fn run(&mut self, ms: u64) {
         let until = self.now + ms;
-        while self.now < until && self.wrong.is_none() {
+        while self.now < until && self.violation.is_none() {
             self.now += STEP_MS;
-            self.break_things();
+            self.inject_faults();
             self.deliver();
             self.lead();
             self.check();
         }
     }
 
-    fn break_things(&mut self) {
-        for i in 0..self.places.len() {
-            if self.chance(self.faults.cut) {
-                self.places[i].cut_until = self.now + self.rng.random_range(100..8_000);
+    fn inject_faults(&mut self) {
+        for i in 0..self.nodes.len() {
+            if self.chance(self.faults.partition) {
+                self.nodes[i].partitioned_until = self.now + self.rng.random_range(100..8_000);
             }
             if self.chance(self.faults.restart) {
-                let life = self.rng.random();
-                self.places[i].worker = Worker::new(life, Size::new(4000, 4000, 0), 0);
+                let incarnation = self.rng.random();
+                self.nodes[i].worker = Worker::new(incarnation, Size::new(4000, 4000, 0), 0);
             }
         }
         if self.chance(self.faults.leader) {
@@ -157,53 +159,53 @@
     }
 
     fn apply(&mut self, change: Change) {
-        self.reconciler.notice(&self.state, &change);
+        self.reconciler.before_apply(&self.state, &change);
         self.state.apply(change.clone());
-        self.reconciler.settled(&change);
+        self.reconciler.proposal_ended(&change);
     }
 
-    fn put(&mut self, message: Message) {
+    fn send(&mut self, message: Message) {
         let delay = self.rng.random_range(1..=self.faults.delay_ms);
-        self.flying.push((self.now + delay, message));
+        self.in_flight.push((self.now + delay, message));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.flying).into_iter().partition(|(at, _)| *at <= now);
-        self.flying = later;
+            std::mem::take(&mut self.in_flight).into_iter().partition(|(at, _)| *at <= now);
+        self.in_flight = later;
         let due: Vec<(u64, Message)> = due;
         for (_, message) in due {
             match message {
                 Message::Call { leader, vm, call, sent } => self.call(leader, vm, call, sent),
-                Message::Fact { leader, fact } if leader == self.leader => {
+                Message::Result { leader, call_result } if leader == self.leader => {
                     let at = Millis(now);
-                    self.reconciler.fact(&self.state, at, at, fact);
+                    self.reconciler.call_ended(&self.state, at, at, call_result);
                     self.carry_out();
                 }
-                Message::Fact { .. } => {}
+                Message::Result { .. } => {}
             }
         }
     }
 
-    /// A call reaches its worker, or not; the answer comes back, or the caller gives up.
+    /// Delivers a call to its worker unless it is lost, and sends the answer back or an error.
     fn call(&mut self, leader: u64, vm: VmKey, call: Call, sent: Millis) {
-        let cut = self.places[vm.0 as usize].cut_until > self.now;
-        let result = if cut || self.chance(self.faults.loss) {
+        let partitioned = self.nodes[vm.0 as usize].partitioned_until > self.now;
+        let result = if partitioned || self.chance(self.faults.loss) {
             Err(Error::Unknown("lost".to_owned()))
         } else {
             let answered = self.worker(vm, &call);
             let lost = self.chance(self.faults.loss);
             if lost { Err(Error::Unknown("answer lost".to_owned())) } else { answered }
         };
-        self.put(Message::Fact { leader, fact: Fact { vm, call, sent, result } });
+        self.send(Message::Result { leader, call_result: CallResult { vm, call, sent, result } });
     }
 
     fn worker(&mut self, vm: VmKey, call: &Call) -> Result<Answer, Error> {
         let now = self.now;
-        let place = &mut self.places[vm.0 as usize];
-        place.worker.tick(Millis(now * place.rate / 1000));
-        let worker = &mut place.worker;
+        let node = &mut self.nodes[vm.0 as usize];
+        node.worker.tick(Millis(now * node.rate / 1000));
+        let worker = &mut node.worker;
         let refused = |refusal: Refusal| Error::Refused(refusal);
         match call {
             Call::Lease(order) => worker.lease(order).map(Answer::Lease).map_err(refused),
@@ -246,28 +248,28 @@
                 Step::Propose(change) => self.apply(change),
                 Step::Call { vm, call, .. } => {
                     let (leader, sent) = (self.leader, Millis(self.now));
-                    self.put(Message::Call { leader, vm, call, sent });
+                    self.send(Message::Call { leader, vm, call, sent });
                 }
             }
         }
     }
 
-    /// No unit runs twice, and no worker holds more than it has.
+    /// Checks that no unit runs twice and that no worker is overcommitted.
     fn check(&mut self) {
         let mut running: BTreeMap<String, usize> = BTreeMap::new();
-        for place in &mut self.places {
-            place.worker.tick(Millis(self.now * place.rate / 1000));
+        for node in &mut self.nodes {
+            node.worker.tick(Millis(self.now * node.rate / 1000));
             let mut taken = Size::default();
-            for held in place.worker.tasks().values().filter(|held| held.runs()) {
-                *running.entry(held.start.unit.clone()).or_default() += 1;
-                taken = taken.plus(held.start.size);
+            for task in node.worker.tasks().values().filter(|task| task.runs()) {
+                *running.entry(task.start.unit.clone()).or_default() += 1;
+                taken = taken.plus(task.start.size);
             }
             if !taken.fits(Size::new(4000, 4000, 0)) {
-                self.wrong = Some(format!("a worker holds {taken}"));
+                self.violation = Some(format!("a worker runs tasks of size {taken}"));
             }
         }
         if let Some((unit, count)) = running.iter().find(|(_, count)| **count > 1) {
-            self.wrong = Some(format!("{unit} runs {count} times at {}", self.now));
+            self.violation = Some(format!("{unit} runs {count} times at {}", self.now));
         }
     }
 
@@ -280,71 +282,75 @@
     #![proptest_config(cases(60))]
 
     #[test]
-    fn no_task_runs_twice_when_everything_fails(seed in any::<u64>()) {
-        let mut world = World::new(seed, ALL, 10);
-        world.run(40_000);
-        prop_assert_eq!(world.wrong.clone(), None);
-        // Once nothing fails any more, all work comes to its end.
-        world.faults = NONE;
-        world.run(60_000);
-        prop_assert_eq!(world.wrong.clone(), None);
-        prop_assert_eq!(world.done(), 10);
+    fn no_task_runs_twice_under_all_faults(seed in any::<u64>()) {
+        let mut simulation = Simulation::new(seed, ALL_FAULTS, 10);
+        simulation.run(40_000);
+        prop_assert_eq!(simulation.violation.clone(), None);
+        // Once the faults have stopped, all work must finish.
+        simulation.faults = NO_FAULTS;
+        simulation.run(60_000);
+        prop_assert_eq!(simulation.violation.clone(), None);
+        prop_assert_eq!(simulation.done(), 10);
     }
 }
 
 #[test]
 fn jobs_run_once_and_end_when_nothing_fails() {
-    let mut world = World::new(1, NONE, 10);
-    world.run(20_000);
-    assert_eq!((world.wrong.clone(), world.done()), (None, 10));
-    assert!(world.resumed.values().all(|starts| starts == &[0]), "{:?}", world.resumed);
+    let mut simulation = Simulation::new(1, NO_FAULTS, 10);
+    simulation.run(20_000);
+    assert_eq!((simulation.violation.clone(), simulation.done()), (None, 10));
+    assert!(simulation.resumed.values().all(|starts| starts == &[0]), "{:?}", simulation.resumed);
 }
 
 #[test]
-fn a_vm_that_is_cut_off_loses_its_work_only_after_its_leases_are_surely_over() {
-    let mut world = World::new(2, NONE, 6);
-    world.run(2_000);
-    let cut: Vec<TaskKey> = world.state.tasks_on(VmKey(0)).map(|task| task.key).collect();
-    assert!(!cut.is_empty());
-    world.places[0].cut_until = u64::MAX;
-    let begun = world.now;
-    while cut.iter().all(|task| world.state.task(*task).is_some()) {
-        world.run(STEP_MS);
-        assert!(world.now < begun + 10_000, "it is never given up");
+fn partitioned_vm_loses_its_work_only_after_its_leases_expired() {
+    let mut simulation = Simulation::new(2, NO_FAULTS, 6);
+    simulation.run(2_000);
+    let tasks: Vec<TaskKey> = simulation.state.tasks_on(VmKey(0)).map(|task| task.key).collect();
+    assert!(!tasks.is_empty());
+    simulation.nodes[0].partitioned_until = u64::MAX;
+    let started = simulation.now;
+    while tasks.iter().all(|task| simulation.state.task(*task).is_some()) {
+        simulation.run(STEP_MS);
+        assert!(simulation.now < started + 10_000, "the tasks are never given up");
     }
-    assert!(world.now >= begun + 1_600, "given up after {} ms", world.now - begun);
-    world.run(20_000);
-    assert_eq!((world.wrong.clone(), world.done()), (None, 6));
+    assert!(simulation.now >= started + 1_600, "given up after {} ms", simulation.now - started);
+    simulation.run(20_000);
+    assert_eq!((simulation.violation.clone(), simulation.done()), (None, 6));
 }
 
 #[test]
-fn moved_work_resumes_once_from_where_it_stood() {
-    let mut world = World::new(3, NONE, 1);
-    world.run(2_000);
-    let task = world.state.tasks().next().expect("a task").key;
-    let at = Millis(world.now);
+fn moved_job_resumes_once_from_its_checkpoint() {
+    let mut simulation = Simulation::new(3, NO_FAULTS, 1);
+    simulation.run(2_000);
+    let task = simulation.state.tasks().next().expect("a task").key;
+    let at = Millis(simulation.now);
     let decision = Decision::new(at, Action::Move, "test");
-    world.apply(Change::Steer { at, task, decision });
-    world.run(20_000);
-    let starts = world.resumed["job-0"].clone();
-    assert_eq!((world.wrong.clone(), world.done()), (None, 1));
+    simulation.apply(Change::Steer { at, task, decision });
+    simulation.run(20_000);
+    let starts = simulation.resumed["job-0"].clone();
+    assert_eq!((simulation.violation.clone(), simulation.done()), (None, 1));
     assert!(matches!(starts[..], [0, from] if from > 500), "{starts:?}");
 }
 
-/// What a change of leader comes in the middle of.
+/// A leader that takes over at any moment of a move must not start a second run.
 #[test]
-fn a_change_of_leader_at_any_step_of_a_move_leaves_one_run() {
+fn leader_change_at_any_step_of_a_move_leaves_one_run() {
     for moment in (0..3_000).step_by(50) {
-        let mut world = World::new(4, Faults { delay_ms: 200, ..NONE }, 2);
-        world.run(2_000);
-        let task = world.state.tasks().next().expect("a task").key;
-        let at = Millis(world.now);
+        let mut simulation = Simulation::new(4, Faults { delay_ms: 200, ..NO_FAULTS }, 2);
+        simulation.run(2_000);
+        let task = simulation.state.tasks().next().expect("a task").key;
+        let at = Millis(simulation.now);
         let decision = Decision::new(at, Action::Move, "test");
-        world.apply(Change::Steer { at, task, decision });
-        world.run(moment);
-        world.leader += 1;
-        world.reconciler = Reconciler::new(times(), world.leader, Millis(world.now));
-        world.run(30_000);
-        assert_eq!((world.wrong.clone(), world.done()), (None, 2), "after {moment} ms");
+        simulation.apply(Change::Steer { at, task, decision });
+        simulation.run(moment);
+        simulation.leader += 1;
+        simulation.reconciler = Reconciler::new(times(), simulation.leader, Millis(simulation.now));
+        simulation.run(30_000);
+        assert_eq!(
+            (simulation.violation.clone(), simulation.done()),
+            (None, 2),
+            "after {moment} ms"
+        );
     }
 }
--- a/crates/pond-sched/src/interference.rs
+++ b/crates/pond-sched/src/interference.rs
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Updates the baseline. Measurements without batch work nearby (`undisturbed`) have the largest
-    /// weight; others lower the baseline quickly but raise it only slowly.
+    /// Updates the baseline. Measurements without batch work nearby (`undisturbed`) have the
+    /// largest weight; others lower the baseline quickly but raise it only slowly.
     fn update_baseline(&mut self, victim: Victim, sample: f64, undisturbed: bool) {
         let baseline = self.baselines.entry(victim).or_insert(sample);
         let weight = match (undisturbed, sample < *baseline) {
--- a/crates/pond-sched/src/plan.rs
+++ b/crates/pond-sched/src/plan.rs
@@ -412,7 +412,8 @@
         Choice { vm: vm.key, name: vm.vm.name.clone(), score: total, most_affected }
     }
 
-    /// Returns the score penalty for a VM on which tasks are expected to use more memory than it has.
+    /// Returns the score penalty for a VM on which tasks are expected to use more memory than it
+    /// has.
     fn expected_overuse(&self, neighbours: &Neighbours, unit: &Unit, vm: &VmRecord) -> i64 {
         let own = self.usage.expected(self.kinds.get(unit.kind_name()), unit.size);
         let expected = neighbours.expected_memory_mib() + u64::from(own.memory_mib);
@@ -432,8 +433,8 @@
         misses.explain(unit)
     }
 
-    /// Returns whether to try to place a unit now. A unit that fits nowhere is tried again only when
-    /// room was freed, or after [`UNPLACEABLE_RETRY_MS`].
+    /// Returns whether to try to place a unit now. A unit that fits nowhere is tried again only
+    /// when room was freed, or after [`UNPLACEABLE_RETRY_MS`].
     fn is_due(&self, state: &State, record: &UnitRecord, now: Millis) -> bool {
         if record.not_before > now {
             return false;
--- a/crates/pond-sched/src/throttle.rs
+++ b/crates/pond-sched/src/throttle.rs
@@ -301,8 +301,8 @@
         vec![steer(task, action, why, vm, now)]
     }
 
-    /// Moves a task that has been slowed or paused for long, if it may be moved and another VM suits
-    /// it better.
+    /// Moves a task that has been slowed or paused for long, if it may be moved and another VM
+    /// suits it better.
     fn move_throttled(
         &mut self,
         state: &State,
--- a/crates/pond-state/src/place.rs
+++ b/crates/pond-state/src/place.rs
@@ -13,7 +13,8 @@
 /// VMs.
 const VMS_TO_BLAME_UNIT: usize = 2;
 
-/// Backoff after the first failure of a unit, in milliseconds; it doubles with each further failure.
+/// Backoff after the first failure of a unit, in milliseconds; it doubles with each further
+/// failure.
 const BACKOFF_MS: Span = 1_000;
 
 /// A task that is lost within this time after its start, in milliseconds, may have crashed its VM.
--- a/crates/pond-state/src/state.rs
+++ b/crates/pond-state/src/state.rs
@@ -91,7 +91,8 @@
         rmp_serde::from_slice(bytes)
     }
 
-    /// Returns a checksum of the state, which is equal on all replicas that applied the same changes.
+    /// Returns a checksum of the state, which is equal on all replicas that applied the same
+    /// changes.
     pub fn checksum(&self) -> u32 {
         crc32c::crc32c(&self.encode())
     }
