--- a/crates/pond-control/benches/capacity.rs
+++ b/crates/pond-control/benches/capacity.rs
@@ -85,7 +85,7 @@
 
 fn replicated_state() {
     println!(
-        "\n| VMs | tasks | MiB of state | KiB of snapshot | ms to write it | KiB of a whole view for an entry | bytes for one changed endpoint |"
+        "\n| VMs | tasks | MiB of state | KiB of snapshot | ms to write it | KiB of a complete view for an entry | bytes for one changed endpoint |"
     );
     println!("|---|---|---|---|---|---|---|");
     for size in SIZES {
--- a/crates/pond-control/src/reconcile/reconciler/answers.rs
+++ b/crates/pond-control/src/reconcile/reconciler/answers.rs
@@ -28,9 +28,9 @@
     ) {
         if let Some(task) = call_result.call.task()
             && self.pending_calls.remove(&task).is_some()
-            && let Some(call_counts) = self.call_counts.get_mut(&call_result.vm)
+            && let Some(count) = self.call_counts.get_mut(&call_result.vm)
         {
-            *call_counts = call_counts.saturating_sub(1);
+            *count = count.saturating_sub(1);
         }
         self.last_checked.remove(&call_result.vm);
         if matches!(call_result.call, Call::Lease(_)) {
--- a/crates/pond-control/src/reconcile/reconciler/mod.rs
+++ b/crates/pond-control/src/reconcile/reconciler/mod.rs
@@ -188,12 +188,9 @@
 
     /// Returns whether a task must wait for a call, a proposal or a delay.
     fn is_busy(&self, task: TaskKey, vm: VmKey, now: Millis) -> bool {
-        let waits = self.delayed_until.get(&task).is_some_and(|until| now < *until);
-        waits
-            || self
-                .call_counts
-                .get(&vm)
-                .is_some_and(|call_counts| *call_counts >= MAX_CALLS_PER_WORKER)
+        let delayed = self.delayed_until.get(&task).is_some_and(|until| now < *until);
+        delayed
+            || self.call_counts.get(&vm).is_some_and(|count| *count >= MAX_CALLS_PER_WORKER)
             || self.pending_calls.contains_key(&task)
             || self.pending_proposals.contains(&task)
     }
@@ -203,7 +200,7 @@
         self.contacts.retain(|vm, _| state.vm(*vm).is_some());
         self.statuses.retain(|vm, _| state.vm(*vm).is_some());
         self.last_checked.retain(|vm, _| state.vm(*vm).is_some());
-        self.call_counts.retain(|_, call_counts| *call_counts > 0);
+        self.call_counts.retain(|_, count| *count > 0);
         if self.seen_running.len() > state.task_count() * 2 + 1000 {
             self.seen_running.retain(|task, _| state.task(*task).is_some());
         }
--- a/crates/pond-control/src/replica/leading.rs
+++ b/crates/pond-control/src/replica/leading.rs
@@ -87,7 +87,8 @@
                 let order = Order { vm, worker, call, sent: now };
                 if let Err(error) = self.parts.orders.try_send(order) {
                     let order = error.into_inner();
-                    let result = Err(pond_platform::Error::NotSent("the ring is full".to_owned()));
+                    let result =
+                        Err(pond_platform::Error::NotSent("the order channel is full".to_owned()));
                     let call_result = CallResult { vm, call: order.call, sent: now, result };
                     let wall = self.parts.clock.wall();
                     if let Some(leadership) = &mut self.leadership {
--- a/crates/pond-sched/src/fleet.rs
+++ b/crates/pond-sched/src/fleet.rs
@@ -55,7 +55,12 @@
             }
     }
 
-    fn class(&mut self, state: &State, selector: &Selector, free: impl Fn(&VmRecord) -> Size) {
+    fn ensure_class(
+        &mut self,
+        state: &State,
+        selector: &Selector,
+        free: impl Fn(&VmRecord) -> Size,
+    ) {
         if self.classes.contains_key(selector) {
             return;
         }
@@ -80,7 +85,7 @@
         spread: bool,
         free: impl Fn(&VmRecord) -> Size,
     ) -> Box<dyn Iterator<Item = VmKey> + '_> {
-        self.class(state, selector, free);
+        self.ensure_class(state, selector, free);
         let Some(class) = self.classes.get(selector) else { return Box::new(std::iter::empty()) };
         let from =
             move |min_cpu: u32| class.by_free.range((min_cpu, VmKey(0))..).map(|(_, key)| *key);
--- a/crates/pond-sched/src/neighbours.rs
+++ b/crates/pond-sched/src/neighbours.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the highest expected latency as a share of the service's objective; 1 means that
-    /// the objective is just met, and 0 that no service has one.
+    /// the objective is just met. Returns 0 if no service has an objective and a known latency.
     pub fn latency_ratio(&self) -> f64 {
         self.worst.as_ref().map_or(0.0, |(_, latency_ratio)| *latency_ratio)
     }
--- a/crates/pond-state/src/state.rs
+++ b/crates/pond-state/src/state.rs
@@ -227,8 +227,8 @@
         }
         self.record("platform", String::new(), what);
         self.touch_vm(key);
-        let is_empty_vm = self.by_vm.get(&key).is_none_or(BTreeSet::is_empty);
-        if liveness == Liveness::Gone && is_empty_vm {
+        let has_no_tasks = self.by_vm.get(&key).is_none_or(BTreeSet::is_empty);
+        if liveness == Liveness::Gone && has_no_tasks {
             self.vms.remove(&key);
             self.vm_names.remove(&name);
             self.by_vm.remove(&key);
--- a/crates/pond-state/tests/guarantees.rs
+++ b/crates/pond-state/tests/guarantees.rs
@@ -468,7 +468,7 @@
             prop_assert_eq!(restored.apply(change), reply);
             prop_assert_eq!(restored.checksum(), state.checksum());
             restored = State::decode(&state.encode()).expect("decodes");
-            prop_assert!(state.version() >= version, "the version went back");
+            prop_assert!(state.version() >= version, "the version decreased");
             version = state.version();
             for vm in state.vms() {
                 let taken = state.tasks_on(vm.key).fold(Size::default(), |sum, t| sum.plus(t.size));
