--- a/crates/pond-control/src/operator/api.rs
+++ b/crates/pond-control/src/operator/api.rs
@@ -56,8 +56,7 @@
         HttpError::for_client_error(
             Some("unauthorized".to_owned()),
             dropshot::ClientErrorStatusCode::UNAUTHORIZED,
-            "send a token from the operator_tokens file as 'Authorization: Bearer TOKEN'"
-                .to_owned(),
+            "show a token of the operator_tokens file as 'Authorization: Bearer TOKEN'".to_owned(),
         )
     })
 }
--- a/crates/pond-control/src/operator/client.rs
+++ b/crates/pond-control/src/operator/client.rs
@@ -32,7 +32,7 @@
         match wait(answer).await? {
             Ok(Reply::Accepted { version, what }) => Ok(Accepted { version, what }),
             Ok(Reply::Refused(refusal)) => Err(refused(refusal)),
-            Ok(_) => Err(HttpError::for_internal_error("unexpected reply to an order".to_owned())),
+            Ok(_) => Err(HttpError::for_internal_error("an order led to no answer".to_owned())),
             Err(not_leader) => Err(not_leading(not_leader)),
         }
     }
@@ -59,7 +59,7 @@
 
     fn send(&self, input: Input) -> Result<(), HttpError> {
         self.input_sender.try_send(input).map_err(|_| {
-            let message = "too many requests are waiting; try again in a second".to_owned();
+            let message = "too much is waiting; try again in a second".to_owned();
             HttpError::for_unavail(Some("busy".to_owned()), message)
         })
     }
@@ -80,8 +80,8 @@
 
 fn not_leading(not_leader: NotLeader) -> HttpError {
     let message = match &not_leader.leader {
-        Some(leader) => format!("this replica is not the leader; ask {leader}"),
-        None => "there is no leader now; try again in a second".to_owned(),
+        Some(leader) => format!("this replica does not lead; ask {leader}"),
+        None => "no replica leads now; try again in a second".to_owned(),
     };
     let error = HttpError::for_unavail(Some("not-leading".to_owned()), message);
     let HttpError { internal_message, .. } = error;
@@ -109,14 +109,14 @@
     let (code, name, message) = match refusal {
         Refusal::Conflict { have, expected, since } => {
             let message = format!(
-                "the order was based on version {expected}, but version {have} is in force; \
-                 changes since then: {}",
+                "the order was based on version {expected}, version {have} is in force; since \
+                 then: {}",
                 since.join("; ")
             );
             (Code::CONFLICT, "conflict", message)
         }
         Refusal::IdentityUsed => {
-            let message = "this request identity was used for another order; use a new one";
+            let message = "this request identity stood for another order; use a new one";
             (Code::CONFLICT, "identity-used", message.to_owned())
         }
         Refusal::NoMatch { what } => (Code::NOT_FOUND, "no-match", format!("there are no {what}")),
--- a/crates/pond-control/src/reconcile/reconciler/judge.rs
+++ b/crates/pond-control/src/reconcile/reconciler/judge.rs
@@ -28,10 +28,8 @@
             }
             Some(true) if fresh => (Liveness::Live, "listed, and its worker answers"),
             Some(true) => (Liveness::Suspect, "listed, but its worker does not answer"),
-            Some(false) if expired => (Liveness::Gone, "not listed, and its leases have expired"),
-            Some(false) if missing_long => {
-                (Liveness::Leaving, "missing from the list for too long")
-            }
+            Some(false) if expired => (Liveness::Gone, "not listed, and its leases are over"),
+            Some(false) if missing_long => (Liveness::Leaving, "missing from the list for long"),
             Some(false) => (Liveness::Suspect, "missing from the list"),
         };
         if record.liveness != liveness && self.pending_judgements.insert(record.key) {
--- a/crates/pond-control/src/reconcile/reconciler/work.rs
+++ b/crates/pond-control/src/reconcile/reconciler/work.rs
@@ -156,7 +156,8 @@
         if !is_drained && wall.since(task.since) < self.times.drain_ms {
             return;
         }
-        let why = if is_drained { "finished its requests" } else { "draining took too long" };
+        let why =
+            if is_drained { "it has finished its requests" } else { "it drained for too long" };
         let decision = Decision::new(wall, Action::Stop, why).with_vm(&record.vm.name);
         self.propose(task.key, Change::Steer { at: wall, task: task.key, decision });
     }
--- a/crates/pond-sched/src/miss.rs
+++ b/crates/pond-sched/src/miss.rs
@@ -57,14 +57,14 @@
         let open = matching - self.count(Reason::Closed) - evacuated;
         let mut text = format!("{matching} of {all} VMs match the selector");
         if evacuated > 0 {
-            text.push_str(&format!(", {evacuated} of them are in evacuated data centres"));
+            text.push_str(&format!(", {evacuated} of them stand in evacuated data centres"));
         }
         if open == 0 {
-            text.push_str(", none of them accepts new work now");
+            text.push_str(", none of them takes new work now");
             return text;
         }
         if open < matching {
-            text.push_str(&format!(", {open} of them accept new work"));
+            text.push_str(&format!(", {open} of them take new work"));
         }
         text.push_str(&self.explain_open(unit));
         text
@@ -74,11 +74,11 @@
         let mut parts = Vec::new();
         if self.count(Reason::Affinity) > 0 {
             let count = self.count(Reason::Affinity);
-            parts.push(format!("{count} run no unit that the affinity requires"));
+            parts.push(format!("{count} hold no unit that the affinity asks for"));
         }
         if self.count(Reason::AntiAffinity) > 0 {
             let count = self.count(Reason::AntiAffinity);
-            parts.push(format!("{count} run a unit that the anti-affinity excludes"));
+            parts.push(format!("{count} hold a unit that the anti-affinity excludes"));
         }
         if self.count(Reason::Taken) > 0 {
             let lack = lack(unit.size, self.largest_free, "free");
--- a/crates/pond-sched/src/plan.rs
+++ b/crates/pond-sched/src/plan.rs
@@ -483,11 +483,11 @@
         MAX_SCORED => format!("at least {MAX_SCORED}"),
         other => other.to_string(),
     };
-    let mut why = format!("{count} VMs can take it; {} has score {}", best.name, best.score);
+    let mut why = format!("{count} VMs can take it; {} scores {}", best.name, best.score);
     if let Some((service, latency_ratio)) = &best.most_affected {
         let percent = latency_ratio * 100.0;
         why.push_str(&format!("; {service} is expected at {percent:.0} % of its objective"));
     }
-    let next = choices.get(1).map(|next| format!("{} has score {}", next.name, next.score));
+    let next = choices.get(1).map(|next| format!("{} scores {}", next.name, next.score));
     (why, next)
 }
--- a/crates/pond-sched/src/preempt.rs
+++ b/crates/pond-sched/src/preempt.rs
@@ -65,8 +65,8 @@
         self.reserved.insert(unit.name.clone(), (best.vm, now));
         let change = |task: TaskKey| {
             let why = format!(
-                "moved to make room for urgent unit {}: the cheapest eviction found, costing about \
-                 {:.0} s of work",
+                "makes room for urgent {}: the cheapest of the ways to make it, {:.0} s of work \
+                 to repeat or wait for",
                 unit.name, best.cost
             );
             let decision = Decision::new(now, Action::Move, why).with_vm(&best.name);
--- a/crates/pond-sched/src/throttle.rs
+++ b/crates/pond-sched/src/throttle.rs
@@ -248,7 +248,7 @@
             excess -= coefficient(task) * f64::from(task.share - share) / 100.0;
             let action = if share == 0 { Action::Pause } else { Action::Slow(share) };
             let why = format!(
-                "{} takes {:.1} ms with an objective of {:.1} ms; this task is expected to add \
+                "{} takes {:.1} ms of its objective of {:.1} ms; this task is expected to add \
                  {:.0} % at full speed",
                 worst.unit,
                 worst.now_us / 1000.0,
@@ -287,14 +287,14 @@
             .map(|service| headroom(service) / coefficient(task, service) * 100.0)
             .fold(100.0, f64::min);
         let mut share = (task.share + step.max(0.0) as u32).min(100) / SHARE_STEP * SHARE_STEP;
-        let mut why = "the services on its VM have headroom below their objectives again";
+        let mut why = "the services beside it have room below their objectives again";
         if share <= task.share {
             // A paused task yields no measurements; a small step shows whether it still interferes.
             if now.since(task.task.since) < self.tuning.probe_after_ms {
                 return Vec::new();
             }
             share = task.share / SHARE_STEP * SHARE_STEP + SHARE_STEP;
-            why = "throttled for a long time; a small step shows whether it still interferes";
+            why = "it was held for long; a small step shows whether it still harms";
         }
         let action = if share >= 100 { Action::Release } else { Action::Slow(share) };
         let why = why.to_owned();
@@ -329,8 +329,8 @@
         self.recent_moves.push(now);
         let seconds = now.since(task.task.since) / 1000;
         let why = format!(
-            "limited to {} % of its processors for {seconds} s to protect {} on the same VM; VM \
-             {target_vm} can run it at full speed",
+            "it has had {} % of its processors for {seconds} s beside {}, which leaves it no more \
+             here; {target_vm} would",
             task.share, worst.unit
         );
         vec![steer(task, Action::Move, why, vm, now)]
@@ -340,7 +340,7 @@
 /// Returns all batch tasks on a VM to full speed, as no service there has an objective any more.
 fn release_all(vm: &VmRecord, batch: &[Steerable<'_>], now: Millis) -> Vec<Change> {
     let throttled = batch.iter().filter(|task| task.share < 100);
-    let why = "no service with an objective is on the same VM any more";
+    let why = "no service with an objective is beside it any more";
     throttled.map(|task| steer(task, Action::Release, why.to_owned(), vm, now)).collect()
 }
 
--- a/crates/pond-state/src/operate.rs
+++ b/crates/pond-state/src/operate.rs
@@ -215,7 +215,7 @@
         let Some(record) = self.units.get_mut(name) else { return };
         if !record.ended() {
             record.standing = Standing::Cancelled;
-            record.note(Decision::new(clock, Action::Stop, "cancelled by an operator"));
+            record.note(Decision::new(clock, Action::Stop, "an operator cancelled it"));
         }
         let service = record.unit.service().is_some();
         for key in record.tasks.values() {
