--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -74,7 +74,7 @@
             self.try_to_form();
             return;
         }
-        self.core.step(now, QuorumInput::Letter(letter));
+        self.core.step(now, QuorumInput::Message(letter));
     }
 
     pub(super) fn try_to_form(&mut self) {
--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -109,11 +109,11 @@
                 hard: Default::default(),
                 snapshot: None,
                 entries: Vec::new(),
-                cut: 0,
+                truncated_bytes: 0,
             },
         );
-        if recovered.cut > 0 {
-            event!(parts.log, TORN_END, "bytes" => recovered.cut);
+        if recovered.truncated_bytes > 0 {
+            event!(parts.log, TORN_END, "bytes" => recovered.truncated_bytes);
         }
         let state = match &recovered.snapshot {
             Some(snapshot) => State::decode(&snapshot.data).map_err(|error| error.to_string())?,
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -33,9 +33,12 @@
             for output in &outputs {
                 match output {
                     Output::Send(letter) => self.send(letter.clone()),
-                    Output::SendDurable(letter) => self.parts.writer.then(letter.clone()),
+                    Output::SendDurable(letter) => self.parts.writer.enqueue_after(letter.clone()),
                     other => {
-                        other.write().into_iter().for_each(|write| self.parts.writer.put(write));
+                        other
+                            .durable_write()
+                            .into_iter()
+                            .for_each(|write| self.parts.writer.enqueue(write));
                     }
                 }
             }
@@ -50,11 +53,11 @@
     fn write(&mut self) -> Result<(), pond_store::Error> {
         let was_full = self.parts.writer.full();
         let flushed = self.parts.writer.flush()?;
-        for letter in flushed.then {
+        for letter in flushed.released {
             self.send(letter);
         }
         let now = self.parts.clock.now();
-        if flushed.lasts {
+        if flushed.all_durable {
             self.core.step(now, QuorumInput::Persisted);
         }
         let full = self.parts.writer.full();
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -119,7 +119,7 @@
     pub fn step(&mut self, now: Millis, input: Input) {
         match input {
             Input::Tick => self.tick(now),
-            Input::Letter(letter) => self.letter(now, letter),
+            Input::Message(letter) => self.letter(now, letter),
             Input::Propose { ticket, data } => match self.propose(Kind::Change, data) {
                 Ok(index) => {
                     let term = self.hard.term;
--- a/crates/pond-quorum/src/io.rs
+++ b/crates/pond-quorum/src/io.rs
@@ -14,7 +14,7 @@
     /// Time has passed.
     Tick,
     /// A message came in.
-    Letter(Letter),
+    Message(Letter),
     /// The shell wants an entry in the log.
     Propose {
         /// Comes back in [`Output::Appended`] or [`Output::Rejected`].
@@ -117,7 +117,7 @@
 
 impl Output {
     /// What of it must last, as the writer of the durable files takes it.
-    pub fn write(&self) -> Option<Write> {
+    pub fn durable_write(&self) -> Option<Write> {
         match self {
             Output::Persist { hard, entries } => {
                 Some(Write::Batch { hard: *hard, entries: entries.clone() })
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -36,7 +36,7 @@
 /// What replica 1 answers to a message of replica 2.
 fn answer(core: &mut Core, now: u64, term: u64, body: Body) -> Option<Body> {
     let letter = Letter { from: 2, to: 1, term, body: Some(body) };
-    core.step(Millis(now), Input::Letter(letter));
+    core.step(Millis(now), Input::Message(letter));
     core.outputs(Millis(now)).into_iter().find_map(|output| match output {
         Output::Send(letter) | Output::SendDurable(letter) => letter.body,
         _ => None,
@@ -139,7 +139,7 @@
     for (name, body) in promises {
         let mut core = replica(0);
         let letter = Letter { from: 2, to: 1, term: 6, body: Some(body) };
-        core.step(Millis(LATE), Input::Letter(letter));
+        core.step(Millis(LATE), Input::Message(letter));
         let outputs = core.outputs(Millis(LATE));
         assert!(matches!(outputs[0], Output::Persist { .. }), "{name}: {outputs:?}");
         let at_once = outputs.iter().any(|output| matches!(output, Output::Send(_)));
@@ -154,7 +154,7 @@
     let tell = |pre| Body::VoteTell(VoteTell { pre, granted: true });
     answer(&mut core, LATE, TERM + 1, tell(true));
     let letter = Letter { from: 2, to: 1, term: TERM + 1, body: Some(tell(false)) };
-    core.step(Millis(LATE), Input::Letter(letter));
+    core.step(Millis(LATE), Input::Message(letter));
     assert_eq!((core.role(), core.last_index()), (Role::Leader, 3));
     core
 }
@@ -164,7 +164,7 @@
     let tell = AppendTell { fitted: true, index, hint_term: 0, round: 1 };
     let body = Some(Body::AppendTell(tell));
     let letter = Letter { from: 2, to: 1, term: TERM + 1, body };
-    core.step(Millis(LATE + 10), Input::Letter(letter));
+    core.step(Millis(LATE + 10), Input::Message(letter));
 }
 
 #[test]
--- a/crates/pond-replica/src/handle.rs
+++ b/crates/pond-replica/src/handle.rs
@@ -6,11 +6,11 @@
 
 /// This replica cannot do it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Elsewhere {
+pub enum RequestError {
     /// Nothing was done here; the leader takes internal links at that address, if one is known.
-    Leader(Option<String>),
+    NotLeader(Option<String>),
     /// It may have been done.
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// An operator's order about a data centre.
@@ -26,23 +26,23 @@
 pub type Evacuated = Vec<(String, Millis)>;
 
 /// Something that an operator asks.
-pub enum Order {
+pub enum Command {
     /// Bring a configuration in force.
-    Configure(Box<Configuration>, oneshot::Sender<Result<(), Elsewhere>>),
+    Configure(Box<Configuration>, oneshot::Sender<Result<(), RequestError>>),
     /// Start nothing more in a data centre, or start work there again.
-    Evacuate(Evacuation, oneshot::Sender<Result<(), Elsewhere>>),
+    Evacuate(Evacuation, oneshot::Sender<Result<(), RequestError>>),
     /// Tell which data centres are evacuated.
-    Evacuated(oneshot::Sender<Result<Evacuated, Elsewhere>>),
+    ListEvacuated(oneshot::Sender<Result<Evacuated, RequestError>>),
     /// Tell the configuration in force; none if there is none.
-    Read(oneshot::Sender<Result<Option<String>, Elsewhere>>),
+    ReadConfiguration(oneshot::Sender<Result<Option<String>, RequestError>>),
 }
 
 /// Something that comes from outside.
 pub enum Request {
     /// An operator asks something.
-    Operator(Order),
+    Operator(Command),
     /// Further addresses of replicas.
-    Learn(Vec<String>),
+    AddAddresses(Vec<String>),
     /// The adviser answered the leader's question, or did not.
     Advised(Question, Option<Vec<Permit>>),
     /// Stop as planned.
@@ -59,56 +59,56 @@
     /// Brings a configuration in force, unless a newer one is.
     ///
     /// # Errors
-    /// See [`Elsewhere`].
-    pub async fn configure(&self, configuration: Configuration) -> Result<(), Elsewhere> {
+    /// See [`RequestError`].
+    pub async fn configure(&self, configuration: Configuration) -> Result<(), RequestError> {
         let (reply, answer) = oneshot::channel();
-        let request = Request::Operator(Order::Configure(Box::new(configuration), reply));
+        let request = Request::Operator(Command::Configure(Box::new(configuration), reply));
         if self.requests.send(request).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Unknown))
+        answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
     /// Evacuates a data centre or takes that back; the order that came into the log last is in force.
     ///
     /// # Errors
-    /// See [`Elsewhere`].
-    pub async fn evacuate(&self, evacuation: Evacuation) -> Result<(), Elsewhere> {
+    /// See [`RequestError`].
+    pub async fn evacuate(&self, evacuation: Evacuation) -> Result<(), RequestError> {
         let (reply, answer) = oneshot::channel();
-        let request = Request::Operator(Order::Evacuate(evacuation, reply));
+        let request = Request::Operator(Command::Evacuate(evacuation, reply));
         if self.requests.send(request).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Unknown))
+        answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
     /// The evacuated data centres.
     ///
     /// # Errors
-    /// [`Elsewhere::Leader`] if this replica cannot be sure.
-    pub async fn evacuated(&self) -> Result<Evacuated, Elsewhere> {
+    /// [`RequestError::NotLeader`] if this replica cannot be sure.
+    pub async fn evacuated(&self) -> Result<Evacuated, RequestError> {
         let (reply, answer) = oneshot::channel();
-        if self.requests.send(Request::Operator(Order::Evacuated(reply))).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+        if self.requests.send(Request::Operator(Command::ListEvacuated(reply))).await.is_err() {
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Leader(None)))
+        answer.await.unwrap_or(Err(RequestError::NotLeader(None)))
     }
 
     /// The operator's text of the configuration in force, none if there is none.
     ///
     /// # Errors
-    /// [`Elsewhere::Leader`] if this replica cannot be sure.
-    pub async fn read(&self) -> Result<Option<String>, Elsewhere> {
+    /// [`RequestError::NotLeader`] if this replica cannot be sure.
+    pub async fn configuration(&self) -> Result<Option<String>, RequestError> {
         let (reply, answer) = oneshot::channel();
-        if self.requests.send(Request::Operator(Order::Read(reply))).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+        if self.requests.send(Request::Operator(Command::ReadConfiguration(reply))).await.is_err() {
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Leader(None)))
+        answer.await.unwrap_or(Err(RequestError::NotLeader(None)))
     }
 
     /// Further addresses of replicas, as from changed settings.
-    pub async fn learn(&self, addresses: Vec<String>) -> bool {
-        self.requests.send(Request::Learn(addresses)).await.is_ok()
+    pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
+        self.requests.send(Request::AddAddresses(addresses)).await.is_ok()
     }
 
     /// Asks the replica to hand over the lead and stop.
--- a/crates/pond-replica/src/lead.rs
+++ b/crates/pond-replica/src/lead.rs
@@ -25,7 +25,7 @@
         }
         if self.leader.is_none() {
             event!(self.log, LEADER, "term" => self.core.term());
-            let leader = Leader::new(self.core.term(), self.settings.terms, now);
+            let leader = Leader::new(self.core.term(), self.settings.timing, now);
             self.leader = Some(leader.with_lesson(self.state.estimates(), self.wall()));
         }
         let granting = self.certain(now) && self.stopping.is_none();
--- a/crates/pond-replica/src/lib.rs
+++ b/crates/pond-replica/src/lib.rs
@@ -18,5 +18,5 @@
 
 pub use adviser::Adviser;
 pub use formation::{Formation, Replacement};
-pub use handle::{Elsewhere, Evacuated, Evacuation, Handle};
+pub use handle::{Evacuated, Evacuation, Handle, RequestError};
 pub use replica::{Replica, Settings};
--- a/crates/pond-replica/src/operators.rs
+++ b/crates/pond-replica/src/operators.rs
@@ -6,7 +6,7 @@
 use pond_proto::{Millis, Span};
 use tokio::sync::oneshot;
 
-use crate::handle::{Elsewhere, Evacuation, Order};
+use crate::handle::{Command, Evacuation, RequestError};
 use crate::replica::Replica;
 use crate::waiting::Waiter;
 
@@ -24,18 +24,18 @@
 
 /// An operator who waits.
 pub(crate) struct Held {
-    order: Order,
+    command: Command,
     until: Millis,
 }
 
 impl Replica {
     /// An operator asks something.
-    pub(crate) fn operator(&mut self, now: Millis, order: Order) {
+    pub(crate) fn operator(&mut self, now: Millis, command: Command) {
         let decided = self.certain(now) || self.names_leader(now) || self.stopping.is_some();
         if decided || self.held.len() >= MOST_HELD {
-            return self.answer_operator(now, order);
+            return self.answer_operator(now, command);
         }
-        self.held.push(Held { order, until: now + HELD_MS });
+        self.held.push(Held { command, until: now + HELD_MS });
     }
 
     /// Answers operators who were held once a leader is known, or time is up.
@@ -49,20 +49,20 @@
         self.held = held;
         let due: Vec<Held> = due;
         for one in due {
-            self.answer_operator(now, one.order);
+            self.answer_operator(now, one.command);
         }
     }
 
-    fn answer_operator(&mut self, now: Millis, order: Order) {
-        match order {
-            Order::Configure(configuration, reply) => self.configure(now, *configuration, reply),
-            Order::Evacuate(evacuation, reply) => self.evacuate(now, evacuation, reply),
-            Order::Evacuated(reply) => {
+    fn answer_operator(&mut self, now: Millis, command: Command) {
+        match command {
+            Command::Configure(configuration, reply) => self.configure(now, *configuration, reply),
+            Command::Evacuate(evacuation, reply) => self.evacuate(now, evacuation, reply),
+            Command::ListEvacuated(reply) => {
                 let evacuated = self.state.evacuations();
                 let evacuated = evacuated.map(|(name, since)| (name.to_owned(), since)).collect();
                 self.tell_certain(now, evacuated, reply);
             }
-            Order::Read(reply) => {
+            Command::ReadConfiguration(reply) => {
                 let source = self.state.configuration().map(|held| held.source.clone());
                 self.tell_certain(now, source, reply);
             }
@@ -70,7 +70,12 @@
     }
 
     /// Tells an operator something of the state, if this replica is sure that it is the newest.
-    fn tell_certain<T>(&self, now: Millis, what: T, reply: oneshot::Sender<Result<T, Elsewhere>>) {
+    fn tell_certain<T>(
+        &self,
+        now: Millis,
+        what: T,
+        reply: oneshot::Sender<Result<T, RequestError>>,
+    ) {
         let told = if self.certain(now) { Ok(what) } else { Err(self.elsewhere(now)) };
         // The operator may have left.
         let _ = reply.send(told);
@@ -81,7 +86,7 @@
         &mut self,
         now: Millis,
         configuration: Configuration,
-        reply: oneshot::Sender<Result<(), Elsewhere>>,
+        reply: oneshot::Sender<Result<(), RequestError>>,
     ) {
         if !self.certain(now) || self.stopping.is_some() {
             // The operator may have left.
@@ -106,7 +111,7 @@
         &mut self,
         now: Millis,
         evacuation: Evacuation,
-        reply: oneshot::Sender<Result<(), Elsewhere>>,
+        reply: oneshot::Sender<Result<(), RequestError>>,
     ) {
         let Evacuation { data_centre, begins } = evacuation;
         if reply.is_closed() {
@@ -139,13 +144,13 @@
     }
 
     /// Where an operator should ask instead.
-    pub(crate) fn elsewhere(&self, now: Millis) -> Elsewhere {
+    pub(crate) fn elsewhere(&self, now: Millis) -> RequestError {
         let leader = self.leader_address(now).map(str::to_owned);
         if leader.is_none() {
             let named = self.core.leader().map_or(String::new(), |leader| leader.address.clone());
             event!(self.log, NO_LEADER, "named" => named,
                 "heard_ms" => self.core.heard().map_or(0, |heard| now.since(heard)));
         }
-        Elsewhere::Leader(leader)
+        RequestError::NotLeader(leader)
     }
 }
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -10,7 +10,7 @@
 use pond_quorum::{Input, Output, Role, SnapshotImage};
 use pond_store::{Error, Snapshot};
 
-use crate::handle::Elsewhere;
+use crate::handle::RequestError;
 use crate::replica::Replica;
 use crate::waiting::Waiter;
 
@@ -50,8 +50,8 @@
     fn put(&mut self, output: &Output) {
         match output {
             Output::Send(letter) => self.peers.send(letter.clone()),
-            Output::SendDurable(letter) => self.writer.then(letter.clone()),
-            other => other.write().into_iter().for_each(|write| self.writer.put(write)),
+            Output::SendDurable(letter) => self.writer.enqueue_after(letter.clone()),
+            other => other.durable_write().into_iter().for_each(|write| self.writer.enqueue(write)),
         }
     }
 
@@ -61,10 +61,10 @@
         let was_full = self.writer.full();
         let started = Instant::now();
         let flushed = self.writer.flush()?;
-        for letter in flushed.then {
+        for letter in flushed.released {
             self.peers.send(letter);
         }
-        if flushed.lasts {
+        if flushed.all_durable {
             self.metrics.time_us("sync", started.elapsed().as_micros() as u64);
             self.core.step(self.now(), Input::Persisted);
         }
@@ -256,7 +256,7 @@
         for waiter in self.waiting.drain() {
             if let Waiter::Operator(reply) = waiter {
                 // The operator may have left.
-                let _ = reply.send(Err(Elsewhere::Unknown));
+                let _ = reply.send(Err(RequestError::OutcomeUnknown));
             }
         }
     }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -169,7 +169,7 @@
         match body {
             Body::Quorum(letter) => match letter.body {
                 Some(Letter::Present(present)) => self.presented(now, link, present),
-                _ if self.takes_letters() => self.core.step(now, Input::Letter(letter)),
+                _ if self.takes_letters() => self.core.step(now, Input::Message(letter)),
                 // It is sent again.
                 _ => {}
             },
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -61,7 +61,7 @@
     /// Its data centre.
     pub data_centre: String,
     /// Times of leases.
-    pub terms: Terms,
+    pub timing: Terms,
 }
 
 /// A process that has a link to this replica.
@@ -212,8 +212,8 @@
     fn request(&mut self, request: Request) {
         let now = self.now();
         match request {
-            Request::Operator(order) => self.operator(now, order),
-            Request::Learn(addresses) => self.peers.learn(&addresses),
+            Request::Operator(command) => self.operator(now, command),
+            Request::AddAddresses(addresses) => self.peers.learn(&addresses),
             Request::Advised(question, permits) => {
                 if let Some(leader) = &mut self.leader {
                     leader.advised(now, &question, permits);
@@ -276,7 +276,7 @@
             hard: Default::default(),
             snapshot: None,
             entries: Vec::new(),
-            cut: 0,
+            truncated_bytes: 0,
         };
         self.core = core(recovered, members, self.now());
         self.learn_members();
@@ -285,8 +285,8 @@
 
 /// The state of the newest snapshot, or nothing yet; a torn end of the files is logged.
 fn recovered_state(recovered: &Recovered, log: &Logger) -> Result<State, String> {
-    if recovered.cut > 0 {
-        event!(log, TORN_END, "bytes" => recovered.cut);
+    if recovered.truncated_bytes > 0 {
+        event!(log, TORN_END, "bytes" => recovered.truncated_bytes);
     }
     match &recovered.snapshot {
         Some(snapshot) => State::decode(&snapshot.data),
--- a/crates/pond-replica/src/waiting.rs
+++ b/crates/pond-replica/src/waiting.rs
@@ -5,7 +5,7 @@
 use pond_link::LinkKey;
 use tokio::sync::oneshot;
 
-use crate::handle::Elsewhere;
+use crate::handle::RequestError;
 
 /// Who waits for a change.
 pub enum Waiter {
@@ -19,7 +19,7 @@
         job: u64,
     },
     /// An operator with a configuration.
-    Operator(oneshot::Sender<Result<(), Elsewhere>>),
+    Operator(oneshot::Sender<Result<(), RequestError>>),
     /// The leader's own start of runs.
     Starts,
     /// Another decision of the leader.
--- a/crates/pond-replica/tests/evacuations.rs
+++ b/crates/pond-replica/tests/evacuations.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pond_replica::{Elsewhere, Evacuated, Evacuation, Handle};
+use pond_replica::{Evacuated, Evacuation, Handle, RequestError};
 use pond_store::{Crash, Memory};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
@@ -117,7 +117,7 @@
     // All replicas end with their runtime.
     before.shutdown_timeout(BOUND);
     for (seed, disk) in (7..).zip(&disks) {
-        disk.crash(Crash::Scatter(seed));
+        disk.crash(Crash::KeepRandom(seed));
     }
     runtime().block_on(async {
         let fleet = Fleet::again(seeds, disks).await;
@@ -131,7 +131,7 @@
     let handles = fleet.handles();
     let leads = leader(&handles).await;
     let other = (leads + 1) % handles.len();
-    let named = Err(Elsewhere::Leader(Some(fleet.seeds[leads].to_string())));
+    let named = Err(RequestError::NotLeader(Some(fleet.seeds[leads].to_string())));
     assert_eq!(handles[other].evacuate(order(true)).await, named);
     assert!(evacuated(&handles).await.is_empty());
 }
--- a/crates/pond-replica/tests/operators.rs
+++ b/crates/pond-replica/tests/operators.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pond_replica::{Elsewhere, Handle};
+use pond_replica::{Handle, RequestError};
 use pond_store::Memory;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
@@ -38,9 +38,10 @@
         sleep(NOTICED).await;
         let others: Vec<usize> = (0..handles.len()).filter(|i| *i != gone).collect();
         for other in &others {
-            let answer =
-                timeout(PATIENCE, handles[*other].read()).await.expect("an answer in time");
-            let named = Elsewhere::Leader(Some(addresses[gone].to_string()));
+            let answer = timeout(PATIENCE, handles[*other].configuration())
+                .await
+                .expect("an answer in time");
+            let named = RequestError::NotLeader(Some(addresses[gone].to_string()));
             assert_ne!(answer, Err(named));
         }
         let left: Vec<Handle> = others.iter().map(|i| handles[*i].clone()).collect();
@@ -58,10 +59,11 @@
         replicas[gone].1.abort();
         sleep(NOTICED).await;
         let other = (0..handles.len()).find(|i| *i != gone).expect("another");
-        let answer = timeout(PATIENCE, handles[other].read()).await.expect("an answer in time");
+        let answer =
+            timeout(PATIENCE, handles[other].configuration()).await.expect("an answer in time");
         match answer {
             Ok(_) => sent_on += 1,
-            Err(Elsewhere::Leader(Some(named))) => {
+            Err(RequestError::NotLeader(Some(named))) => {
                 assert_ne!(named, addresses[gone].to_string());
                 sent_on += 1;
             }
--- a/crates/pond-replica/tests/support/mod.rs
+++ b/crates/pond-replica/tests/support/mod.rs
@@ -59,7 +59,7 @@
         seeds: seeds.iter().map(SocketAddr::to_string).collect(),
         first_start: true,
         data_centre: "here".to_owned(),
-        terms: Terms { hold_ms: 1_000, drift_permille: 25, slack_ms: 250, keep_ms: 1_000 },
+        timing: Terms { hold_ms: 1_000, drift_permille: 25, slack_ms: 250, keep_ms: 1_000 },
     };
     let files = Store::open(Box::new(disk)).expect("opens");
     let (metrics, log) = (Metrics::kept(), pond_log::silent());
@@ -75,7 +75,7 @@
     let led = async {
         loop {
             for (i, handle) in handles.iter().enumerate() {
-                if handle.read().await.is_ok() {
+                if handle.configuration().await.is_ok() {
                     return i;
                 }
             }
--- a/crates/pond-store/src/memory.rs
+++ b/crates/pond-store/src/memory.rs
@@ -71,7 +71,7 @@
     KeepBytes(usize),
     /// Of each file's part some bytes, and each name that was made, renamed or removed since names
     /// were synced is there or not, independently of the rest: drawn by this seed.
-    Scatter(u64),
+    KeepRandom(u64),
 }
 
 impl Memory {
@@ -117,18 +117,18 @@
             return;
         }
         let mut rng = StdRng::seed_from_u64(match crash {
-            Crash::Scatter(seed) => seed,
+            Crash::KeepRandom(seed) => seed,
             _ => 0,
         });
         match crash {
             Crash::DropUnsynced => inner.files = inner.lasting.clone(),
-            Crash::Scatter(_) => inner.scatter_names(&mut rng),
+            Crash::KeepRandom(_) => inner.scatter_names(&mut rng),
             _ => {}
         }
         for file in inner.files.values_mut() {
             let keep = match crash {
                 Crash::KeepBytes(more) => file.synced + more,
-                Crash::Scatter(_) => rng.random_range(file.synced..=file.bytes.len()),
+                Crash::KeepRandom(_) => rng.random_range(file.synced..=file.bytes.len()),
                 _ => file.synced,
             };
             file.bytes.truncate(keep);
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -23,7 +23,7 @@
     /// The entries after the snapshot, in order.
     pub entries: Vec<Entry>,
     /// Bytes that were cut from a torn end.
-    pub cut: usize,
+    pub truncated_bytes: usize,
 }
 
 /// A segment that is in use.
@@ -78,10 +78,10 @@
             segment_bytes: SEGMENT_BYTES,
         };
         let floor = snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
-        let (entries, cut) = store.replay(&names, floor)?;
+        let (entries, truncated_bytes) = store.replay(&names, floor)?;
         store.keep_what_was_read()?;
         let hard = store.hard;
-        Ok((store, Recovered { id, hard, snapshot, entries, cut }))
+        Ok((store, Recovered { id, hard, snapshot, entries, truncated_bytes }))
     }
 
     /// Makes segments close after that many bytes.
--- a/crates/pond-store/src/writer.rs
+++ b/crates/pond-store/src/writer.rs
@@ -28,16 +28,16 @@
 #[derive(Debug)]
 enum Item<T> {
     Write(Write),
-    Then(T),
+    After(T),
 }
 
 /// What came of writing.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Flushed<T> {
     /// What may happen now, in order.
-    pub then: Vec<T>,
+    pub released: Vec<T>,
     /// All batches that were handed in last now, and some did not before.
-    pub lasts: bool,
+    pub all_durable: bool,
 }
 
 /// Writes to a [`Store`] in order. While the disk is full, what could not be written waits, and what
@@ -49,14 +49,14 @@
     /// Items at the front that are in the files and may not be synced yet.
     written: usize,
     /// Batches were handed in since all lasted.
-    owes: bool,
+    has_unsynced: bool,
     full: bool,
 }
 
 impl<T> Writer<T> {
     /// Writes to a store.
     pub fn new(store: Store) -> Writer<T> {
-        Writer { store, queue: VecDeque::new(), written: 0, owes: false, full: false }
+        Writer { store, queue: VecDeque::new(), written: 0, has_unsynced: false, full: false }
     }
 
     /// The store.
@@ -65,14 +65,14 @@
     }
 
     /// This must last.
-    pub fn put(&mut self, write: Write) {
-        self.owes |= matches!(write, Write::Batch { .. });
+    pub fn enqueue(&mut self, write: Write) {
+        self.has_unsynced |= matches!(write, Write::Batch { .. });
         self.queue.push_back(Item::Write(write));
     }
 
     /// This may happen once all that was put before lasts.
-    pub fn then(&mut self, next: T) {
-        self.queue.push_back(Item::Then(next));
+    pub fn enqueue_after(&mut self, next: T) {
+        self.queue.push_back(Item::After(next));
     }
 
     /// Whether the disk was full at the last try, and something waits for room.
@@ -100,18 +100,18 @@
             Ok(()) => {}
             Err(Error::Full { .. }) => {
                 self.full = true;
-                return Ok(Flushed { then: Vec::new(), lasts: false });
+                return Ok(Flushed { released: Vec::new(), all_durable: false });
             }
             Err(error) => return Err(error),
         }
         let done = self.queue.drain(..std::mem::take(&mut self.written));
-        let then = done.filter_map(|item| match item {
-            Item::Then(next) => Some(next),
+        let released = done.filter_map(|item| match item {
+            Item::After(next) => Some(next),
             Item::Write(_) => None,
         });
-        let then = then.collect();
-        let lasts = self.queue.is_empty() && std::mem::take(&mut self.owes);
-        Ok(Flushed { then, lasts })
+        let released = released.collect();
+        let all_durable = self.queue.is_empty() && std::mem::take(&mut self.has_unsynced);
+        Ok(Flushed { released, all_durable })
     }
 
     /// Writes what waits and syncs nothing that need not be; false if the disk is full.
@@ -126,7 +126,7 @@
                     self.store.save(snapshot)
                 }
                 Item::Write(Write::Snapshot { snapshot, .. }) => self.store.replace(snapshot),
-                Item::Then(_) => Ok(()),
+                Item::After(_) => Ok(()),
             };
             match written {
                 Ok(()) => self.written += 1,
--- a/crates/pond-store/tests/full.rs
+++ b/crates/pond-store/tests/full.rs
@@ -30,7 +30,7 @@
 
 /// What a loss of power leaves.
 const CRASHES: [Crash; 4] =
-    [Crash::DropUnsynced, Crash::KeepAll, Crash::KeepBytes(25), Crash::Scatter(7)];
+    [Crash::DropUnsynced, Crash::KeepAll, Crash::KeepBytes(25), Crash::KeepRandom(7)];
 
 fn open(disk: &Memory) -> Result<(Store, Recovered), Error> {
     Store::open(Box::new(disk.clone()))
@@ -76,23 +76,23 @@
 
     fn flush(&mut self) {
         let flushed = self.writer.flush().expect("a full disk is no error");
-        for told in flushed.then {
+        for told in flushed.released {
             assert_eq!(told, self.told + 1, "in order");
             self.told = told;
         }
-        assert!(!flushed.lasts || self.writer.is_empty());
-        self.owes &= !flushed.lasts;
+        assert!(!flushed.all_durable || self.writer.is_empty());
+        self.owes &= !flushed.all_durable;
     }
 
     /// Hands in a group and what belongs after it.
     fn step(&mut self, number: u64) {
-        self.writer.put(group(number));
+        self.writer.enqueue(group(number));
         self.owes = true;
         if number == REPLACED_AFTER {
             let snapshot = snapshot(last_index(number) + AHEAD);
-            self.writer.put(Write::Snapshot { snapshot, keeps_log: false });
+            self.writer.enqueue(Write::Snapshot { snapshot, keeps_log: false });
         }
-        self.writer.then(number);
+        self.writer.enqueue_after(number);
         self.flush();
         // A snapshot holds what was told; also while a group waits for room.
         if SAVED.contains(&self.told) {
--- a/crates/pond-store/tests/recovery.rs
+++ b/crates/pond-store/tests/recovery.rs
@@ -52,7 +52,7 @@
     let (_, recovered) = open(&disk);
     assert_eq!(recovered.entries.len(), 30);
     assert_eq!(recovered.hard.vote, 7);
-    assert_eq!(recovered.cut, 0);
+    assert_eq!(recovered.truncated_bytes, 0);
 }
 
 #[test]
@@ -352,7 +352,7 @@
                 let mut store = store.with_segment_bytes(200);
                 prop_assert!(kept.write(&mut store, &mut rng).is_err());
             }
-            disk.crash(Crash::Scatter(rng.random()));
+            disk.crash(Crash::KeepRandom(rng.random()));
             let opened = Store::open(Box::new(disk.copy()));
             prop_assert!(opened.is_ok(), "it does not open: {:?}", opened.err());
             let found = opened.map(|(_, recovered)| Kept::read(&recovered)).unwrap_or_default();
--- a/crates/pond-test/src/cluster/carry.rs
+++ b/crates/pond-test/src/cluster/carry.rs
@@ -38,18 +38,18 @@
         let running = self.nodes.get_mut(&id).and_then(|node| node.running.as_mut());
         let Some(writer) = running.map(|running| &mut running.writer) else { return };
         match output {
-            Output::SendDurable(letter) => writer.then(letter.clone()),
-            other => other.write().into_iter().for_each(|write| writer.put(write)),
+            Output::SendDurable(letter) => writer.enqueue_after(letter.clone()),
+            other => other.durable_write().into_iter().for_each(|write| writer.enqueue(write)),
         }
     }
 
     pub(super) fn flush(&mut self, id: u64) {
         let was_full = self.running(id).is_some_and(|running| running.writer.full());
         let Some(flushed) = self.with_writer(id, Writer::flush) else { return };
-        for letter in flushed.then {
+        for letter in flushed.released {
             self.send(letter);
         }
-        if flushed.lasts {
+        if flushed.all_durable {
             self.input(id, Input::Persisted);
         }
         let is_full = self.running(id).is_some_and(|running| running.writer.full());
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -506,7 +506,7 @@
                 self.flying.push(Flying { due, letter });
                 continue;
             }
-            self.input(letter.to, Input::Letter(letter));
+            self.input(letter.to, Input::Message(letter));
         }
     }
 
