--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -8,7 +8,7 @@
 use crate::replica::Replica;
 
 /// Runs of a lost worker that its line names at most; the others are counted.
-const RUNS_TOLD: usize = 8;
+const MAX_RUNS_LOGGED: usize = 8;
 
 impl Replica {
     /// Logs a decision of the leader.
@@ -133,13 +133,13 @@
     /// up for it.
     fn log_blame(&self, worker: &str, blame: &[Blame]) {
         for blame in blame.iter().filter(|blame| blame.is_reportable()) {
-            let Some(held) = self.state.suspicion_with(worker, blame) else { continue };
+            let Some(suspicion) = self.state.suspicion_with(worker, blame) else { continue };
             let (run, verdict) = (blame.run.to_string(), format!("{:?}", blame.verdict));
             event!(self.log, TASK_SUSPECTED, "run" => run.clone(), "worker" => worker.to_owned(),
-                "verdict" => verdict, "lived_ms" => blame.survived_ms, "losses" => held.losses,
-                "likely" => held.likely, "proven" => held.conclusive, "begun" => held.failed_starts,
-                "probability" => format!("{:.4}", held.probability.unwrap_or(0.0)));
-            if held.is_culprit() {
+                "verdict" => verdict, "lived_ms" => blame.survived_ms, "losses" => suspicion.losses,
+                "likely" => suspicion.likely, "proven" => suspicion.conclusive, "begun" => suspicion.failed_starts,
+                "probability" => format!("{:.4}", suspicion.probability.unwrap_or(0.0)));
+            if suspicion.is_culprit() {
                 self.metrics.count("tasks_given_up", 1);
                 event!(self.log, TASK_GIVEN_UP, "run" => run, "worker" => worker.to_owned());
             }
@@ -170,9 +170,9 @@
 /// The runs that lived for the shortest time on a lost worker, and for how long in milliseconds: what ended it
 /// is most likely among them.
 fn shortest(mut runs: Vec<(RunName, Option<Span>)>) -> String {
-    runs.retain(|(_, lived_ms)| lived_ms.is_some());
-    runs.sort_by_key(|(_, lived_ms)| *lived_ms);
-    let told = runs.iter().take(RUNS_TOLD);
-    let texts = told.map(|(run, lived_ms)| format!("{run} {} ms", lived_ms.unwrap_or(0)));
+    runs.retain(|(_, survived_ms)| survived_ms.is_some());
+    runs.sort_by_key(|(_, survived_ms)| *survived_ms);
+    let listed = runs.iter().take(MAX_RUNS_LOGGED);
+    let texts = listed.map(|(run, survived_ms)| format!("{run} {} ms", survived_ms.unwrap_or(0)));
     texts.collect::<Vec<_>>().join(", ")
 }
--- a/crates/pond-replica/src/asks.rs
+++ b/crates/pond-replica/src/callers.rs
@@ -8,20 +8,20 @@
 use pond_proto::job::Phase;
 use pond_proto::wire::Body;
 
+use crate::pending::Waiter;
 use crate::replica::Replica;
-use crate::waiting::Waiter;
 
 impl Replica {
     /// A caller asks something through an entry.
-    pub(crate) fn ask(&mut self, now: Millis, link: LinkKey, ask: Ask) {
+    pub(crate) fn caller_request(&mut self, now: Millis, link: LinkKey, ask: Ask) {
         let Some(verb) = ask.verb else { return };
         let ticket = ask.ticket;
-        if !self.certain(now) || self.stopping.is_some() {
-            self.send_tell(link, tell(ticket, Outcome::NotLeader));
+        if !self.holds_lease(now) || self.stopping.is_some() {
+            self.send_answer(link, answer(ticket, Outcome::NotLeader));
             return;
         }
         if let Some(outcome) = self.refusal(&ask.target) {
-            self.send_tell(link, tell(ticket, outcome));
+            self.send_answer(link, answer(ticket, outcome));
             return;
         }
         match verb {
@@ -30,16 +30,16 @@
             Verb::Look(job) => {
                 let known = self.state.job(job.id).map(|job| job.phase);
                 let answer = match known {
-                    Some(phase) => Tell { phase: phase as i32, ..tell(ticket, Outcome::Known) },
-                    None => tell(ticket, Outcome::NoJob),
+                    Some(phase) => Tell { phase: phase as i32, ..answer(ticket, Outcome::Known) },
+                    None => answer(ticket, Outcome::NoJob),
                 };
                 event!(self.log, REQUEST_ANSWERED, "job" => format!("{:016x}", job.id),
                     "phase" => format!("{known:?}"), "applied" => self.applied);
-                self.send_tell(link, answer);
+                self.send_answer(link, answer);
             }
             Verb::Count(_) => {
                 let count = self.waiting_jobs(&ask.target);
-                self.send_tell(link, Tell { count, ..tell(ticket, Outcome::Counted) });
+                self.send_answer(link, Tell { count, ..answer(ticket, Outcome::Counted) });
             }
         }
     }
@@ -55,7 +55,7 @@
 
     fn waiting_jobs(&self, target: &Target) -> u64 {
         let configuration = self.state.configuration();
-        let queue = configuration.and_then(|held| held.queue_for(&target.host, &target.path));
+        let queue = configuration.and_then(|active| active.queue_for(&target.host, &target.path));
         let waiting =
             |leader: &Leader| queue.map_or(0, |queue| leader.waiting(&self.state, &queue.name));
         self.leader.as_ref().map_or(0, waiting)
@@ -64,23 +64,23 @@
     fn submit(&mut self, now: Millis, link: LinkKey, ticket: u64, target: Target, submit: Submit) {
         let Submit { id, spec } = submit;
         if self.state.job(id).is_some() {
-            self.send_tell(link, tell(ticket, Outcome::Accepted));
+            self.send_answer(link, answer(ticket, Outcome::Accepted));
             return;
         }
         if !State::is_acceptable(&spec) {
             event!(self.log, JOB_NOT_TAKEN, "job" => format!("{id:016x}"), "why" => "malformed");
-            self.send_tell(link, tell(ticket, Outcome::Invalid));
+            self.send_answer(link, answer(ticket, Outcome::Invalid));
             return;
         }
-        let at = self.wall();
+        let at = self.wall_time();
         let change = Change::Submit { host: target.host, path: target.path, id, spec, at };
         self.propose(now, &change, Waiter::Entry { link, ticket, job: id });
     }
 
     fn cancel(&mut self, now: Millis, link: LinkKey, ticket: u64, target: Target, id: u64) {
         match self.state.job(id).map(|job| job.phase) {
-            None => self.send_tell(link, tell(ticket, Outcome::NoJob)),
-            Some(Phase::Cancelled) => self.send_tell(link, tell(ticket, Outcome::Accepted)),
+            None => self.send_answer(link, answer(ticket, Outcome::NoJob)),
+            Some(Phase::Cancelled) => self.send_answer(link, answer(ticket, Outcome::Accepted)),
             Some(_) => {
                 let change = Change::Cancel { host: target.host, path: target.path, id };
                 self.propose(now, &change, Waiter::Entry { link, ticket, job: id });
@@ -89,7 +89,7 @@
     }
 
     /// Tells who waited for a change what came of it.
-    pub(crate) fn tell(&mut self, waiter: Waiter, reply: &Reply) {
+    pub(crate) fn notify(&mut self, waiter: Waiter, reply: &Reply) {
         match waiter {
             Waiter::Entry { link, ticket, job } => {
                 let outcome = match reply {
@@ -100,13 +100,13 @@
                 };
                 event!(self.log, REQUEST_ANSWERED, "job" => format!("{job:016x}"),
                     "outcome" => format!("{outcome:?}"), "applied" => self.applied);
-                self.send_tell(link, tell(ticket, outcome));
+                self.send_answer(link, answer(ticket, outcome));
             }
             Waiter::Operator(answer) => {
                 // The operator may have left.
                 let _ = answer.send(Ok(()));
             }
-            Waiter::Starts | Waiter::Own => {}
+            Waiter::Starts | Waiter::Decision => {}
         }
     }
 
@@ -114,29 +114,29 @@
     pub(crate) fn reject(&mut self, waiter: Waiter) {
         match waiter {
             Waiter::Entry { link, ticket, .. } => {
-                self.send_tell(link, tell(ticket, Outcome::NotLeader));
+                self.send_answer(link, answer(ticket, Outcome::NotLeader));
             }
             Waiter::Operator(reply) => {
                 // The operator may have left.
-                let _ = reply.send(Err(self.elsewhere(self.now())));
+                let _ = reply.send(Err(self.not_leader(self.now())));
             }
             Waiter::Starts => {
                 if let Some(leader) = &mut self.leader {
                     leader.start_rejected();
                 }
             }
-            Waiter::Own => {}
+            Waiter::Decision => {}
         }
     }
 
-    fn send_tell(&self, link: LinkKey, tell: Tell) {
-        if let Some(guest) = self.guests.get(&link) {
+    fn send_answer(&self, link: LinkKey, tell: Tell) {
+        if let Some(client) = self.clients.get(&link) {
             // If the link is full, the entry asks again or gives up by itself.
-            guest.sender.send(Body::Tell(tell));
+            client.sender.send(Body::Tell(tell));
         }
     }
 }
 
-fn tell(ticket: u64, outcome: Outcome) -> Tell {
+fn answer(ticket: u64, outcome: Outcome) -> Tell {
     Tell { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
 }
--- a/crates/pond-replica/src/formation.rs
+++ b/crates/pond-replica/src/formation.rs
@@ -1,8 +1,8 @@
 //! How a quorum comes to be, and how its members change.
 //!
-//! The replicas at the first addresses form it, once, if all of them are new. Every other replica
+//! The replicas at the initial addresses form it, once, if all of them are new. Every other replica
 //! is added by the leader when it presents itself. One that comes back with another disk is another
-//! member: the former one is removed first.
+//! member: the former one is removed initial.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 #[derive(Debug)]
 pub struct Formation {
     own: Member,
-    /// Addresses of the replicas that form the quorum; empty if this start is not the first.
-    first: Vec<String>,
+    /// Addresses of the replicas that form the quorum; empty if this start is not the initial.
+    initial: Vec<String>,
     formed: bool,
     present: BTreeMap<String, Present>,
 }
 
 impl Formation {
-    /// A replica whose disk holds a log if `formed`. `first` are the addresses of the replicas that
+    /// A replica whose disk holds a log if `formed`. `initial` are the addresses of the replicas that
     /// form the quorum, on the first start only.
-    pub fn new(own: Member, first: Vec<String>, formed: bool) -> Formation {
-        Formation { own, first, formed, present: BTreeMap::new() }
+    pub fn new(own: Member, initial: Vec<String>, formed: bool) -> Formation {
+        Formation { own, initial, formed, present: BTreeMap::new() }
     }
 
     /// How this replica presents itself, with the index of its last entry.
@@ -41,17 +41,17 @@
     }
 
     /// Another replica presented itself.
-    pub fn hear(&mut self, present: Present) {
+    pub fn record(&mut self, present: Present) {
         self.present.insert(present.member.address.clone(), present);
     }
 
     /// The members of the first start, once all replicas that form the quorum are there and new.
-    pub fn first_members(&self) -> Option<Members> {
-        if self.formed || !self.first.contains(&self.own.address) {
+    pub fn initial_members(&self) -> Option<Members> {
+        if self.formed || !self.initial.contains(&self.own.address) {
             return None;
         }
         let mut list = vec![Member { voter: true, ..self.own.clone() }];
-        for address in self.first.iter().filter(|address| **address != self.own.address) {
+        for address in self.initial.iter().filter(|address| **address != self.own.address) {
             let other = self.present.get(address).filter(|other| !other.formed)?;
             list.push(Member { voter: true, ..other.member.clone() });
         }
@@ -61,11 +61,11 @@
     /// The next change of members that a leader should make: one that came back with another disk
     /// is removed, then added; one that is not a member is added. One that presented itself before
     /// this replica could reach it waits until it can.
-    pub fn replacement(
+    pub fn next_change(
         &self,
         members: &Members,
-        reached: impl Fn(&str) -> bool,
-    ) -> Option<Replacement> {
+        reachable: impl Fn(&str) -> bool,
+    ) -> Option<MemberChange> {
         for present in self.present.values() {
             let new = &present.member;
             if members.get(new.id).is_some() {
@@ -73,8 +73,8 @@
             }
             let old = members.list.iter().find(|member| member.address == new.address);
             match old {
-                Some(old) => return Some(Replacement::Remove(old.clone())),
-                None if reached(&new.address) => return Some(Replacement::Add(new.clone())),
+                Some(old) => return Some(MemberChange::Remove(old.clone())),
+                None if reachable(&new.address) => return Some(MemberChange::Add(new.clone())),
                 None => {}
             }
         }
@@ -97,7 +97,7 @@
 
 /// One step of changing the members.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Replacement {
+pub enum MemberChange {
     /// Remove the member with the lost disk.
     Remove(Member),
     /// Add the member.
--- a/crates/pond-replica/src/lead.rs
+++ b/crates/pond-replica/src/lead.rs
@@ -8,40 +8,40 @@
 use pond_proto::{Millis, Span};
 use pond_quorum::Input;
 
-use crate::formation::Replacement;
+use crate::formation::MemberChange;
 use crate::handle::Request;
+use crate::pending::Waiter;
 use crate::replica::Replica;
-use crate::waiting::Waiter;
 
 /// A voter that cannot be reached for this long is removed if that costs nothing, in milliseconds:
 /// longer than a restart or a cut usually takes.
-const GONE_MS: Span = 10_000;
+const UNREACHABLE_TIMEOUT_MS: Span = 10_000;
 
 impl Replica {
     /// Decides, while this replica leads.
     pub(crate) fn lead(&mut self, now: Millis) {
-        if !self.core.ready() || self.abstains() {
+        if !self.core.ready() || self.disk_is_full() {
             return;
         }
         if self.leader.is_none() {
             event!(self.log, LEADER, "term" => self.core.term());
             let leader = Leader::new(self.core.term(), self.settings.timing, now);
-            self.leader = Some(leader.with_lesson(self.state.estimates(), self.wall()));
+            self.leader = Some(leader.with_lesson(self.state.estimates(), self.wall_time()));
         }
-        let granting = self.certain(now) && self.stopping.is_none();
-        let wall = self.wall();
+        let granting = self.holds_lease(now) && self.stopping.is_none();
+        let wall = self.wall_time();
         let Some(leader) = &mut self.leader else { return };
         for output in leader.tick(&self.state, now, wall, granting) {
             match output {
                 Output::Propose(change) => {
                     let starts = matches!(change, Change::Start(_));
-                    let waiter = if starts { Waiter::Starts } else { Waiter::Own };
+                    let waiter = if starts { Waiter::Starts } else { Waiter::Decision };
                     self.propose(now, &change, waiter);
                 }
                 Output::Order { link, order } => {
                     // An order that is lost is made again.
-                    if let Some(guest) = self.guests.get(&LinkKey(link)) {
-                        guest.sender.send(Body::Order(order));
+                    if let Some(client) = self.clients.get(&LinkKey(link)) {
+                        client.sender.send(Body::Order(order));
                     }
                 }
                 Output::Advise(question) => self.advise(question),
@@ -55,51 +55,52 @@
 
     /// Asks the adviser beside everything else; its answer comes back as a request.
     fn advise(&self, question: Question) {
-        let (adviser, own) = (self.adviser.clone(), self.own.clone());
+        let (adviser, handle) = (self.adviser.clone(), self.handle.clone());
         tokio::spawn(async move {
             let permits = adviser.advise(question.clone()).await;
             // The replica is gone only when it has stopped.
-            let _ = own.requests.send(Request::Advised(question, permits)).await;
+            let _ = handle.requests.send(Request::Advised(question, permits)).await;
         });
     }
 
     pub(crate) fn report(&mut self, now: Millis, link: LinkKey, report: Report) {
         let Some(leader) = &mut self.leader else { return };
-        let Some(guest) = self.guests.get(&link) else { return };
-        leader.report(&self.state, now, link.0, &guest.name, report);
+        let Some(client) = self.clients.get(&link) else { return };
+        leader.report(&self.state, now, link.0, &client.name, report);
     }
 
     fn change_members(&mut self, now: Millis) {
-        let reached = |address: &str| self.peers.down_since(address).is_none();
-        match self.formation.replacement(self.core.members(), reached) {
-            Some(Replacement::Remove(old)) => {
+        let reachable = |address: &str| self.peers.down_since(address).is_none();
+        match self.formation.next_change(self.core.members(), reachable) {
+            Some(MemberChange::Remove(old)) => {
                 event!(self.log, REPLACED, "replica" => old.address.clone());
                 self.core.step(now, Input::Remove(old.id));
             }
-            Some(Replacement::Add(new)) => {
+            Some(MemberChange::Add(new)) => {
                 event!(self.log, MEMBER_ADDED, "replica" => new.address.clone());
                 self.core.step(now, Input::Add(new));
             }
-            None => self.remove_gone(now),
+            None => self.remove_unreachable(now),
         }
     }
 
     /// An even number of voters bears no more losses than one voter fewer, so one that is gone is
     /// removed.
-    fn remove_gone(&mut self, now: Millis) {
+    fn remove_unreachable(&mut self, now: Millis) {
         let members = self.core.members();
         let voters = members.voters().count();
         if voters < 4 || !voters.is_multiple_of(2) {
             return;
         }
-        let gone = members.list.iter().find(|member| {
+        let unreachable = members.list.iter().find(|member| {
             let down = self.peers.down_since(&member.address);
-            member.id != self.core.id() && down.is_some_and(|since| now.since(since) >= GONE_MS)
+            member.id != self.core.id()
+                && down.is_some_and(|since| now.since(since) >= UNREACHABLE_TIMEOUT_MS)
         });
-        if let Some(gone) = gone.cloned() {
-            event!(self.log, REPLACED, "replica" => gone.address.clone());
-            self.formation.forget(&gone.address);
-            self.core.step(now, Input::Remove(gone.id));
+        if let Some(unreachable) = unreachable.cloned() {
+            event!(self.log, REPLACED, "replica" => unreachable.address.clone());
+            self.formation.forget(&unreachable.address);
+            self.core.step(now, Input::Remove(unreachable.id));
         }
     }
 
@@ -107,27 +108,27 @@
     fn replicas(&self) -> Vec<String> {
         let members = &self.core.members().list;
         if members.is_empty() {
-            return self.peers.known();
+            return self.peers.known_addresses();
         }
         members.iter().map(|member| member.address.clone()).collect()
     }
 
     /// Tells all who are linked who leads, when that changes.
-    pub(crate) fn tell_who_leads(&mut self, now: Millis) {
+    pub(crate) fn announce_leader(&mut self, now: Millis) {
         let leader = self.core.leader().map(|leader| leader.address.clone());
         let lead = Lead {
             leader: leader.unwrap_or_default(),
             replicas: self.replicas(),
             term: self.core.term(),
-            leads: self.certain(now) && self.stopping.is_none(),
+            leads: self.holds_lease(now) && self.stopping.is_none(),
             configured: self.state.configuration().is_some(),
         };
-        if self.told.as_ref() == Some(&lead) {
+        if self.announced.as_ref() == Some(&lead) {
             return;
         }
-        for guest in self.guests.values() {
-            guest.sender.send(Body::Lead(lead.clone()));
+        for client in self.clients.values() {
+            client.sender.send(Body::Lead(lead.clone()));
         }
-        self.told = Some(lead);
+        self.announced = Some(lead);
     }
 }
--- a/crates/pond-replica/src/lib.rs
+++ b/crates/pond-replica/src/lib.rs
@@ -5,18 +5,18 @@
 //! feed it through bounded queues.
 
 mod adviser;
-mod asks;
 mod audit;
+mod callers;
 mod formation;
 mod handle;
 mod lead;
 mod operators;
 mod outputs;
 mod peers;
+mod pending;
 mod replica;
-mod waiting;
 
 pub use adviser::Adviser;
-pub use formation::{Formation, Replacement};
+pub use formation::{Formation, MemberChange};
 pub use handle::{Evacuated, Evacuation, Handle, RequestError};
 pub use replica::{Replica, Settings};
--- a/crates/pond-replica/src/operators.rs
+++ b/crates/pond-replica/src/operators.rs
@@ -7,23 +7,23 @@
 use tokio::sync::oneshot;
 
 use crate::handle::{Command, Evacuation, RequestError};
+use crate::pending::Waiter;
 use crate::replica::Replica;
-use crate::waiting::Waiter;
 
 /// A leader that was not heard for this long is not named to operators, in milliseconds: two and a half
 /// heartbeats. An operator who is sent to a machine that is gone waits a second for nothing. (After the
 /// loss of a leader's machine an order took 1.2 s, and one a quarter of a second later 2.2 s.)
-const NAMED_MS: Span = 250;
+const LEADER_NAMED_MS: Span = 250;
 
 /// An operator is held for this long at most until a leader is known, in milliseconds: most elections,
 /// and less than the second after which operators ask elsewhere.
-const HELD_MS: Span = 700;
+const MAX_DEFERRAL_MS: Span = 700;
 
 /// Operators that are held at most; more are told at once that nobody leads.
-const MOST_HELD: usize = 64;
+const MAX_DEFERRED: usize = 64;
 
 /// An operator who waits.
-pub(crate) struct Held {
+pub(crate) struct Deferred {
     command: Command,
     until: Millis,
 }
@@ -31,25 +31,26 @@
 impl Replica {
     /// An operator asks something.
     pub(crate) fn operator(&mut self, now: Millis, command: Command) {
-        let decided = self.certain(now) || self.names_leader(now) || self.stopping.is_some();
-        if decided || self.held.len() >= MOST_HELD {
+        let answerable = self.holds_lease(now) || self.knows_leader(now) || self.stopping.is_some();
+        if answerable || self.deferred.len() >= MAX_DEFERRED {
             return self.answer_operator(now, command);
         }
-        self.held.push(Held { command, until: now + HELD_MS });
+        self.deferred.push(Deferred { command, until: now + MAX_DEFERRAL_MS });
     }
 
     /// Answers operators who were held once a leader is known, or time is up.
-    pub(crate) fn answer_held(&mut self, now: Millis) {
-        if self.held.is_empty() {
+    pub(crate) fn answer_deferred(&mut self, now: Millis) {
+        if self.deferred.is_empty() {
             return;
         }
-        let known = self.certain(now) || self.names_leader(now) || self.stopping.is_some();
-        let (due, held) =
-            std::mem::take(&mut self.held).into_iter().partition(|one| known || now >= one.until);
-        self.held = held;
-        let due: Vec<Held> = due;
-        for one in due {
-            self.answer_operator(now, one.command);
+        let answerable = self.holds_lease(now) || self.knows_leader(now) || self.stopping.is_some();
+        let (due, deferred) = std::mem::take(&mut self.deferred)
+            .into_iter()
+            .partition(|request| answerable || now >= request.until);
+        self.deferred = deferred;
+        let due: Vec<Deferred> = due;
+        for request in due {
+            self.answer_operator(now, request.command);
         }
     }
 
@@ -60,25 +61,25 @@
             Command::ListEvacuated(reply) => {
                 let evacuated = self.state.evacuations();
                 let evacuated = evacuated.map(|(name, since)| (name.to_owned(), since)).collect();
-                self.tell_certain(now, evacuated, reply);
+                self.reply_if_current(now, evacuated, reply);
             }
             Command::ReadConfiguration(reply) => {
-                let source = self.state.configuration().map(|held| held.source.clone());
-                self.tell_certain(now, source, reply);
+                let source = self.state.configuration().map(|active| active.source.clone());
+                self.reply_if_current(now, source, reply);
             }
         }
     }
 
     /// Tells an operator something of the state, if this replica is sure that it is the newest.
-    fn tell_certain<T>(
+    fn reply_if_current<T>(
         &self,
         now: Millis,
-        what: T,
+        value: T,
         reply: oneshot::Sender<Result<T, RequestError>>,
     ) {
-        let told = if self.certain(now) { Ok(what) } else { Err(self.elsewhere(now)) };
+        let result = if self.holds_lease(now) { Ok(value) } else { Err(self.not_leader(now)) };
         // The operator may have left.
-        let _ = reply.send(told);
+        let _ = reply.send(result);
     }
 
     /// Brings a configuration in force, if this replica leads.
@@ -88,13 +89,13 @@
         configuration: Configuration,
         reply: oneshot::Sender<Result<(), RequestError>>,
     ) {
-        if !self.certain(now) || self.stopping.is_some() {
+        if !self.holds_lease(now) || self.stopping.is_some() {
             // The operator may have left.
-            let _ = reply.send(Err(self.elsewhere(now)));
+            let _ = reply.send(Err(self.not_leader(now)));
             return;
         }
-        let held = self.state.configuration().map(|held| held.version);
-        if held.is_some_and(|held| held >= configuration.version) {
+        let active = self.state.configuration().map(|active| active.version);
+        if active.is_some_and(|active| active >= configuration.version) {
             let _ = reply.send(Ok(()));
             return;
         }
@@ -118,12 +119,12 @@
             event!(self.log, EVACUATION_DROPPED, "data_centre" => data_centre, "begins" => begins);
             return;
         }
-        if !self.certain(now) || self.stopping.is_some() {
+        if !self.holds_lease(now) || self.stopping.is_some() {
             // The operator may have left.
-            let _ = reply.send(Err(self.elsewhere(now)));
+            let _ = reply.send(Err(self.not_leader(now)));
             return;
         }
-        let at = self.wall();
+        let at = self.wall_time();
         let change = match begins {
             true => Change::Evacuate { data_centre, at },
             false => Change::Readmit { data_centre },
@@ -132,23 +133,23 @@
     }
 
     /// Whether another replica surely led a moment ago and can be reached.
-    fn names_leader(&self, now: Millis) -> bool {
+    fn knows_leader(&self, now: Millis) -> bool {
         self.leader_address(now).is_some()
     }
 
     fn leader_address(&self, now: Millis) -> Option<&str> {
         let leader = self.core.leader().filter(|leader| leader.id != self.core.id())?;
-        let heard = self.core.heard().is_some_and(|heard| now.since(heard) < NAMED_MS);
+        let heard = self.core.heard().is_some_and(|heard| now.since(heard) < LEADER_NAMED_MS);
         let reached = self.peers.down_since(&leader.address).is_none();
         (heard && reached).then_some(leader.address.as_str())
     }
 
     /// Where an operator should ask instead.
-    pub(crate) fn elsewhere(&self, now: Millis) -> RequestError {
+    pub(crate) fn not_leader(&self, now: Millis) -> RequestError {
         let leader = self.leader_address(now).map(str::to_owned);
         if leader.is_none() {
-            let named = self.core.leader().map_or(String::new(), |leader| leader.address.clone());
-            event!(self.log, NO_LEADER, "named" => named,
+            let address = self.core.leader().map_or(String::new(), |leader| leader.address.clone());
+            event!(self.log, NO_LEADER, "named" => address,
                 "heard_ms" => self.core.heard().map_or(0, |heard| now.since(heard)));
         }
         RequestError::NotLeader(leader)
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -11,23 +11,23 @@
 use pond_store::{Error, Snapshot};
 
 use crate::handle::RequestError;
+use crate::pending::Waiter;
 use crate::replica::Replica;
-use crate::waiting::Waiter;
 
 /// A snapshot is taken at every index that is a multiple of this, the same on every replica. Half of
 /// the figure of pond-control, as starts and ends come many to an entry here.
 const SNAPSHOT_EVERY: u64 = 4096;
 
 /// How often a full disk is told of while it lasts, in milliseconds.
-const TELL_FULL_MS: Span = 5_000;
+const DISK_FULL_LOG_INTERVAL_MS: Span = 5_000;
 
 /// Inputs of the quorum's replicas are left out while more than this waits for room on the disk: some
 /// seconds of appends. They are sent again.
-const MOST_WAITING: usize = 1_000;
+const MAX_QUEUED_WRITES: usize = 1_000;
 
 impl Replica {
     /// Carries out all that is to be done, with one sync for all that came together.
-    pub(crate) fn carry_out(&mut self) -> Result<(), Error> {
+    pub(crate) fn process_outputs(&mut self) -> Result<(), Error> {
         if self.writer.full() {
             self.write()?;
         }
@@ -37,20 +37,20 @@
                 return Ok(());
             }
             for output in &outputs {
-                self.put(output);
+                self.send_or_enqueue(output);
             }
             self.write()?;
             for output in outputs {
-                self.output(output)?;
+                self.process_output(output)?;
             }
         }
     }
 
     /// Sends what need not wait, and hands in what must last and what waits for it.
-    fn put(&mut self, output: &Output) {
+    fn send_or_enqueue(&mut self, output: &Output) {
         match output {
-            Output::Send(letter) => self.peers.send(letter.clone()),
-            Output::SendDurable(letter) => self.writer.enqueue_after(letter.clone()),
+            Output::Send(message) => self.peers.send(message.clone()),
+            Output::SendDurable(message) => self.writer.enqueue_after(message.clone()),
             other => other.durable_write().into_iter().for_each(|write| self.writer.enqueue(write)),
         }
     }
@@ -61,8 +61,8 @@
         let was_full = self.writer.full();
         let started = Instant::now();
         let flushed = self.writer.flush()?;
-        for letter in flushed.released {
-            self.peers.send(letter);
+        for message in flushed.released {
+            self.peers.send(message);
         }
         if flushed.all_durable {
             self.metrics.time_us("sync", started.elapsed().as_micros() as u64);
@@ -70,64 +70,64 @@
         }
         match (was_full, self.writer.full()) {
             (false, false) => {}
-            (false, true) => self.becomes_full(),
-            (true, true) => self.stays_full(),
-            (true, false) => self.has_room(),
+            (false, true) => self.disk_became_full(),
+            (true, true) => self.disk_stays_full(),
+            (true, false) => self.disk_has_room(),
         }
         Ok(())
     }
 
     /// Another replica should lead: this one can accept nothing.
-    fn becomes_full(&mut self) {
+    fn disk_became_full(&mut self) {
         let now = self.now();
         self.full_since = Some(now);
         self.metrics.gauge("disk_full", 1);
-        self.tell_full(now);
+        self.log_disk_full(now);
         self.core.step(now, Input::HandOver);
     }
 
-    fn stays_full(&mut self) {
+    fn disk_stays_full(&mut self) {
         let now = self.now();
-        if self.full_told.is_none_or(|told| now.since(told) >= TELL_FULL_MS) {
-            self.tell_full(now);
+        if self.full_logged_at.is_none_or(|logged| now.since(logged) >= DISK_FULL_LOG_INTERVAL_MS) {
+            self.log_disk_full(now);
         }
     }
 
-    fn tell_full(&mut self, now: Millis) {
-        self.full_told = Some(now);
+    fn log_disk_full(&mut self, now: Millis) {
+        self.full_logged_at = Some(now);
         let free = self.writer.store().free_bytes();
         event!(self.log, DISK_FULL, "waiting" => self.writer.len(),
             "free_bytes" => free.map_or("unknown".to_owned(), |free| free.to_string()),
             "for_ms" => self.full_since.map_or(0, |since| now.since(since)));
     }
 
-    fn has_room(&mut self) {
+    fn disk_has_room(&mut self) {
         let since = self.full_since.take();
-        self.full_told = None;
+        self.full_logged_at = None;
         self.metrics.gauge("disk_full", 0);
         let now = self.now();
         event!(self.log, DISK_ROOM, "after_ms" => since.map_or(0, |since| now.since(since)));
     }
 
     /// Whether this replica can neither lead nor vote now, as its disk is full.
-    pub(crate) fn abstains(&self) -> bool {
+    pub(crate) fn disk_is_full(&self) -> bool {
         self.writer.full()
     }
 
     /// Whether messages of the quorum are taken in: not while too much waits for the disk.
-    pub(crate) fn takes_letters(&self) -> bool {
-        !self.writer.full() || self.writer.len() < MOST_WAITING
+    pub(crate) fn accepts_messages(&self) -> bool {
+        !self.writer.full() || self.writer.len() < MAX_QUEUED_WRITES
     }
 
-    fn output(&mut self, output: Output) -> Result<(), Error> {
+    fn process_output(&mut self, output: Output) -> Result<(), Error> {
         match output {
             Output::Persist { .. }
             | Output::Send(_)
             | Output::SendDurable(_)
             | Output::ReadReady { .. } => {}
-            Output::Appended { ticket, index, term } => self.waiting.appended(ticket, index, term),
+            Output::Appended { ticket, index, term } => self.pending.appended(ticket, index, term),
             Output::Rejected { ticket, .. } => {
-                if let Some(waiter) = self.waiting.rejected(ticket) {
+                if let Some(waiter) = self.pending.rejected(ticket) {
                     self.reject(waiter);
                 }
             }
@@ -138,10 +138,10 @@
                 let names: Vec<&str> =
                     members.list.iter().map(|member| member.name.as_str()).collect();
                 event!(self.log, MEMBERS, "members" => names.join(" "));
-                self.learn_members();
+                self.connect_to_members();
                 if !self.formation.formed() {
                     self.formation.set_formed();
-                    self.present_again();
+                    self.announce_presence();
                 }
             }
         }
@@ -177,11 +177,11 @@
         let evacuates = matches!(change, Change::Evacuate { .. } | Change::Readmit { .. });
         self.apply_to_state(entry, now, change);
         if evacuates {
-            self.show_evacuations();
+            self.update_evacuation_gauge();
         }
     }
 
-    pub(crate) fn show_evacuations(&self) {
+    pub(crate) fn update_evacuation_gauge(&self) {
         let count = self.state.evacuations().count();
         self.metrics.gauge("evacuated_data_centres", count as u64);
     }
@@ -189,7 +189,7 @@
     fn apply_to_state(&mut self, entry: &Entry, now: Millis, change: Change) {
         if self.leader.is_none() {
             let reply = self.state.apply(change);
-            self.tell_waiter(entry, &reply);
+            self.notify_waiter(entry, &reply);
             return;
         }
         self.log_ends(&change);
@@ -198,12 +198,12 @@
         if let Some(leader) = &mut self.leader {
             leader.applied(&self.state, now, &change, &reply);
         }
-        self.tell_waiter(entry, &reply);
+        self.notify_waiter(entry, &reply);
     }
 
-    fn tell_waiter(&mut self, entry: &Entry, reply: &Reply) {
-        match self.waiting.applied(entry.index, entry.term) {
-            Some((true, waiter)) => self.tell(waiter, reply),
+    fn notify_waiter(&mut self, entry: &Entry, reply: &Reply) {
+        match self.pending.applied(entry.index, entry.term) {
+            Some((true, waiter)) => self.notify(waiter, reply),
             // Another entry took the place, so this one is not in the log.
             Some((false, waiter)) => self.reject(waiter),
             None => {}
@@ -222,7 +222,7 @@
         let snapshot = Snapshot { head: head.clone(), data };
         // Without room the next one is tried; the log grows meanwhile.
         if !self.writer.save(&snapshot)? {
-            self.tell_full(self.now());
+            self.log_disk_full(self.now());
             return Ok(());
         }
         event!(self.log, SNAPSHOT, "index" => index, "bytes" => snapshot.data.len());
@@ -237,7 +237,7 @@
                 event!(self.log, INSTALLED, "index" => image.head.index);
                 self.state = state;
                 self.applied = image.head.index;
-                self.show_evacuations();
+                self.update_evacuation_gauge();
             }
             Err(why) => event!(self.log, STATE_DIFFERS, "index" => image.head.index, "why" => why),
         }
@@ -253,7 +253,7 @@
         event!(self.log, FOLLOWER, "term" => self.core.term());
         // What was proposed may still be accepted under the next leader. Entries ask that one;
         // operators get no clear answer.
-        for waiter in self.waiting.drain() {
+        for waiter in self.pending.drain() {
             if let Waiter::Operator(reply) = waiter {
                 // The operator may have left.
                 let _ = reply.send(Err(RequestError::OutcomeUnknown));
--- a/crates/pond-replica/src/waiting.rs
+++ b/crates/pond-replica/src/pending.rs
@@ -23,18 +23,18 @@
     /// The leader's own start of runs.
     Starts,
     /// Another decision of the leader.
-    Own,
+    Decision,
 }
 
 /// Proposals on their way.
 #[derive(Default)]
-pub struct Waiting {
+pub struct Pending {
     next: u64,
     proposed: BTreeMap<u64, Waiter>,
     appended: BTreeMap<u64, (u64, Waiter)>,
 }
 
-impl Waiting {
+impl Pending {
     /// A ticket for a proposal.
     pub fn ticket(&mut self, waiter: Waiter) -> u64 {
         self.next += 1;
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -21,20 +21,20 @@
 use crate::adviser::Adviser;
 use crate::formation::Formation;
 use crate::handle::{Handle, Request};
-use crate::operators::Held;
+use crate::operators::Deferred;
 use crate::peers::Peers;
-use crate::waiting::{Waiter, Waiting};
+use crate::pending::{Pending, Waiter};
 
 /// Requests of operators that may wait: far more than operators send at once.
-const REQUESTS: usize = 64;
+const REQUEST_QUEUE: usize = 64;
 
 /// Events of links that may wait: more than a second of reports, with two a second from each of
 /// 1,200 agents.
-pub(crate) const EVENTS: usize = 4096;
+pub(crate) const EVENT_QUEUE: usize = 4096;
 
 /// Inputs that are taken in before outputs are carried out together, with one sync: half a second
 /// of the peak of 1,000 starts a second.
-const BATCH: usize = 512;
+const MAX_BATCH: usize = 512;
 
 /// Longest time between looks at what is due, in milliseconds: half a heartbeat.
 const TICK_MS: u64 = 50;
@@ -47,7 +47,7 @@
 const HEARTBEAT_MS: Span = 100;
 
 /// Longest time that a planned stop waits for another leader, in milliseconds: two elections.
-const STOP_MS: Span = 1_500;
+const STOP_TIMEOUT_MS: Span = 1_500;
 
 /// What a replica is made from.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
 }
 
 /// A process that has a link to this replica.
-pub(crate) struct Guest {
+pub(crate) struct Client {
     /// What it calls itself.
     pub name: String,
     /// Sends to it.
@@ -82,27 +82,27 @@
     /// Since when the disk is full.
     pub(crate) full_since: Option<Millis>,
     /// When that was last told.
-    pub(crate) full_told: Option<Millis>,
+    pub(crate) full_logged_at: Option<Millis>,
     pub(crate) core: Core,
     pub(crate) state: State,
     /// Entries of the log up to this index are applied.
     pub(crate) applied: u64,
     pub(crate) formation: Formation,
     pub(crate) peers: Peers,
-    pub(crate) guests: BTreeMap<LinkKey, Guest>,
-    pub(crate) waiting: Waiting,
+    pub(crate) clients: BTreeMap<LinkKey, Client>,
+    pub(crate) pending: Pending,
     /// Operators who wait until it is known who leads.
-    pub(crate) held: Vec<Held>,
+    pub(crate) deferred: Vec<Deferred>,
     /// There while this replica leads.
     pub(crate) leader: Option<Leader>,
     /// What those who are linked were last told about the lead.
-    pub(crate) told: Option<Lead>,
+    pub(crate) announced: Option<Lead>,
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
     /// Where the leader asks which workers may run a step.
     pub(crate) adviser: Arc<dyn Adviser>,
     /// Brings answers of the adviser back.
-    pub(crate) own: Handle,
+    pub(crate) handle: Handle,
     /// Until when a planned stop waits for another leader.
     pub(crate) stopping: Option<Millis>,
     links: mpsc::Receiver<Event>,
@@ -129,35 +129,35 @@
         let formation = formation(&settings, &recovered);
         let applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
         let core = core(recovered, Members::default(), clock.now());
-        let (requests, request_queue) = mpsc::channel(REQUESTS);
-        let (events, links) = mpsc::channel(EVENTS);
+        let (requests, request_queue) = mpsc::channel(REQUEST_QUEUE);
+        let (events, links) = mpsc::channel(EVENT_QUEUE);
         let peers = Peers::start(&settings, listener, events, log.clone());
         let handle = Handle { requests };
         let replica = Replica {
             settings,
             writer: Writer::new(store),
             full_since: None,
-            full_told: None,
+            full_logged_at: None,
             core,
             state,
             applied,
             formation,
             peers,
-            guests: BTreeMap::new(),
-            waiting: Waiting::default(),
-            held: Vec::new(),
+            clients: BTreeMap::new(),
+            pending: Pending::default(),
+            deferred: Vec::new(),
             leader: None,
-            told: None,
+            announced: None,
             metrics,
             log,
             adviser,
-            own: handle.clone(),
+            handle: handle.clone(),
             stopping: None,
             links,
             requests: request_queue,
             clock,
         };
-        replica.show_evacuations();
+        replica.update_evacuation_gauge();
         Ok((replica, handle))
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Time of day in milliseconds since 1970; only timed jobs and the order of jobs depend on it.
-    pub(crate) fn wall(&self) -> Millis {
+    pub(crate) fn wall_time(&self) -> Millis {
         self.clock.wall()
     }
 
@@ -175,19 +175,19 @@
     /// # Errors
     /// What failed of the files.
     pub async fn run(mut self) -> Result<(), pond_store::Error> {
-        self.learn_members();
+        self.connect_to_members();
         loop {
             let now = self.now();
             // A candidate whose vote for itself cannot last can win nothing.
-            if !self.abstains() || self.core.role() == Role::Leader {
+            if !self.disk_is_full() || self.core.role() == Role::Leader {
                 self.core.step(now, Input::Tick);
             }
-            self.carry_out()?;
+            self.process_outputs()?;
             self.lead(now);
-            self.carry_out()?;
-            self.tell_who_leads(now);
-            self.answer_held(now);
-            if self.may_end(now) {
+            self.process_outputs()?;
+            self.announce_leader(now);
+            self.answer_deferred(now);
+            if self.may_stop(now) {
                 return Ok(());
             }
             self.take_inputs().await;
@@ -200,7 +200,7 @@
             Some(request) = self.requests.recv() => self.request(request),
             () = sleep(Duration::from_millis(TICK_MS)) => {}
         }
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH {
             let Ok(event) = self.links.try_recv() else { break };
             self.link(event);
         }
@@ -213,7 +213,7 @@
         let now = self.now();
         match request {
             Request::Operator(command) => self.operator(now, command),
-            Request::AddAddresses(addresses) => self.peers.learn(&addresses),
+            Request::AddAddresses(addresses) => self.peers.add_addresses(&addresses),
             Request::Advised(question, permits) => {
                 if let Some(leader) = &mut self.leader {
                     leader.advised(now, &question, permits);
@@ -224,20 +224,20 @@
     }
 
     /// Whether this replica leads, no other can, and its disk takes what it accepts.
-    pub(crate) fn certain(&self, now: Millis) -> bool {
-        !self.abstains()
+    pub(crate) fn holds_lease(&self, now: Millis) -> bool {
+        !self.disk_is_full()
             && self.core.ready()
             && self.core.lease_until().is_some_and(|until| now < until)
     }
 
     /// Proposes a change.
     pub(crate) fn propose(&mut self, now: Millis, change: &Change, waiter: Waiter) {
-        if self.abstains() {
+        if self.disk_is_full() {
             return self.reject(waiter);
         }
         match change.encode() {
             Ok(data) => {
-                let ticket = self.waiting.ticket(waiter);
+                let ticket = self.pending.ticket(waiter);
                 self.core.step(now, Input::Propose { ticket, data });
             }
             Err(why) => {
@@ -250,22 +250,22 @@
     fn stop(&mut self, now: Millis) {
         if self.stopping.is_none() {
             event!(self.log, STOPPING);
-            self.stopping = Some(now + STOP_MS);
+            self.stopping = Some(now + STOP_TIMEOUT_MS);
             self.core.step(now, Input::HandOver);
         }
     }
 
     /// Whether a planned stop is done: another leads, or time is up.
-    fn may_end(&self, now: Millis) -> bool {
+    fn may_stop(&self, now: Millis) -> bool {
         let Some(until) = self.stopping else { return false };
         let other = self.core.leader().is_some_and(|leader| leader.id != self.core.id());
-        let led = self.core.role() == Role::Leader;
-        now >= until || (!led && other) || !self.formation.formed()
+        let leads = self.core.role() == Role::Leader;
+        now >= until || (!leads && other) || !self.formation.formed()
     }
 
     /// Takes the quorum's first members once all of them are there.
-    pub(crate) fn try_to_form(&mut self) {
-        let Some(members) = self.formation.first_members() else { return };
+    pub(crate) fn form_quorum_if_ready(&mut self) {
+        let Some(members) = self.formation.initial_members() else { return };
         if self.core.term() != 0 {
             return;
         }
@@ -279,7 +279,7 @@
             truncated_bytes: 0,
         };
         self.core = core(recovered, members, self.now());
-        self.learn_members();
+        self.connect_to_members();
     }
 }
 
--- a/crates/pond-replica/tests/formation.rs
+++ b/crates/pond-replica/tests/formation.rs
@@ -1,7 +1,7 @@
 //! A quorum is formed once, from the first seeds, and changes its members by who arrives.
 
 use pond_proto::quorum::{Member, Members, Present};
-use pond_replica::{Formation, Replacement};
+use pond_replica::{Formation, MemberChange};
 
 fn member(id: u64, address: &str) -> Member {
     Member { id, name: address.to_owned(), address: address.to_owned(), voter: true }
@@ -19,10 +19,10 @@
 #[test]
 fn quorum_is_formed_when_all_seeds_are_there() {
     let mut formation = seed(true, false);
-    formation.hear(present(2, "b", false));
-    assert_eq!(formation.first_members(), None);
-    formation.hear(present(3, "c", false));
-    assert_eq!(formation.first_members().unwrap().voters().count(), 3);
+    formation.record(present(2, "b", false));
+    assert_eq!(formation.initial_members(), None);
+    formation.record(present(3, "c", false));
+    assert_eq!(formation.initial_members().unwrap().voters().count(), 3);
 }
 
 #[test]
@@ -33,9 +33,9 @@
         let mut formation =
             Formation::new(member(own, names[own as usize - 1]), seeds.clone(), false);
         for id in (1..=3).filter(|id| *id != own) {
-            formation.hear(present(id, names[id as usize - 1], false));
+            formation.record(present(id, names[id as usize - 1], false));
         }
-        formation.first_members()
+        formation.initial_members()
     };
     assert!(formed(1).is_some());
     assert_eq!(formed(1), formed(2));
@@ -45,9 +45,9 @@
 #[test]
 fn replica_with_an_empty_disk_forms_nothing_at_a_later_start() {
     let mut formation = seed(false, false);
-    formation.hear(present(2, "b", false));
-    formation.hear(present(3, "c", false));
-    assert_eq!(formation.first_members(), None);
+    formation.record(present(2, "b", false));
+    formation.record(present(3, "c", false));
+    assert_eq!(formation.initial_members(), None);
 }
 
 #[test]
@@ -55,84 +55,84 @@
     let seeds = ["a", "b", "c"].map(str::to_owned).to_vec();
     let mut formation = Formation::new(member(4, "d"), seeds, false);
     for (id, address) in [(1, "a"), (2, "b"), (3, "c")] {
-        formation.hear(present(id, address, false));
+        formation.record(present(id, address, false));
     }
-    assert_eq!(formation.first_members(), None);
+    assert_eq!(formation.initial_members(), None);
 }
 
 #[test]
 fn seed_that_meets_a_formed_one_waits_to_be_added() {
     let mut formation = seed(true, false);
-    formation.hear(present(2, "b", true));
-    formation.hear(present(3, "c", false));
-    assert_eq!(formation.first_members(), None);
+    formation.record(present(2, "b", true));
+    formation.record(present(3, "c", false));
+    assert_eq!(formation.initial_members(), None);
 }
 
 #[test]
 fn newcomer_is_added() {
     let mut formation = seed(false, true);
-    formation.hear(present(4, "d", false));
+    formation.record(present(4, "d", false));
     let members = Members::new(vec![member(1, "a"), member(2, "b")]);
-    let step = formation.replacement(&members, |_| true);
-    assert_eq!(step, Some(Replacement::Add(member(4, "d"))));
+    let step = formation.next_change(&members, |_| true);
+    assert_eq!(step, Some(MemberChange::Add(member(4, "d"))));
 }
 
 #[test]
 fn replica_with_another_disk_replaces_the_former_one_in_two_steps() {
     let mut formation = seed(false, true);
-    formation.hear(present(9, "b", false));
+    formation.record(present(9, "b", false));
     let members = Members::new(vec![member(1, "a"), member(2, "b")]);
     assert_eq!(
-        formation.replacement(&members, |_| true),
-        Some(Replacement::Remove(member(2, "b")))
+        formation.next_change(&members, |_| true),
+        Some(MemberChange::Remove(member(2, "b")))
     );
     let members = Members::new(vec![member(1, "a")]);
-    assert_eq!(formation.replacement(&members, |_| true), Some(Replacement::Add(member(9, "b"))));
+    assert_eq!(formation.next_change(&members, |_| true), Some(MemberChange::Add(member(9, "b"))));
 }
 
 #[test]
 fn members_that_are_there_change_nothing() {
     let mut formation = seed(false, true);
-    formation.hear(present(2, "b", true));
+    formation.record(present(2, "b", true));
     let members = Members::new(vec![member(1, "a"), member(2, "b")]);
-    assert_eq!(formation.replacement(&members, |_| true), None);
+    assert_eq!(formation.next_change(&members, |_| true), None);
 }
 
 #[test]
 fn replica_whose_link_is_lost_replaces_nobody() {
     // Its successor on another disk was added by another leader in the meantime.
     let mut formation = seed(false, true);
-    formation.hear(present(2, "b", true));
+    formation.record(present(2, "b", true));
     formation.link_lost("b", 2);
     let members = Members::new(vec![member(1, "a"), member(9, "b")]);
-    assert_eq!(formation.replacement(&members, |_| true), None);
+    assert_eq!(formation.next_change(&members, |_| true), None);
 }
 
 #[test]
 fn loss_of_a_former_link_does_not_forget_the_successor() {
     let mut formation = seed(false, true);
-    formation.hear(present(9, "b", false));
+    formation.record(present(9, "b", false));
     formation.link_lost("b", 2);
     let members = Members::new(vec![member(1, "a")]);
-    assert_eq!(formation.replacement(&members, |_| true), Some(Replacement::Add(member(9, "b"))));
+    assert_eq!(formation.next_change(&members, |_| true), Some(MemberChange::Add(member(9, "b"))));
 }
 
 #[test]
 fn replica_that_cannot_be_reached_yet_is_added_once_it_can() {
     let mut formation = seed(false, true);
     let members = Members::new(vec![member(1, "a"), member(3, "c")]);
-    formation.hear(present(9, "b", false));
-    assert_eq!(formation.replacement(&members, |_| false), None);
-    let added = Some(Replacement::Add(member(9, "b")));
-    assert_eq!(formation.replacement(&members, |_| true), added);
+    formation.record(present(9, "b", false));
+    assert_eq!(formation.next_change(&members, |_| false), None);
+    let added = Some(MemberChange::Add(member(9, "b")));
+    assert_eq!(formation.next_change(&members, |_| true), added);
 }
 
 #[test]
 fn replica_that_cannot_be_reached_keeps_no_other_waiting() {
     let mut formation = seed(false, true);
     let members = Members::new(vec![member(1, "a"), member(3, "c")]);
-    formation.hear(present(8, "b", false));
-    formation.hear(present(9, "d", false));
-    let added = Some(Replacement::Add(member(9, "d")));
-    assert_eq!(formation.replacement(&members, |address| address == "d"), added);
+    formation.record(present(8, "b", false));
+    formation.record(present(9, "d", false));
+    let added = Some(MemberChange::Add(member(9, "d")));
+    assert_eq!(formation.next_change(&members, |address| address == "d"), added);
 }
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -8,7 +8,7 @@
 
 use pond_link::{Event, EventKind, LinkKey, accept, dial};
 use pond_proto::Life;
-use pond_proto::quorum::{Body as Letter, Letter as QuorumLetter, Member, Present};
+use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Member, Present};
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
 use pond_store::Memory;
@@ -95,15 +95,15 @@
         }
     }
 
-    fn presence(&self) -> QuorumLetter {
+    fn presence(&self) -> QuorumMessage {
         let address = self.address.to_string();
         let member = Member { id: NEWCOMER, name: address.clone(), address, voter: true };
-        let present = Letter::Present(Present { member, formed: false, last_index: 0 });
-        QuorumLetter { from: NEWCOMER, to: 0, term: 0, body: Some(present) }
+        let present = Payload::Present(Present { member, formed: false, last_index: 0 });
+        QuorumMessage { from: NEWCOMER, to: 0, term: 0, body: Some(present) }
     }
 }
 
-/// Waits for a letter that only a member gets.
+/// Waits for a message that only a member gets.
 async fn becomes_member(listener: TcpListener, address: SocketAddr) {
     let (events, mut accepted) = mpsc::channel(64);
     tokio::spawn(accept(listener, Newcomer::terms(address), events));
@@ -111,8 +111,8 @@
     loop {
         match accepted.recv().await.expect("an event").kind {
             EventKind::Up { sender, .. } => senders.push(sender),
-            EventKind::Frame(Body::Quorum(letter)) => {
-                if !matches!(letter.body, Some(Letter::Present(_)) | None) {
+            EventKind::Frame(Body::Quorum(message)) => {
+                if !matches!(message.body, Some(Payload::Present(_)) | None) {
                     return;
                 }
             }
