--- a/crates/pond-replica/src/adviser.rs
+++ b/crates/pond-replica/src/adviser.rs
@@ -1,13 +1,13 @@
-//! The border to the outside adviser.
+//! Interface to the external adviser.
 
 use std::future::Future;
 use std::pin::Pin;
 
 use pond_job::{Permit, Question};
 
-/// Knows which workers may run the steps of some queues.
+/// Decides which workers may run the steps of some queues.
 pub trait Adviser: Send + Sync + 'static {
-    /// Asks one question; none if there is no answer that can be read.
+    /// Sends one question to the adviser. Returns `None` if there is no valid answer.
     fn advise(
         &self,
         question: Question,
--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -1,4 +1,4 @@
-//! What a leader writes to the log: its decisions, and what applied changes did.
+//! Events that a leader logs: its decisions, and the effects of applied changes.
 
 use pond_job::{Blame, Change, Decision, End, Obstacle, Reply, Start};
 use pond_log::event;
@@ -7,7 +7,7 @@
 
 use crate::replica::Replica;
 
-/// Runs of a lost worker that its line names at most; the others are counted.
+/// Maximum number of runs that the event of a lost worker lists; the others are only counted.
 const MAX_RUNS_LOGGED: usize = 8;
 
 impl Replica {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Logs what a change did, on the leader only.
+    /// Logs the effect of an applied change, on the leader only.
     pub(crate) fn log_change(&self, change: &Change, reply: &Reply) {
         match change {
             Change::Configure(configuration) => {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The evacuated data centres, in one text.
+    /// Returns the names of the evacuated data centres, separated by spaces.
     fn evacuated(&self) -> String {
         let names: Vec<&str> = self.state.evacuations().map(|(name, _)| name).collect();
         names.join(" ")
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Logs what a change that is about to be applied ends and loses, on the leader only. A proposal
-    /// holds again what earlier ones held, which is no news.
+    /// Logs the ended runs and lost workers of a change that is about to be applied, on the leader only.
+    /// A proposal repeats ends of earlier proposals; those are not logged again.
     pub(crate) fn log_ends(&self, change: &Change) {
         match change {
             Change::Ended { worker, ends, unstarted } => self.log_ended(worker, ends, unstarted),
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Logs which tasks may have taken down a worker, with all that is then held against each, and which are given
-    /// up for it.
+    /// Logs which tasks are suspected of the loss of a worker, with the losses recorded against each, and
+    /// which tasks are given up because of it.
     fn log_blame(&self, worker: &str, blame: &[Blame]) {
         for blame in blame.iter().filter(|blame| blame.is_reportable()) {
             let Some(suspicion) = self.state.suspicion_with(worker, blame) else { continue };
@@ -167,8 +167,8 @@
     }
 }
 
-/// The runs that lived for the shortest time on a lost worker, and for how long in milliseconds: what ended it
-/// is most likely among them.
+/// Lists the runs that had run for the shortest time on a lost worker, with that time in milliseconds. The
+/// cause of the loss is most likely among them.
 fn shortest(mut runs: Vec<(RunName, Option<Span>)>) -> String {
     runs.retain(|(_, survived_ms)| survived_ms.is_some());
     runs.sort_by_key(|(_, survived_ms)| *survived_ms);
--- a/crates/pond-replica/src/callers.rs
+++ b/crates/pond-replica/src/callers.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and operators.
+//! Requests of callers, forwarded by entries, and the answers to all who wait for a proposal.
 
 use pond_job::{Change, Leader, Reply, State};
 use pond_link::LinkKey;
@@ -12,7 +12,7 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// A caller asks something through an entry.
+    /// Handles a caller's request that an entry forwarded.
     pub(crate) fn caller_request(&mut self, now: Millis, link: LinkKey, ask: Ask) {
         let Some(verb) = ask.verb else { return };
         let ticket = ask.ticket;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Why a request cannot be served at all.
+    /// Returns why a request to this target cannot be served, if so.
     fn refusal(&self, target: &Target) -> Option<Outcome> {
         let Some(configuration) = self.state.configuration() else {
             return Some(Outcome::NotConfigured);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Tells who waited for a change what came of it.
+    /// Reports the result of an applied change to whoever proposed it.
     pub(crate) fn notify(&mut self, waiter: Waiter, reply: &Reply) {
         match waiter {
             Waiter::Entry { link, ticket, job } => {
@@ -103,21 +103,21 @@
                 self.send_answer(link, answer(ticket, outcome));
             }
             Waiter::Operator(answer) => {
-                // The operator may have left.
+                // The operator may have disconnected.
                 let _ = answer.send(Ok(()));
             }
             Waiter::Starts | Waiter::Decision => {}
         }
     }
 
-    /// Tells who waited that the change is surely not in the log.
+    /// Reports to whoever proposed a change that it is certainly not in the log.
     pub(crate) fn reject(&mut self, waiter: Waiter) {
         match waiter {
             Waiter::Entry { link, ticket, .. } => {
                 self.send_answer(link, answer(ticket, Outcome::NotLeader));
             }
             Waiter::Operator(reply) => {
-                // The operator may have left.
+                // The operator may have disconnected.
                 let _ = reply.send(Err(self.not_leader(self.now())));
             }
             Waiter::Starts => {
@@ -131,7 +131,7 @@
 
     fn send_answer(&self, link: LinkKey, tell: Tell) {
         if let Some(client) = self.clients.get(&link) {
-            // If the link is full, the entry asks again or gives up by itself.
+            // If the link is full, the message is lost; the entry retries or times out.
             client.sender.send(Body::Tell(tell));
         }
     }
--- a/crates/pond-replica/src/formation.rs
+++ b/crates/pond-replica/src/formation.rs
@@ -1,31 +1,32 @@
-//! How a quorum comes to be, and how its members change.
+//! Formation of a quorum, and changes of its members.
 //!
-//! The replicas at the initial addresses form it, once, if all of them are new. Every other replica
-//! is added by the leader when it presents itself. One that comes back with another disk is another
-//! member: the former one is removed initial.
+//! The replicas at the initial addresses form the quorum, once, and only if all of them are new. The
+//! leader adds every other replica when it presents itself. A replica that returns with another disk
+//! is a new member; the member with the previous disk is removed first.
 
 use std::collections::BTreeMap;
 
 use pond_proto::quorum::{Member, Members, Present};
 
-/// What this replica knows of the others.
+/// What this replica knows about the others.
 #[derive(Debug)]
 pub struct Formation {
     own: Member,
-    /// Addresses of the replicas that form the quorum; empty if this start is not the initial.
+    /// Addresses of the replicas that form the quorum; empty if this is not the first start.
     initial: Vec<String>,
     formed: bool,
     present: BTreeMap<String, Present>,
 }
 
 impl Formation {
-    /// A replica whose disk holds a log if `formed`. `initial` are the addresses of the replicas that
-    /// form the quorum, on the first start only.
+    /// `formed` says whether the disk of this replica holds a log. `initial` are the addresses of the
+    /// replicas that form the quorum; it is empty except on the first start.
     pub fn new(own: Member, initial: Vec<String>, formed: bool) -> Formation {
         Formation { own, initial, formed, present: BTreeMap::new() }
     }
 
-    /// How this replica presents itself, with the index of its last entry.
+    /// Returns the message with which this replica presents itself. `last_index` is the index of its
+    /// last log entry.
     pub fn present(&self, last_index: u64) -> Present {
         Present { member: self.own.clone(), formed: self.formed, last_index }
     }
@@ -35,17 +36,18 @@
         self.formed
     }
 
-    /// This replica has taken in a log that names members.
+    /// Records that this replica has a log that names members.
     pub fn set_formed(&mut self) {
         self.formed = true;
     }
 
-    /// Another replica presented itself.
+    /// Records that another replica has presented itself.
     pub fn record(&mut self, present: Present) {
         self.present.insert(present.member.address.clone(), present);
     }
 
-    /// The members of the first start, once all replicas that form the quorum are there and new.
+    /// Returns the initial members, once all replicas that form the quorum have presented themselves and
+    /// are new.
     pub fn initial_members(&self) -> Option<Members> {
         if self.formed || !self.initial.contains(&self.own.address) {
             return None;
@@ -58,9 +60,9 @@
         Some(Members::new(list))
     }
 
-    /// The next change of members that a leader should make: one that came back with another disk
-    /// is removed, then added; one that is not a member is added. One that presented itself before
-    /// this replica could reach it waits until it can.
+    /// Returns the next change of members that a leader should make. A replica that returned with
+    /// another disk is removed, then added; one that is not a member is added. A replica is added only
+    /// once this one can reach it, even if it has presented itself before.
     pub fn next_change(
         &self,
         members: &Members,
@@ -81,21 +83,21 @@
         None
     }
 
-    /// The link on which a replica presented itself is lost: what it said of itself may be out of
-    /// date, so it replaces nobody until it presents itself again.
+    /// Handles the loss of the link on which a replica presented itself. Its information may be out of
+    /// date, so it replaces no member until it presents itself again.
     pub fn link_lost(&mut self, address: &str, id: u64) {
         if self.present.get(address).is_some_and(|present| present.member.id == id) {
             self.present.remove(address);
         }
     }
 
-    /// A replica is not there any more, so it is not added again.
+    /// Forgets a replica that cannot be reached, so that it is not added again.
     pub fn forget(&mut self, address: &str) {
         self.present.remove(address);
     }
 }
 
-/// One step of changing the members.
+/// One change of the members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberChange {
     /// Remove the member with the lost disk.
--- a/crates/pond-replica/src/handle.rs
+++ b/crates/pond-replica/src/handle.rs
@@ -1,62 +1,63 @@
-//! What operators ask of a replica, and other news from outside.
+//! Requests to a replica from operators and from the rest of its process.
 
 use pond_job::{Configuration, Permit, Question};
 use pond_proto::Millis;
 use tokio::sync::{mpsc, oneshot};
 
-/// This replica cannot do it.
+/// Why a replica did not confirm an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// Nothing was done here; the leader takes internal links at that address, if one is known.
+    /// This replica cannot act as the leader and did nothing. Holds the address at which the leader accepts
+    /// internal links, if it is known.
     NotLeader(Option<String>),
-    /// It may have been done.
+    /// The request may or may not have been carried out.
     OutcomeUnknown,
 }
 
-/// An operator's order about a data centre.
+/// An operator's order to evacuate a data centre or to readmit it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: String,
-    /// Whether it is evacuated from now on, or work is started there again.
+    /// `true` to evacuate the data centre, `false` to allow new work there again.
     pub begins: bool,
 }
 
-/// The evacuated data centres, and since when each is, on the operators' clock.
+/// The evacuated data centres, each with the time of day at which its evacuation was ordered.
 pub type Evacuated = Vec<(String, Millis)>;
 
-/// Something that an operator asks.
+/// A request of an operator, with the channel for its reply.
 pub enum Command {
-    /// Bring a configuration in force.
+    /// Activate a configuration.
     Configure(Box<Configuration>, oneshot::Sender<Result<(), RequestError>>),
-    /// Start nothing more in a data centre, or start work there again.
+    /// Stop starting work in a data centre, or allow it again.
     Evacuate(Evacuation, oneshot::Sender<Result<(), RequestError>>),
-    /// Tell which data centres are evacuated.
+    /// List the evacuated data centres.
     ListEvacuated(oneshot::Sender<Result<Evacuated, RequestError>>),
-    /// Tell the configuration in force; none if there is none.
+    /// Read the source text of the active configuration, if there is one.
     ReadConfiguration(oneshot::Sender<Result<Option<String>, RequestError>>),
 }
 
-/// Something that comes from outside.
+/// An input to the replica's task from within its process.
 pub enum Request {
-    /// An operator asks something.
+    /// A request of an operator.
     Operator(Command),
-    /// Further addresses of replicas.
+    /// Addresses of further replicas.
     AddAddresses(Vec<String>),
-    /// The adviser answered the leader's question, or did not.
+    /// The adviser's answer to a question of the leader; `None` if there was no valid answer.
     Advised(Question, Option<Vec<Permit>>),
-    /// Stop as planned.
+    /// Hand over leadership and stop.
     Stop,
 }
 
-/// Asks a replica.
+/// Sends requests to a replica's task.
 #[derive(Clone)]
 pub struct Handle {
     pub(crate) requests: mpsc::Sender<Request>,
 }
 
 impl Handle {
-    /// Brings a configuration in force, unless a newer one is.
+    /// Activates a configuration. Succeeds without a change if the active one is the same or newer.
     ///
     /// # Errors
     /// See [`RequestError`].
@@ -69,7 +70,7 @@
         answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
-    /// Evacuates a data centre or takes that back; the order that came into the log last is in force.
+    /// Evacuates a data centre or readmits it. The last order in the log takes effect.
     ///
     /// # Errors
     /// See [`RequestError`].
@@ -82,10 +83,10 @@
         answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
-    /// The evacuated data centres.
+    /// Lists the evacuated data centres.
     ///
     /// # Errors
-    /// [`RequestError::NotLeader`] if this replica cannot be sure.
+    /// [`RequestError::NotLeader`] if this replica holds no lease as leader.
     pub async fn evacuated(&self) -> Result<Evacuated, RequestError> {
         let (reply, answer) = oneshot::channel();
         if self.requests.send(Request::Operator(Command::ListEvacuated(reply))).await.is_err() {
@@ -94,10 +95,10 @@
         answer.await.unwrap_or(Err(RequestError::NotLeader(None)))
     }
 
-    /// The operator's text of the configuration in force, none if there is none.
+    /// Returns the operator's source text of the active configuration, or `None` if there is none.
     ///
     /// # Errors
-    /// [`RequestError::NotLeader`] if this replica cannot be sure.
+    /// [`RequestError::NotLeader`] if this replica holds no lease as leader.
     pub async fn configuration(&self) -> Result<Option<String>, RequestError> {
         let (reply, answer) = oneshot::channel();
         if self.requests.send(Request::Operator(Command::ReadConfiguration(reply))).await.is_err() {
@@ -106,12 +107,13 @@
         answer.await.unwrap_or(Err(RequestError::NotLeader(None)))
     }
 
-    /// Further addresses of replicas, as from changed settings.
+    /// Adds addresses of replicas, for example from changed settings. Returns whether the replica still
+    /// runs.
     pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
         self.requests.send(Request::AddAddresses(addresses)).await.is_ok()
     }
 
-    /// Asks the replica to hand over the lead and stop.
+    /// Asks the replica to hand over leadership and stop. Returns whether the replica still runs.
     pub async fn stop(&self) -> bool {
         self.requests.send(Request::Stop).await.is_ok()
     }
--- a/crates/pond-replica/src/lead.rs
+++ b/crates/pond-replica/src/lead.rs
@@ -1,4 +1,5 @@
-//! What only a leader does: decides about runs, orders, changes members, tells who leads.
+//! Duties of the leader: decisions about runs, orders to agents, changes of members. Also announces
+//! the leader to linked processes.
 
 use pond_job::{Change, Leader, Output, Question};
 use pond_link::LinkKey;
@@ -13,12 +14,12 @@
 use crate::pending::Waiter;
 use crate::replica::Replica;
 
-/// A voter that cannot be reached for this long is removed if that costs nothing, in milliseconds:
-/// longer than a restart or a cut usually takes.
+/// Time in milliseconds after which an unreachable voter is removed, if fault tolerance does not suffer:
+/// longer than a restart or a network partition usually takes.
 const UNREACHABLE_TIMEOUT_MS: Span = 10_000;
 
 impl Replica {
-    /// Decides, while this replica leads.
+    /// Makes the leader's decisions and acts on them, while this replica leads.
     pub(crate) fn lead(&mut self, now: Millis) {
         if !self.core.ready() || self.disk_is_full() {
             return;
@@ -39,7 +40,7 @@
                     self.propose(now, &change, waiter);
                 }
                 Output::Order { link, order } => {
-                    // An order that is lost is made again.
+                    // A lost order is repeated.
                     if let Some(client) = self.clients.get(&LinkKey(link)) {
                         client.sender.send(Body::Order(order));
                     }
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Asks the adviser beside everything else; its answer comes back as a request.
+    /// Asks the adviser in a separate task; the answer arrives as a request.
     fn advise(&self, question: Question) {
         let (adviser, handle) = (self.adviser.clone(), self.handle.clone());
         tokio::spawn(async move {
             let permits = adviser.advise(question.clone()).await;
-            // The replica is gone only when it has stopped.
+            // Sending fails only after the replica has stopped.
             let _ = handle.requests.send(Request::Advised(question, permits)).await;
         });
     }
@@ -84,8 +85,8 @@
         }
     }
 
-    /// An even number of voters bears no more losses than one voter fewer, so one that is gone is
-    /// removed.
+    /// Removes an unreachable voter if the number of voters is even: it tolerates no more losses than
+    /// one voter fewer.
     fn remove_unreachable(&mut self, now: Millis) {
         let members = self.core.members();
         let voters = members.voters().count();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The addresses of the members; of all replicas that are known while there is no quorum yet.
+    /// Returns the addresses of the members, or of all known replicas while there is no quorum yet.
     fn replicas(&self) -> Vec<String> {
         let members = &self.core.members().list;
         if members.is_empty() {
@@ -113,7 +114,7 @@
         members.iter().map(|member| member.address.clone()).collect()
     }
 
-    /// Tells all who are linked who leads, when that changes.
+    /// Announces the leader and the replicas to all linked processes, when they have changed.
     pub(crate) fn announce_leader(&mut self, now: Millis) {
         let leader = self.core.leader().map(|leader| leader.address.clone());
         let lead = Lead {
--- a/crates/pond-replica/src/lib.rs
+++ b/crates/pond-replica/src/lib.rs
@@ -1,8 +1,8 @@
 //! A control replica for jobs.
 //!
-//! One task owns the quorum, the files, the state and all decisions, and blocks while the disk
-//! syncs: a replica whose disk hangs sends no heartbeats and loses the lead. Links and operators
-//! feed it through bounded queues.
+//! A single task owns the quorum, the files, the state and all decisions, and blocks while the disk
+//! syncs. A replica whose disk hangs therefore sends no heartbeats and loses leadership. Links and
+//! operators feed the task through bounded queues.
 
 mod adviser;
 mod audit;
--- a/crates/pond-replica/src/operators.rs
+++ b/crates/pond-replica/src/operators.rs
@@ -1,5 +1,5 @@
-//! Operators' requests: answered by the leader, sent on to it by others, and held for a moment while
-//! nobody knows who leads.
+//! Requests of operators. The leader answers them, other replicas redirect them to the leader, and
+//! requests are deferred briefly while no leader is known.
 
 use pond_job::{Change, Configuration};
 use pond_log::event;
@@ -10,26 +10,26 @@
 use crate::pending::Waiter;
 use crate::replica::Replica;
 
-/// A leader that was not heard for this long is not named to operators, in milliseconds: two and a half
-/// heartbeats. An operator who is sent to a machine that is gone waits a second for nothing. (After the
-/// loss of a leader's machine an order took 1.2 s, and one a quarter of a second later 2.2 s.)
+/// Longest silence of the leader, in milliseconds, after which operators are no longer redirected to it:
+/// two and a half heartbeats. An operator who is redirected to a lost machine waits for a second in vain.
+/// (After the loss of a leader's machine an order took 1.2 s, and one sent 250 ms later took 2.2 s.)
 const LEADER_NAMED_MS: Span = 250;
 
-/// An operator is held for this long at most until a leader is known, in milliseconds: most elections,
-/// and less than the second after which operators ask elsewhere.
+/// Longest time that a request is deferred until a leader is known, in milliseconds. This covers most
+/// elections, and is less than the second after which operators try another replica.
 const MAX_DEFERRAL_MS: Span = 700;
 
-/// Operators that are held at most; more are told at once that nobody leads.
+/// Maximum number of deferred requests; further ones are answered at once that there is no leader.
 const MAX_DEFERRED: usize = 64;
 
-/// An operator who waits.
+/// A request of an operator that waits for a leader.
 pub(crate) struct Deferred {
     command: Command,
     until: Millis,
 }
 
 impl Replica {
-    /// An operator asks something.
+    /// Answers a request of an operator, or defers it until a leader is known.
     pub(crate) fn operator(&mut self, now: Millis, command: Command) {
         let answerable = self.holds_lease(now) || self.knows_leader(now) || self.stopping.is_some();
         if answerable || self.deferred.len() >= MAX_DEFERRED {
@@ -38,7 +38,7 @@
         self.deferred.push(Deferred { command, until: now + MAX_DEFERRAL_MS });
     }
 
-    /// Answers operators who were held once a leader is known, or time is up.
+    /// Answers deferred requests once a leader is known or their deferral has expired.
     pub(crate) fn answer_deferred(&mut self, now: Millis) {
         if self.deferred.is_empty() {
             return;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Tells an operator something of the state, if this replica is sure that it is the newest.
+    /// Replies with a value read from the state, if this replica holds the lease, so that its state is current.
     fn reply_if_current<T>(
         &self,
         now: Millis,
@@ -78,11 +78,11 @@
         reply: oneshot::Sender<Result<T, RequestError>>,
     ) {
         let result = if self.holds_lease(now) { Ok(value) } else { Err(self.not_leader(now)) };
-        // The operator may have left.
+        // The operator may have disconnected.
         let _ = reply.send(result);
     }
 
-    /// Brings a configuration in force, if this replica leads.
+    /// Activates a configuration, if this replica leads.
     fn configure(
         &mut self,
         now: Millis,
@@ -90,7 +90,7 @@
         reply: oneshot::Sender<Result<(), RequestError>>,
     ) {
         if !self.holds_lease(now) || self.stopping.is_some() {
-            // The operator may have left.
+            // The operator may have disconnected.
             let _ = reply.send(Err(self.not_leader(now)));
             return;
         }
@@ -102,12 +102,12 @@
         self.propose(now, &Change::Configure(configuration), Waiter::Operator(reply));
     }
 
-    /// Evacuates a data centre or takes that back, if this replica leads.
+    /// Evacuates a data centre or readmits it, if this replica leads.
     ///
-    /// Orders have no number: which of two is the newer one is told by their order in the log alone. So an order
-    /// also goes into the log when it repeats what is in force, as an opposite one may be on its way there; and
-    /// one whose operator has left is dropped, as it has been sent again elsewhere, and others may have been
-    /// acknowledged since.
+    /// Orders have no version number; only their position in the log says which of two is newer. Therefore
+    /// an order that repeats the current state is logged as well, because an opposite one may be about to be
+    /// logged. An order whose operator has disconnected is dropped: the operator has sent it to another
+    /// replica, and further orders may have been acknowledged since then.
     fn evacuate(
         &mut self,
         now: Millis,
@@ -120,7 +120,7 @@
             return;
         }
         if !self.holds_lease(now) || self.stopping.is_some() {
-            // The operator may have left.
+            // The operator may have disconnected.
             let _ = reply.send(Err(self.not_leader(now)));
             return;
         }
@@ -132,7 +132,7 @@
         self.propose(now, &change, Waiter::Operator(reply));
     }
 
-    /// Whether another replica surely led a moment ago and can be reached.
+    /// Whether another replica was recently heard as the leader and can be reached.
     fn knows_leader(&self, now: Millis) -> bool {
         self.leader_address(now).is_some()
     }
@@ -144,7 +144,7 @@
         (heard && reached).then_some(leader.address.as_str())
     }
 
-    /// Where an operator should ask instead.
+    /// Returns the error that redirects an operator to the leader, if one is known.
     pub(crate) fn not_leader(&self, now: Millis) -> RequestError {
         let leader = self.leader_address(now).map(str::to_owned);
         if leader.is_none() {
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the quorum hands out: files, messages, the replicated state.
+//! Processes the outputs of the quorum: file writes, messages, changes of the replicated state.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,19 +14,19 @@
 use crate::pending::Waiter;
 use crate::replica::Replica;
 
-/// A snapshot is taken at every index that is a multiple of this, the same on every replica. Half of
-/// the figure of pond-control, as starts and ends come many to an entry here.
+/// Log entries between snapshots. A snapshot is taken at every multiple, so at the same indexes on every
+/// replica. Half of the value in pond-control, because one entry holds many starts and ends here.
 const SNAPSHOT_EVERY: u64 = 4096;
 
-/// How often a full disk is told of while it lasts, in milliseconds.
+/// Interval at which a full disk is logged while the condition lasts, in milliseconds.
 const DISK_FULL_LOG_INTERVAL_MS: Span = 5_000;
 
-/// Inputs of the quorum's replicas are left out while more than this waits for room on the disk: some
-/// seconds of appends. They are sent again.
+/// Maximum number of writes that wait for disk space: some seconds of appends. Beyond it, messages of
+/// other replicas are dropped; their senders repeat them.
 const MAX_QUEUED_WRITES: usize = 1_000;
 
 impl Replica {
-    /// Carries out all that is to be done, with one sync for all that came together.
+    /// Processes all outputs of the quorum, with one sync for each group.
     pub(crate) fn process_outputs(&mut self) -> Result<(), Error> {
         if self.writer.full() {
             self.write()?;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends what need not wait, and hands in what must last and what waits for it.
+    /// Sends messages that need not wait for the disk, and enqueues writes and the messages that follow them.
     fn send_or_enqueue(&mut self, output: &Output) {
         match output {
             Output::Send(message) => self.peers.send(message.clone()),
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Writes what must last, and does what may follow. A full disk is none of the errors: the
-    /// replica abstains until there is room.
+    /// Writes and syncs what is enqueued, and sends the messages that waited for it. A full disk is not
+    /// an error: the replica neither leads nor votes until there is space.
     fn write(&mut self) -> Result<(), Error> {
         let was_full = self.writer.full();
         let started = Instant::now();
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Another replica should lead: this one can accept nothing.
+    /// Hands over leadership, because a replica with a full disk can accept no proposals.
     fn disk_became_full(&mut self) {
         let now = self.now();
         self.full_since = Some(now);
@@ -109,12 +109,12 @@
         event!(self.log, DISK_ROOM, "after_ms" => since.map_or(0, |since| now.since(since)));
     }
 
-    /// Whether this replica can neither lead nor vote now, as its disk is full.
+    /// Whether the disk is full, so that this replica can neither lead nor vote.
     pub(crate) fn disk_is_full(&self) -> bool {
         self.writer.full()
     }
 
-    /// Whether messages of the quorum are taken in: not while too much waits for the disk.
+    /// Whether messages of the quorum are accepted; they are not while too many writes wait for the disk.
     pub(crate) fn accepts_messages(&self) -> bool {
         !self.writer.full() || self.writer.len() < MAX_QUEUED_WRITES
     }
@@ -204,7 +204,7 @@
     fn notify_waiter(&mut self, entry: &Entry, reply: &Reply) {
         match self.pending.applied(entry.index, entry.term) {
             Some((true, waiter)) => self.notify(waiter, reply),
-            // Another entry took the place, so this one is not in the log.
+            // Another entry was committed at this position, so the proposal is not in the log.
             Some((false, waiter)) => self.reject(waiter),
             None => {}
         }
@@ -220,7 +220,7 @@
             }
         };
         let snapshot = Snapshot { head: head.clone(), data };
-        // Without room the next one is tried; the log grows meanwhile.
+        // Without space this snapshot is skipped; the log grows until the next one succeeds.
         if !self.writer.save(&snapshot)? {
             self.log_disk_full(self.now());
             return Ok(());
@@ -251,11 +251,11 @@
         }
         self.leader = None;
         event!(self.log, FOLLOWER, "term" => self.core.term());
-        // What was proposed may still be accepted under the next leader. Entries ask that one;
-        // operators get no clear answer.
+        // Pending proposals may still be committed under the next leader. Entries ask that leader;
+        // operators are told that the outcome is unknown.
         for waiter in self.pending.drain() {
             if let Waiter::Operator(reply) = waiter {
-                // The operator may have left.
+                // The operator may have disconnected.
                 let _ = reply.send(Err(RequestError::OutcomeUnknown));
             }
         }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -1,8 +1,8 @@
-//! Links to other replicas and to the processes that follow them.
+//! Links to other replicas, entries and agents.
 //!
-//! Each replica dials every other one it knows and sends only on links that it dialled; what comes
-//! in on accepted links is only read. So it does not matter which of two replicas knew the other
-//! first.
+//! Each replica dials every other replica it knows and sends to them only on links that it dialled; on
+//! links accepted from other replicas it only receives. So it does not matter which of two replicas
+//! learned of the other first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,17 +19,18 @@
 
 use crate::replica::{Client, Replica, Settings};
 
-/// Largest frame between processes, in bytes: a configuration with thousands of queues.
+/// Maximum size of a frame between processes, in bytes; fits a configuration with thousands of queues.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Frames that may wait on one link, as on all links of control (see docs/ARCHITECTURE.md).
+/// Capacity of the send queue of a link, in frames; the same on all links of control (see
+/// docs/ARCHITECTURE.md).
 const LINK_QUEUE: usize = 1024;
 
 /// Another replica.
 struct Peer {
     link: LinkKey,
     sender: Option<Sender>,
-    /// Since when there is no link.
+    /// Since when there is no link; `None` while the link is up.
     down_since: Option<Millis>,
 }
 
@@ -37,7 +38,7 @@
 pub(crate) struct Peers {
     own_address: String,
     dialled: BTreeMap<String, Peer>,
-    /// Addresses by the identity of the disk.
+    /// Addresses by disk identity.
     addresses: BTreeMap<u64, String>,
     terms: Arc<Terms>,
     events: mpsc::Sender<Event>,
@@ -45,7 +46,7 @@
 }
 
 impl Peers {
-    /// Listens, and dials the replicas of the settings.
+    /// Starts to accept links, and dials the replicas named in the settings.
     pub fn start(
         settings: &Settings,
         listener: TcpListener,
@@ -65,14 +66,14 @@
         peers
     }
 
-    /// Dials replicas that are not known yet.
+    /// Dials the replicas at those addresses that are not known yet.
     pub fn add_addresses(&mut self, addresses: &[String]) {
         for address in addresses {
             if *address == self.own_address || self.dialled.contains_key(address) {
                 continue;
             }
             let Ok(parsed) = address.parse() else {
-                event!(self.log, LINK_REFUSED, "why" => format!("{address} is no address"));
+                event!(self.log, LINK_REFUSED, "why" => format!("{address} is not a valid address"));
                 continue;
             };
             let link = LinkKey(self.dialled.len() as u64);
@@ -83,13 +84,13 @@
         }
     }
 
-    /// The addresses of all replicas that are known.
+    /// Returns the addresses of all known replicas, this one included.
     pub fn known_addresses(&self) -> Vec<String> {
         let others = self.dialled.keys().cloned();
         std::iter::once(self.own_address.clone()).chain(others).collect()
     }
 
-    /// Since when the link to a replica is down; none if it is up.
+    /// Returns since when the link to a replica is down; `None` if it is up.
     pub fn down_since(&self, address: &str) -> Option<Millis> {
         self.dialled.get(address).and_then(|peer| peer.down_since)
     }
@@ -98,11 +99,11 @@
         self.dialled.iter_mut().find(|(_, peer)| peer.link == link)
     }
 
-    /// Sends a message of the quorum.
+    /// Sends a message of the quorum to the replica that it names.
     pub fn send(&self, message: QuorumMessage) {
         let peer = self.addresses.get(&message.to).and_then(|address| self.dialled.get(address));
         if let Some(sender) = peer.and_then(|peer| peer.sender.as_ref()) {
-            // The quorum sends again what is lost.
+            // The quorum repeats lost messages.
             sender.send(Body::Quorum(message));
         }
     }
@@ -146,8 +147,8 @@
     fn link_down(&mut self, now: Millis, link: LinkKey, error: &pond_link::Error) {
         if link.accepted() {
             let presented = self.clients.remove(&link).and_then(|client| client.presented);
-            // The other end may have noticed the loss first and have presented itself on a newer
-            // link; if that were forgotten, it would never be added, as it does so once a link.
+            // The other replica may have noticed the loss first and presented itself on a newer link.
+            // It does so only once per link, so forgetting that would mean that it is never added.
             let presented_on_newer_link =
                 self.clients.values().any(|client| client.presented == presented);
             if let Some((address, id)) = presented.filter(|_| !presented_on_newer_link) {
@@ -171,7 +172,7 @@
             Body::Quorum(message) => match message.body {
                 Some(Payload::Present(present)) => self.presented(now, link, present),
                 _ if self.accepts_messages() => self.core.step(now, Input::Message(message)),
-                // It is sent again.
+                // The sender repeats the message.
                 _ => {}
             },
             Body::Lead(lead) => self.peers.add_addresses(&lead.replicas),
@@ -186,7 +187,7 @@
         QuorumMessage { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
     }
 
-    /// Tells all replicas that this one has a log now.
+    /// Announces to all replicas that this one has a log now.
     pub(crate) fn announce_presence(&self) {
         self.peers.send_presence_to_all(&self.own_presence());
     }
@@ -198,8 +199,8 @@
         }
         self.peers.add_addresses(std::slice::from_ref(&member.address));
         self.peers.addresses.insert(member.id, member.address.clone());
-        // A log shorter than what it acknowledged: its disk was put back to an older state, and
-        // its votes cannot be trusted.
+        // The log is shorter than what the replica has acknowledged: its disk was restored to an
+        // older state, and its votes cannot be trusted.
         let acknowledged = self.core.acknowledged(member.id).unwrap_or(0);
         if present.last_index < acknowledged {
             event!(self.log, OLDER_DISK, "replica" => member.address.clone(),
@@ -210,7 +211,7 @@
         self.form_quorum_if_ready();
     }
 
-    /// Dials all members and knows them by their identities.
+    /// Dials all members, and records their addresses by identity.
     pub(crate) fn connect_to_members(&mut self) {
         for member in &self.core.members().list {
             self.peers.addresses.insert(member.id, member.address.clone());
--- a/crates/pond-replica/src/pending.rs
+++ b/crates/pond-replica/src/pending.rs
@@ -1,4 +1,4 @@
-//! Who waits for which entry of the log.
+//! Proposals that wait for their entry in the log.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,26 @@
 
 use crate::handle::RequestError;
 
-/// Who waits for a change.
+/// The origin of a proposal, which waits for its result.
 pub enum Waiter {
-    /// An entry, for a caller.
+    /// An entry process, on behalf of a caller.
     Entry {
-        /// The entry's link.
+        /// The link to the entry process.
         link: LinkKey,
-        /// The entry's ticket.
+        /// The ticket that the entry process chose.
         ticket: u64,
-        /// The job that it is about.
+        /// The job that the request concerns.
         job: u64,
     },
-    /// An operator with a configuration.
+    /// An operator who changes the configuration or the evacuations.
     Operator(oneshot::Sender<Result<(), RequestError>>),
-    /// The leader's own start of runs.
+    /// The leader, which starts runs.
     Starts,
-    /// Another decision of the leader.
+    /// The leader, for any other decision.
     Decision,
 }
 
-/// Proposals on their way.
+/// Proposals that are not yet applied.
 #[derive(Default)]
 pub struct Pending {
     next: u64,
@@ -35,32 +35,33 @@
 }
 
 impl Pending {
-    /// A ticket for a proposal.
+    /// Registers a proposal and returns its ticket.
     pub fn ticket(&mut self, waiter: Waiter) -> u64 {
         self.next += 1;
         self.proposed.insert(self.next, waiter);
         self.next
     }
 
-    /// A proposal has its place in the log.
+    /// Records the log position of a proposal.
     pub fn appended(&mut self, ticket: u64, index: u64, term: u64) {
         if let Some(waiter) = self.proposed.remove(&ticket) {
             self.appended.insert(index, (term, waiter));
         }
     }
 
-    /// A proposal was refused before it had a place in the log.
+    /// Removes a proposal that was rejected before it was appended to the log.
     pub fn rejected(&mut self, ticket: u64) -> Option<Waiter> {
         self.proposed.remove(&ticket)
     }
 
-    /// An entry was applied: who waited for it, and whether it is still the one they meant.
+    /// Removes the proposal at an applied position. Returns whether the applied entry is the proposed one
+    /// (its term may differ), and who waits for it.
     pub fn applied(&mut self, index: u64, term: u64) -> Option<(bool, Waiter)> {
         let (expected, waiter) = self.appended.remove(&index)?;
         Some((expected == term, waiter))
     }
 
-    /// All who wait, when this replica stops leading and cannot tell them the result.
+    /// Removes all proposals. Called when this replica stops leading and cannot learn their results.
     pub fn drain(&mut self) -> Vec<Waiter> {
         let proposed = std::mem::take(&mut self.proposed).into_values();
         let appended = std::mem::take(&mut self.appended).into_values().map(|(_, waiter)| waiter);
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -1,4 +1,4 @@
-//! The task that owns everything of a replica.
+//! The main task of a replica, which owns all of its state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,83 +25,83 @@
 use crate::peers::Peers;
 use crate::pending::{Pending, Waiter};
 
-/// Requests of operators that may wait: far more than operators send at once.
+/// Capacity of the queue of operators' requests: far more than operators send at once.
 const REQUEST_QUEUE: usize = 64;
 
-/// Events of links that may wait: more than a second of reports, with two a second from each of
-/// 1,200 agents.
+/// Capacity of the queue of link events: more than a second of reports, with two per second from each
+/// of 1,200 agents.
 pub(crate) const EVENT_QUEUE: usize = 4096;
 
-/// Inputs that are taken in before outputs are carried out together, with one sync: half a second
-/// of the peak of 1,000 starts a second.
+/// Maximum number of link events that are handled before their outputs are processed together with one
+/// sync: half a second at the peak rate of 1,000 starts per second.
 const MAX_BATCH: usize = 512;
 
-/// Longest time between looks at what is due, in milliseconds: half a heartbeat.
+/// Longest time between checks of timers, in milliseconds: half a heartbeat.
 const TICK_MS: u64 = 50;
 
-/// Without word from a leader for this long, or up to twice as long, a replica asks for votes, in
-/// milliseconds. A follower on a tenth of a core may be silent for some hundred milliseconds.
+/// Shortest election timeout, in milliseconds; the actual timeout is random, up to twice as long. A
+/// follower on a tenth of a core may be silent for some hundred milliseconds.
 const ELECTION_MS: Span = 500;
 
-/// Time between heartbeats of the leader, in milliseconds: a fifth of the shortest election.
+/// Interval between heartbeats of the leader, in milliseconds: a fifth of the shortest election timeout.
 const HEARTBEAT_MS: Span = 100;
 
-/// Longest time that a planned stop waits for another leader, in milliseconds: two elections.
+/// Longest time that a planned stop waits for another leader, in milliseconds. Covers two elections.
 const STOP_TIMEOUT_MS: Span = 1_500;
 
-/// What a replica is made from.
+/// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it takes internal links; also its name among the replicas.
+    /// The address at which it accepts internal links; also its name among the replicas.
     pub internal: SocketAddr,
-    /// Internal addresses of replicas to begin with.
+    /// Internal addresses of the replicas that are known at the start.
     pub seeds: Vec<String>,
     /// Whether the whole system starts for the first time, so that the seeds form the quorum.
     pub first_start: bool,
     /// Its data centre.
     pub data_centre: String,
-    /// Times of leases.
+    /// Durations of leases and of their safety margins.
     pub timing: Terms,
 }
 
-/// A process that has a link to this replica.
+/// A process with a link that this replica accepted: an entry, an agent or another replica.
 pub(crate) struct Client {
-    /// What it calls itself.
+    /// The name that it gave.
     pub name: String,
-    /// Sends to it.
+    /// The sending end of the link.
     pub sender: Sender,
-    /// Address and identity, if it is a replica that has presented itself.
+    /// The address and the disk identity, if it is a replica that has presented itself.
     pub presented: Option<(String, u64)>,
 }
 
 /// A replica.
 pub struct Replica {
     pub(crate) settings: Settings,
-    /// Writes the durable files; letters wait in it for what must last before them.
+    /// Writes the durable files. Messages wait in it for the writes that must be durable first.
     pub(crate) writer: Writer<Letter>,
-    /// Since when the disk is full.
+    /// Since when the disk is full, if it is.
     pub(crate) full_since: Option<Millis>,
-    /// When that was last told.
+    /// When the full disk was last logged.
     pub(crate) full_logged_at: Option<Millis>,
     pub(crate) core: Core,
     pub(crate) state: State,
-    /// Entries of the log up to this index are applied.
+    /// Index of the last applied log entry.
     pub(crate) applied: u64,
     pub(crate) formation: Formation,
     pub(crate) peers: Peers,
     pub(crate) clients: BTreeMap<LinkKey, Client>,
     pub(crate) pending: Pending,
-    /// Operators who wait until it is known who leads.
+    /// Requests of operators that wait until a leader is known.
     pub(crate) deferred: Vec<Deferred>,
-    /// There while this replica leads.
+    /// Present while this replica leads.
     pub(crate) leader: Option<Leader>,
-    /// What those who are linked were last told about the lead.
+    /// The last announcement to the linked processes of who leads.
     pub(crate) announced: Option<Lead>,
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
-    /// Where the leader asks which workers may run a step.
+    /// Decides which workers may run a step.
     pub(crate) adviser: Arc<dyn Adviser>,
-    /// Brings answers of the adviser back.
+    /// Returns answers of the adviser to this task.
     pub(crate) handle: Handle,
     /// Until when a planned stop waits for another leader.
     pub(crate) stopping: Option<Millis>,
@@ -111,10 +111,10 @@
 }
 
 impl Replica {
-    /// A replica from its files and what they held, with its links on the current runtime.
+    /// Creates a replica from its opened files and starts its links on the current runtime.
     ///
     /// # Errors
-    /// If the snapshot cannot be read.
+    /// A message if the snapshot cannot be decoded.
     pub fn start(
         settings: Settings,
         files: (Store, Recovered),
@@ -165,20 +165,20 @@
         self.clock.now()
     }
 
-    /// Time of day in milliseconds since 1970; only timed jobs and the order of jobs depend on it.
+    /// Returns the time of day in milliseconds since 1970. Only timed jobs and the order of jobs depend on it.
     pub(crate) fn wall_time(&self) -> Millis {
         self.clock.wall()
     }
 
-    /// Runs until it is stopped.
+    /// Runs the replica until it is stopped.
     ///
     /// # Errors
-    /// What failed of the files.
+    /// An error of the files, except a full disk.
     pub async fn run(mut self) -> Result<(), pond_store::Error> {
         self.connect_to_members();
         loop {
             let now = self.now();
-            // A candidate whose vote for itself cannot last can win nothing.
+            // A candidate must store its vote for itself; with a full disk it cannot win.
             if !self.disk_is_full() || self.core.role() == Role::Leader {
                 self.core.step(now, Input::Tick);
             }
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Whether this replica leads, no other can, and its disk takes what it accepts.
+    /// Whether this replica leads, its lease excludes other leaders, and its disk can store proposals.
     pub(crate) fn holds_lease(&self, now: Millis) -> bool {
         !self.disk_is_full()
             && self.core.ready()
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Whether a planned stop is done: another leads, or time is up.
+    /// Whether a planned stop is complete: another replica leads, or the timeout has passed.
     fn may_stop(&self, now: Millis) -> bool {
         let Some(until) = self.stopping else { return false };
         let other = self.core.leader().is_some_and(|leader| leader.id != self.core.id());
@@ -263,7 +263,7 @@
         now >= until || (!leads && other) || !self.formation.formed()
     }
 
-    /// Takes the quorum's first members once all of them are there.
+    /// Forms the quorum once all initial members have presented themselves.
     pub(crate) fn form_quorum_if_ready(&mut self) {
         let Some(members) = self.formation.initial_members() else { return };
         if self.core.term() != 0 {
@@ -283,7 +283,7 @@
     }
 }
 
-/// The state of the newest snapshot, or nothing yet; a torn end of the files is logged.
+/// Returns the state of the newest snapshot, or an empty state. Logs a truncated end of the log files.
 fn recovered_state(recovered: &Recovered, log: &Logger) -> Result<State, String> {
     if recovered.truncated_bytes > 0 {
         event!(log, TORN_END, "bytes" => recovered.truncated_bytes);
@@ -294,7 +294,7 @@
     }
 }
 
-/// How this replica presents itself at first: as new, unless its files hold a log.
+/// Creates the formation. This replica counts as new unless its files hold a log.
 fn formation(settings: &Settings, recovered: &Recovered) -> Formation {
     let address = settings.internal.to_string();
     let own = Member { id: recovered.id, name: address.clone(), address, voter: true };
--- a/crates/pond-replica/tests/evacuations.rs
+++ b/crates/pond-replica/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Orders about data centres over the loss of leaders and of power, and from operators who have left.
+//! Evacuation orders across the loss of leaders and of power, and orders whose operator has disconnected.
 
 mod support;
 
@@ -14,38 +14,38 @@
 
 use support::{BOUND, leader, listeners, start_task};
 
-/// An order that nobody waits for any more would be carried out within this time.
-const CARRIED_OUT: Duration = Duration::from_millis(300);
+/// Time within which an order would be carried out.
+const EXECUTION_TIME: Duration = Duration::from_millis(300);
 
-struct Fleet {
+struct Replicas {
     seeds: Vec<SocketAddr>,
     disks: Vec<Memory>,
-    replicas: Vec<(Handle, JoinHandle<()>)>,
+    running: Vec<(Handle, JoinHandle<()>)>,
 }
 
-impl Fleet {
-    async fn new() -> Fleet {
+impl Replicas {
+    async fn new() -> Replicas {
         let (listeners, seeds) = listeners().await;
         let disks: Vec<Memory> = seeds.iter().map(|_| Memory::new()).collect();
         let started = seeds.iter().zip(listeners).zip(&disks);
-        let replicas = started
+        let running = started
             .map(|((own, listener), disk)| start_task(*own, &seeds, listener, disk.clone()))
             .collect();
-        Fleet { seeds, disks, replicas }
+        Replicas { seeds, disks, running }
     }
 
     fn handles(&self) -> Vec<Handle> {
-        self.replicas.iter().map(|(handle, _)| handle.clone()).collect()
+        self.running.iter().map(|(handle, _)| handle.clone()).collect()
     }
 
-    /// The same replicas, started again from what their disks keep.
-    async fn again(seeds: Vec<SocketAddr>, disks: Vec<Memory>) -> Fleet {
-        let mut replicas = Vec::new();
+    /// Restarts the replicas from the contents of their disks.
+    async fn restart(seeds: Vec<SocketAddr>, disks: Vec<Memory>) -> Replicas {
+        let mut running = Vec::new();
         for (own, disk) in seeds.iter().zip(&disks) {
             let listener = listen(*own).await;
-            replicas.push(start_task(*own, &seeds, listener, disk.clone()));
+            running.push(start_task(*own, &seeds, listener, disk.clone()));
         }
-        Fleet { seeds, disks, replicas }
+        Replicas { seeds, disks, running }
     }
 }
 
@@ -53,7 +53,7 @@
     Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-/// Listens at an address that a replica has just left.
+/// Listens at an address that another replica has just released.
 async fn listen(address: SocketAddr) -> TcpListener {
     let bound = async {
         loop {
@@ -74,8 +74,8 @@
     evacuated.into_iter().map(|(name, _)| name).collect()
 }
 
-/// Sends an order until it is acknowledged, as operators do.
-async fn acknowledged(handles: &[Handle], begins: bool) {
+/// Repeats an order until it is acknowledged, as operators do.
+async fn send_until_acknowledged(handles: &[Handle], begins: bool) {
     let sent = async {
         loop {
             for handle in handles {
@@ -90,62 +90,62 @@
 }
 
 async fn evacuated(handles: &[Handle]) -> Vec<String> {
-    let leads = leader(handles).await;
-    names(handles[leads].evacuated().await.expect("it leads"))
+    let leader_index = leader(handles).await;
+    names(handles[leader_index].evacuated().await.expect("it leads"))
 }
 
 #[tokio::test]
-async fn acknowledged_order_outlasts_its_leader() {
-    let mut fleet = Fleet::new().await;
-    let handles = fleet.handles();
-    acknowledged(&handles, true).await;
-    let gone = leader(&handles).await;
-    fleet.replicas.remove(gone).1.abort();
-    assert_eq!(evacuated(&fleet.handles()).await, ["north"]);
-    acknowledged(&fleet.handles(), false).await;
-    assert!(evacuated(&fleet.handles()).await.is_empty());
+async fn acknowledged_order_survives_the_loss_of_its_leader() {
+    let mut replicas = Replicas::new().await;
+    let handles = replicas.handles();
+    send_until_acknowledged(&handles, true).await;
+    let lost = leader(&handles).await;
+    replicas.running.remove(lost).1.abort();
+    assert_eq!(evacuated(&replicas.handles()).await, ["north"]);
+    send_until_acknowledged(&replicas.handles(), false).await;
+    assert!(evacuated(&replicas.handles()).await.is_empty());
 }
 
 #[test]
-fn acknowledged_order_outlasts_a_loss_of_all_power() {
+fn acknowledged_order_survives_a_power_loss_of_all_replicas() {
     let before = runtime();
     let (seeds, disks) = before.block_on(async {
-        let fleet = Fleet::new().await;
-        acknowledged(&fleet.handles(), true).await;
-        (fleet.seeds, fleet.disks)
+        let replicas = Replicas::new().await;
+        send_until_acknowledged(&replicas.handles(), true).await;
+        (replicas.seeds, replicas.disks)
     });
-    // All replicas end with their runtime.
+    // Shutting down the runtime ends all replicas.
     before.shutdown_timeout(BOUND);
     for (seed, disk) in (7..).zip(&disks) {
         disk.crash(Crash::KeepRandom(seed));
     }
     runtime().block_on(async {
-        let fleet = Fleet::again(seeds, disks).await;
-        assert_eq!(evacuated(&fleet.handles()).await, ["north"]);
+        let replicas = Replicas::restart(seeds, disks).await;
+        assert_eq!(evacuated(&replicas.handles()).await, ["north"]);
     });
 }
 
 #[tokio::test]
-async fn replicas_that_do_not_lead_send_operators_on() {
-    let fleet = Fleet::new().await;
-    let handles = fleet.handles();
-    let leads = leader(&handles).await;
-    let other = (leads + 1) % handles.len();
-    let named = Err(RequestError::NotLeader(Some(fleet.seeds[leads].to_string())));
+async fn followers_redirect_operators_to_the_leader() {
+    let replicas = Replicas::new().await;
+    let handles = replicas.handles();
+    let leader_index = leader(&handles).await;
+    let other = (leader_index + 1) % handles.len();
+    let named = Err(RequestError::NotLeader(Some(replicas.seeds[leader_index].to_string())));
     assert_eq!(handles[other].evacuate(order(true)).await, named);
     assert!(evacuated(&handles).await.is_empty());
 }
 
 #[tokio::test]
-async fn order_whose_operator_has_left_is_not_carried_out() {
-    let fleet = Fleet::new().await;
-    let handles = fleet.handles();
-    // Nobody leads yet, so the orders are held; their operators leave.
+async fn order_whose_operator_has_disconnected_is_not_carried_out() {
+    let replicas = Replicas::new().await;
+    let handles = replicas.handles();
+    // There is no leader yet, so the orders are deferred; their operators disconnect.
     for handle in &handles {
         let left = timeout(Duration::from_millis(1), handle.evacuate(order(true))).await;
         assert!(left.is_err(), "it was answered at once: {left:?}");
     }
     leader(&handles).await;
-    sleep(CARRIED_OUT).await;
+    sleep(EXECUTION_TIME).await;
     assert!(evacuated(&handles).await.is_empty());
 }
--- a/crates/pond-replica/tests/formation.rs
+++ b/crates/pond-replica/tests/formation.rs
@@ -1,4 +1,4 @@
-//! A quorum is formed once, from the first seeds, and changes its members by who arrives.
+//! The quorum is formed once, from the initial seeds; later its members change as replicas present themselves.
 
 use pond_proto::quorum::{Member, Members, Present};
 use pond_replica::{Formation, MemberChange};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn quorum_is_formed_when_all_seeds_are_there() {
+fn quorum_is_formed_when_all_seeds_are_present() {
     let mut formation = seed(true, false);
     formation.record(present(2, "b", false));
     assert_eq!(formation.initial_members(), None);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn replica_with_an_empty_disk_forms_nothing_at_a_later_start() {
+fn replica_with_an_empty_disk_forms_no_quorum_at_a_later_start() {
     let mut formation = seed(false, false);
     formation.record(present(2, "b", false));
     formation.record(present(3, "c", false));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn replica_that_is_no_seed_forms_nothing() {
+fn replica_that_is_not_a_seed_forms_no_quorum() {
     let seeds = ["a", "b", "c"].map(str::to_owned).to_vec();
     let mut formation = Formation::new(member(4, "d"), seeds, false);
     for (id, address) in [(1, "a"), (2, "b"), (3, "c")] {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn seed_that_meets_a_formed_one_waits_to_be_added() {
+fn new_seed_does_not_form_a_quorum_if_another_seed_has_a_log() {
     let mut formation = seed(true, false);
     formation.record(present(2, "b", true));
     formation.record(present(3, "c", false));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn newcomer_is_added() {
+fn new_replica_is_added() {
     let mut formation = seed(false, true);
     formation.record(present(4, "d", false));
     let members = Members::new(vec![member(1, "a"), member(2, "b")]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn replica_with_another_disk_replaces_the_former_one_in_two_steps() {
+fn replica_with_another_disk_is_removed_and_then_added() {
     let mut formation = seed(false, true);
     formation.record(present(9, "b", false));
     let members = Members::new(vec![member(1, "a"), member(2, "b")]);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn members_that_are_there_change_nothing() {
+fn present_members_cause_no_change() {
     let mut formation = seed(false, true);
     formation.record(present(2, "b", true));
     let members = Members::new(vec![member(1, "a"), member(2, "b")]);
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn replica_whose_link_is_lost_replaces_nobody() {
-    // Its successor on another disk was added by another leader in the meantime.
+fn replica_whose_link_is_lost_replaces_no_member() {
+    // Another leader has added the replica with its new disk in the meantime.
     let mut formation = seed(false, true);
     formation.record(present(2, "b", true));
     formation.link_lost("b", 2);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn loss_of_a_former_link_does_not_forget_the_successor() {
+fn loss_of_the_link_of_a_replaced_disk_does_not_forget_the_new_one() {
     let mut formation = seed(false, true);
     formation.record(present(9, "b", false));
     formation.link_lost("b", 2);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn replica_that_cannot_be_reached_yet_is_added_once_it_can() {
+fn replica_is_added_once_it_can_be_reached() {
     let mut formation = seed(false, true);
     let members = Members::new(vec![member(1, "a"), member(3, "c")]);
     formation.record(present(9, "b", false));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn replica_that_cannot_be_reached_keeps_no_other_waiting() {
+fn unreachable_replica_does_not_delay_others() {
     let mut formation = seed(false, true);
     let members = Members::new(vec![member(1, "a"), member(3, "c")]);
     formation.record(present(8, "b", false));
--- a/crates/pond-replica/tests/full.rs
+++ b/crates/pond-replica/tests/full.rs
@@ -1,5 +1,5 @@
-//! Replicas whose disks are full for a while: they stay up, another one leads, and all go on once
-//! there is room.
+//! Replicas whose disks are full for a while. They keep running, another replica leads, and all of them
+//! continue once there is space.
 
 mod support;
 
@@ -12,22 +12,23 @@
 
 use support::{BOUND, leader, listeners, start};
 
-/// Longer than two elections: a replica that only waits for its disk would have lost the lead twice.
+/// Time for which disks are full. Longer than two elections, so a leader that only waited for its disk
+/// would have been replaced twice.
 const FULL: Duration = Duration::from_secs(3);
 
-/// Time between tries of an operator.
-const AGAIN: Duration = Duration::from_millis(50);
+/// Time between an operator's attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Refuses everything that changes the disk.
+/// Makes every modification of the disk fail, as if it were full.
 fn fill(disk: &Memory) {
     disk.refuse(0..u64::MAX);
 }
 
-fn empty(disk: &Memory) {
+fn free(disk: &Memory) {
     disk.refuse(0..0);
 }
 
-async fn fleet() -> (Vec<Memory>, Vec<Handle>) {
+async fn start_replicas() -> (Vec<Memory>, Vec<Handle>) {
     let (listeners, seeds) = listeners().await;
     let disks: Vec<Memory> = seeds.iter().map(|_| Memory::new()).collect();
     let started = seeds.iter().zip(listeners).zip(&disks);
@@ -36,7 +37,7 @@
     (disks.clone(), handles.collect())
 }
 
-/// Sends a configuration to all replicas in turn until one has accepted it; which one.
+/// Sends a configuration to all replicas in turn until one accepts it. Returns the index of that replica.
 async fn configure(handles: &[Handle], version: u64) -> usize {
     let accepted = async {
         loop {
@@ -46,7 +47,7 @@
                     return i;
                 }
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
     };
     timeout(BOUND, accepted).await.expect("accepted in time")
@@ -54,34 +55,34 @@
 
 #[tokio::test]
 async fn another_replica_leads_while_the_leaders_disk_is_full() {
-    let (disks, handles) = fleet().await;
+    let (disks, handles) = start_replicas().await;
     let first = leader(&handles).await;
     configure(&handles, 1).await;
     fill(&disks[first]);
-    // The leader may accept one more, with the disks of the other two.
+    // The leader may still get this one accepted, with the disks of the other two.
     configure(&handles, 2).await;
     sleep(FULL).await;
     let next = configure(&handles, 3).await;
     assert_ne!(next, first);
-    empty(&disks[first]);
-    // The one that had no room is needed now, with all that it missed.
+    free(&disks[first]);
+    // The first replica is needed for a majority now, and must catch up on what it missed.
     let third = (0..handles.len()).find(|i| *i != first && *i != next).expect("a third");
     fill(&disks[third]);
     configure(&handles, 4).await;
 }
 
 #[tokio::test]
-async fn replicas_whose_disks_are_all_full_accept_nothing_and_go_on_when_there_is_room() {
-    let (disks, handles) = fleet().await;
+async fn replicas_with_full_disks_accept_nothing_and_recover_when_there_is_space() {
+    let (disks, handles) = start_replicas().await;
     leader(&handles).await;
     configure(&handles, 1).await;
     disks.iter().for_each(fill);
     let order = Configuration { version: 2, ..Configuration::default() };
     for handle in &handles {
         let answer = timeout(FULL, handle.configure(order.clone())).await;
-        assert!(!matches!(answer, Ok(Ok(()))), "accepted without room");
+        assert!(!matches!(answer, Ok(Ok(()))), "accepted without disk space");
     }
     sleep(FULL).await;
-    disks.iter().for_each(empty);
+    disks.iter().for_each(free);
     configure(&handles, 3).await;
 }
--- a/crates/pond-replica/tests/operators.rs
+++ b/crates/pond-replica/tests/operators.rs
@@ -1,5 +1,5 @@
-//! What operators are told while the leader is gone: they are not sent to it, and wait for the next one
-//! rather than being turned away.
+//! Answers to operators after the loss of the leader: they are not redirected to the lost leader, and
+//! their requests wait for the next leader instead of failing.
 
 mod support;
 
@@ -13,14 +13,14 @@
 
 use support::{BOUND, leader, listeners, start_task};
 
-/// Followers hear the leader every 100 ms, so by then they know that something is wrong; elections begin
-/// after 500 ms at the earliest.
-const NOTICED: Duration = Duration::from_millis(350);
+/// Time after which followers have noticed the silence of the leader, which sends heartbeats every 100 ms.
+/// Elections begin after 500 ms at the earliest.
+const SILENCE_NOTICED: Duration = Duration::from_millis(350);
 
-/// Operators ask elsewhere after a second without an answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time without an answer after which operators try another replica.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
 
-async fn fleet() -> (Vec<SocketAddr>, Vec<(Handle, JoinHandle<()>)>) {
+async fn start_replicas() -> (Vec<SocketAddr>, Vec<(Handle, JoinHandle<()>)>) {
     let (listeners, seeds) = listeners().await;
     let started = seeds.iter().zip(listeners);
     let replicas =
@@ -29,19 +29,19 @@
 }
 
 #[tokio::test]
-async fn operators_are_not_sent_to_a_leader_that_is_gone() {
+async fn operators_are_not_redirected_to_a_lost_leader() {
     for _ in 0..3 {
-        let (addresses, replicas) = fleet().await;
+        let (addresses, replicas) = start_replicas().await;
         let handles: Vec<Handle> = replicas.iter().map(|(handle, _)| handle.clone()).collect();
-        let gone = leader(&handles).await;
-        replicas[gone].1.abort();
-        sleep(NOTICED).await;
-        let others: Vec<usize> = (0..handles.len()).filter(|i| *i != gone).collect();
+        let lost = leader(&handles).await;
+        replicas[lost].1.abort();
+        sleep(SILENCE_NOTICED).await;
+        let others: Vec<usize> = (0..handles.len()).filter(|i| *i != lost).collect();
         for other in &others {
-            let answer = timeout(PATIENCE, handles[*other].configuration())
+            let answer = timeout(OPERATOR_TIMEOUT, handles[*other].configuration())
                 .await
                 .expect("an answer in time");
-            let named = RequestError::NotLeader(Some(addresses[gone].to_string()));
+            let named = RequestError::NotLeader(Some(addresses[lost].to_string()));
             assert_ne!(answer, Err(named));
         }
         let left: Vec<Handle> = others.iter().map(|i| handles[*i].clone()).collect();
@@ -50,26 +50,27 @@
 }
 
 #[tokio::test]
-async fn operators_who_ask_during_an_election_are_sent_to_the_new_leader() {
-    let mut sent_on = 0;
+async fn operators_are_redirected_to_the_new_leader_after_an_election() {
+    let mut redirected = 0;
     for _ in 0..6 {
-        let (addresses, replicas) = fleet().await;
+        let (addresses, replicas) = start_replicas().await;
         let handles: Vec<Handle> = replicas.iter().map(|(handle, _)| handle.clone()).collect();
-        let gone = leader(&handles).await;
-        replicas[gone].1.abort();
-        sleep(NOTICED).await;
-        let other = (0..handles.len()).find(|i| *i != gone).expect("another");
-        let answer =
-            timeout(PATIENCE, handles[other].configuration()).await.expect("an answer in time");
+        let lost = leader(&handles).await;
+        replicas[lost].1.abort();
+        sleep(SILENCE_NOTICED).await;
+        let other = (0..handles.len()).find(|i| *i != lost).expect("another");
+        let answer = timeout(OPERATOR_TIMEOUT, handles[other].configuration())
+            .await
+            .expect("an answer in time");
         match answer {
-            Ok(_) => sent_on += 1,
+            Ok(_) => redirected += 1,
             Err(RequestError::NotLeader(Some(named))) => {
-                assert_ne!(named, addresses[gone].to_string());
-                sent_on += 1;
+                assert_ne!(named, addresses[lost].to_string());
+                redirected += 1;
             }
             Err(_) => {}
         }
     }
-    // Elections end after 0.5 to 1 s, or later if votes are split.
-    assert!(sent_on >= 3, "only {sent_on} of 6 were sent on");
+    // Elections take 0.5 to 1 s, or longer if votes are split.
+    assert!(redirected >= 3, "only {redirected} of 6 were redirected");
 }
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Replicas whose open connections fall silent for good, without a reset, while new ones work.
+//! Replicas whose open connections silently drop all data, without a reset, while new connections work.
 
 mod support;
 
@@ -20,16 +20,16 @@
 
 use support::{BOUND, REPLICAS, leader, listeners, start};
 
-/// Time in which both ends of a link notice that one of them is not heard: the other end is silent
-/// itself from then on.
-const NOTICED: Duration = SILENCE_TIMEOUT.saturating_mul(3);
+/// Time in which both ends of a link notice that one direction is silent. The end that notices first is
+/// silent itself from then on.
+const SILENCE_NOTICED: Duration = SILENCE_TIMEOUT.saturating_mul(3);
 
-/// The identity of a replica that comes later.
-const NEWCOMER: u64 = 4;
+/// Disk identity of the replica that joins later.
+const JOINING_ID: u64 = 4;
 
-/// Replicas, each behind a proxy before its listener. On links to a replica its followers and the
-/// leader send their messages.
-async fn fleet() -> (Vec<SwallowProxy>, Vec<Handle>) {
+/// Starts replicas, each with a proxy in front of its listener. The other replicas send all their
+/// messages to it through that proxy.
+async fn start_behind_proxies() -> (Vec<SwallowProxy>, Vec<Handle>) {
     let (listeners, addresses) = listeners().await;
     let mut proxies = Vec::new();
     for address in addresses {
@@ -43,30 +43,30 @@
 }
 
 #[tokio::test]
-async fn quorum_whose_links_all_fall_silent_has_a_leader_again() {
+async fn quorum_elects_a_leader_after_all_links_fell_silent() {
     for swallowed in Swallowed::ALL {
-        let (proxies, handles) = fleet().await;
+        let (proxies, handles) = start_behind_proxies().await;
         leader(&handles).await;
         let taken: Vec<usize> = proxies.iter().map(SwallowProxy::taken).collect();
         proxies.iter().for_each(|proxy| proxy.swallow(swallowed));
-        sleep(NOTICED).await;
+        sleep(SILENCE_NOTICED).await;
         leader(&handles).await;
         for (proxy, taken) in proxies.iter().zip(taken) {
-            assert!(proxy.taken() > taken, "{swallowed:?}: nobody dialled again");
+            assert!(proxy.taken() > taken, "{swallowed:?}: no replica redialled");
         }
     }
 }
 
-/// A replica reduced to its links, which presents itself on each that it dials.
-struct Newcomer {
+/// A replica reduced to its links. It presents itself on each link that it dials.
+struct JoiningReplica {
     address: SocketAddr,
     dialled: mpsc::Receiver<Event>,
     senders: Vec<pond_link::Sender>,
 }
 
-impl Newcomer {
+impl JoiningReplica {
     fn terms(address: SocketAddr) -> Arc<pond_link::Terms> {
-        let terms = pond_link::Terms::new(Role::Control, "newcomer", "here", Life(NEWCOMER));
+        let terms = pond_link::Terms::new(Role::Control, "newcomer", "here", Life(JOINING_ID));
         Arc::new(
             terms
                 .with_address(&address.to_string())
@@ -74,13 +74,13 @@
         )
     }
 
-    fn start(address: SocketAddr, proxies: &[SwallowProxy]) -> Newcomer {
+    fn start(address: SocketAddr, proxies: &[SwallowProxy]) -> JoiningReplica {
         let (events, dialled) = mpsc::channel(64);
         for (i, proxy) in proxies.iter().enumerate() {
-            let (terms, events) = (Newcomer::terms(address), events.clone());
+            let (terms, events) = (JoiningReplica::terms(address), events.clone());
             tokio::spawn(dial(proxy.address(), LinkKey(i as u64), terms, events));
         }
-        Newcomer { address, dialled, senders: Vec::new() }
+        JoiningReplica { address, dialled, senders: Vec::new() }
     }
 
     /// Waits until all links are up, and presents itself on each.
@@ -97,16 +97,16 @@
 
     fn presence(&self) -> QuorumMessage {
         let address = self.address.to_string();
-        let member = Member { id: NEWCOMER, name: address.clone(), address, voter: true };
+        let member = Member { id: JOINING_ID, name: address.clone(), address, voter: true };
         let present = Payload::Present(Present { member, formed: false, last_index: 0 });
-        QuorumMessage { from: NEWCOMER, to: 0, term: 0, body: Some(present) }
+        QuorumMessage { from: JOINING_ID, to: 0, term: 0, body: Some(present) }
     }
 }
 
-/// Waits for a message that only a member gets.
+/// Waits for a message that only members receive.
 async fn becomes_member(listener: TcpListener, address: SocketAddr) {
     let (events, mut accepted) = mpsc::channel(64);
-    tokio::spawn(accept(listener, Newcomer::terms(address), events));
+    tokio::spawn(accept(listener, JoiningReplica::terms(address), events));
     let mut senders = Vec::new();
     loop {
         match accepted.recv().await.expect("an event").kind {
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn newcomer_that_presented_itself_again_is_added_though_its_former_link_is_lost_later() {
+async fn replica_that_presented_itself_again_is_added_although_its_old_link_is_lost_later() {
     let (listeners, seeds) = listeners().await;
     let started = seeds.iter().zip(listeners);
     let handles: Vec<Handle> =
@@ -132,14 +132,14 @@
     for address in &seeds {
         proxies.push(SwallowProxy::start(*address).await);
     }
-    // It cannot be reached before it accepts, so it is not added before.
+    // It is not added before it accepts links, because it cannot be reached until then.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
-    let mut newcomer = Newcomer::start(address, &proxies);
-    newcomer.present().await;
-    // It hears nothing, so it dials again before the replicas hear nothing of it.
+    let mut joining = JoiningReplica::start(address, &proxies);
+    joining.present().await;
+    // It receives nothing more, so it redials before the replicas notice that its old link is silent.
     proxies.iter().for_each(|proxy| proxy.swallow(Swallowed::Answered));
-    newcomer.present().await;
-    sleep(NOTICED).await;
+    joining.present().await;
+    sleep(SILENCE_NOTICED).await;
     timeout(BOUND, becomes_member(listener, address)).await.expect("it is added in time");
 }
--- a/crates/pond-replica/tests/support/mod.rs
+++ b/crates/pond-replica/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas on disks in memory, with links on loopback.
+//! Starts replicas on in-memory disks with loopback links.
 #![allow(dead_code)]
 
 use std::future::{Future, ready};
@@ -16,19 +16,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Within this time replicas must be linked again and have a leader: two silences of 0.8 s and an
-/// election of up to 1 s; the rest is for a busy machine.
+/// Time within which replicas must be linked again and have a leader: two silence timeouts of 0.8 s and
+/// an election of up to 1 s. The rest allows for a busy machine.
 pub const BOUND: Duration = Duration::from_secs(10);
 
-/// Time between looks for a leader.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between checks for a leader.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Replicas of a quorum.
+/// Number of replicas in a quorum.
 pub const REPLICAS: usize = 3;
 
-struct Nobody;
+struct NoAdviser;
 
-impl Adviser for Nobody {
+impl Adviser for NoAdviser {
     fn advise(
         &self,
         _: Question,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Starts a replica that goes on until the test ends.
+/// Starts a replica that runs until the test ends.
 pub fn start(
     internal: SocketAddr,
     seeds: &[SocketAddr],
@@ -47,7 +47,7 @@
     start_task(internal, seeds, listener, disk).0
 }
 
-/// Starts a replica that the others reach at `internal`, on a disk; how to ask it, and its task.
+/// Starts a replica on a disk. The others reach it at `internal`. Returns its handle and its task.
 pub fn start_task(
     internal: SocketAddr,
     seeds: &[SocketAddr],
@@ -63,14 +63,14 @@
     };
     let files = Store::open(Box::new(disk)).expect("opens");
     let (metrics, log) = (Metrics::kept(), pond_log::silent());
-    let adviser = Arc::new(Nobody);
+    let adviser = Arc::new(NoAdviser);
     let started = Replica::start(settings, files, listener, adviser, Clock::new(), metrics, log);
     let (replica, handle) = started.expect("it starts");
     let task = tokio::spawn(async move { replica.run().await.expect("its files last") });
     (handle, task)
 }
 
-/// Waits until a replica is sure that it leads.
+/// Waits until a replica leads with a valid lease. Returns its index.
 pub async fn leader(handles: &[Handle]) -> usize {
     let led = async {
         loop {
@@ -79,13 +79,13 @@
                     return i;
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     timeout(BOUND, led).await.expect("a leader in time")
 }
 
-/// Listeners of all replicas, and where they are.
+/// Opens the listeners of all replicas. Returns them with their addresses.
 pub async fn listeners() -> (Vec<TcpListener>, Vec<SocketAddr>) {
     let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
     for _ in 0..REPLICAS {
