--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -1,4 +1,4 @@
-//! The core itself: its state, the dispatch of inputs, and what all roles share.
+//! The core of a replica: its state, the dispatch of inputs, and what all roles share.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::follower::Incoming;
+use crate::follower::IncomingSnapshot;
 use crate::io::{Input, Output, Rejection, SnapshotImage};
-use crate::leader::Leading;
+use crate::leader::LeaderState;
 use crate::log::Log;
 use crate::members::Lists;
 use crate::tuning::Tuning;
 
-/// What a replica starts from.
+/// The stored data from which a replica starts.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// The identity of its disk.
@@ -25,9 +25,9 @@
     pub snapshot: Option<SnapshotImage>,
     /// The entries after it.
     pub entries: Vec<Entry>,
-    /// The members of the first start, used while the log and the snapshot name none.
+    /// The initial members, used while neither the log nor the snapshot names any.
     pub members: Members,
-    /// Seed for random times.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
@@ -36,7 +36,7 @@
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the voters whether they would elect it.
     PreCandidate,
     /// Asks for votes.
     Candidate,
@@ -44,13 +44,13 @@
     Leader,
 }
 
-/// The role with what belongs to it.
+/// The role with its data.
 #[derive(Debug)]
 pub(crate) enum State {
     Follower,
     PreCandidate(BTreeSet<u64>),
     Candidate(BTreeSet<u64>),
-    Leader(Leading),
+    Leader(LeaderState),
 }
 
 /// One replica of the quorum.
@@ -66,26 +66,26 @@
     pub(crate) commit: u64,
     pub(crate) applied: u64,
     pub(crate) persisted: u64,
-    pub(crate) handed_out: u64,
+    pub(crate) emitted: u64,
     pub(crate) state: State,
     pub(crate) leader: Option<u64>,
     pub(crate) heard: Option<Millis>,
     pub(crate) deadline: Millis,
-    pub(crate) incoming: Option<Incoming>,
+    pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) unwritten: Vec<Entry>,
     hard_written: Hard,
 }
 
 impl Core {
-    /// A replica that has just started.
+    /// Creates a replica that has just started.
     pub fn new(start: Start, tuning: Tuning, now: Millis) -> Core {
         let head = start.snapshot.as_ref().map(|image| &image.head);
         let base = head.map_or(0, |head| head.index);
         let members = head.map_or(start.members, |head| head.members.clone());
         let mut lists = Lists::new(base, members);
         for entry in &start.entries {
-            lists.take(entry);
+            lists.append(entry);
         }
         let log = Log::new(head, start.entries);
         let mut core = Core {
@@ -96,13 +96,13 @@
             commit: base.max(start.hard.commit.min(log.last_index())),
             applied: base,
             persisted: log.last_index(),
-            handed_out: log.last_index(),
+            emitted: log.last_index(),
             log,
             lists,
             snapshot: start.snapshot,
             state: State::Follower,
             leader: None,
-            // As if it had just heard from a leader: it may have, in its life before.
+            // Assumes that the previous incarnation heard from a leader just before it ended.
             heard: Some(now),
             deadline: now,
             incoming: None,
@@ -111,15 +111,15 @@
             hard_written: start.hard,
         };
         core.reset_deadline(now);
-        core.hand_out_committed();
+        core.emit_committed();
         core
     }
 
-    /// Takes in one input.
+    /// Processes one input.
     pub fn step(&mut self, now: Millis, input: Input) {
         match input {
             Input::Tick => self.tick(now),
-            Input::Message(letter) => self.letter(now, letter),
+            Input::Message(message) => self.handle_message(now, message),
             Input::Propose { ticket, data } => match self.propose(Kind::Change, data) {
                 Ok(index) => {
                     let term = self.hard.term;
@@ -136,33 +136,33 @@
         }
     }
 
-    /// Hands out what the shell must do, in order; called after one or more steps.
+    /// Returns what the caller must do, in order. Called after one or more steps.
     pub fn outputs(&mut self, now: Millis) -> Vec<Output> {
         self.flush(now);
-        self.hand_out_committed();
+        self.emit_committed();
         self.hard.commit = self.commit;
         let entries = std::mem::take(&mut self.unwritten);
-        self.handed_out = self.log.last_index();
-        // The commit index alone is worth no write: it is only a hint for a restart.
-        let must = self.hard.term != self.hard_written.term
+        self.emitted = self.log.last_index();
+        // A changed commit index alone needs no write, because it is only a hint for a restart.
+        let must_persist = self.hard.term != self.hard_written.term
             || self.hard.vote != self.hard_written.vote
             || !entries.is_empty();
         let mut outputs = std::mem::take(&mut self.outputs);
-        if must {
+        if must_persist {
             self.hard_written = self.hard;
             outputs.insert(0, Output::Persist { hard: Some(self.hard), entries });
         }
-        // An installed snapshot replaces the files, so it goes before entries that follow it.
+        // An installed snapshot replaces the files, so it must come before the entries that follow it.
         outputs.sort_by_key(|output| !matches!(output, Output::Install { .. }));
         outputs
     }
 
-    /// The identity of this replica.
+    /// Returns the identity of this replica.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The role now.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         match self.state {
             State::Follower => Role::Follower,
@@ -172,42 +172,42 @@
         }
     }
 
-    /// The term now.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
 
-    /// The leader, as far as this replica knows.
+    /// Returns the leader, if this replica knows one.
     pub fn leader(&self) -> Option<&Member> {
         self.leader.and_then(|id| self.lists.current().get(id))
     }
 
-    /// When this replica last heard from a leader; at its start as if it just had.
+    /// Returns when this replica last heard from a leader, or its own start time if it has not heard from one.
     pub fn heard(&self) -> Option<Millis> {
         self.heard
     }
 
-    /// The members in force.
+    /// Returns the members according to the log.
     pub fn members(&self) -> &Members {
         self.lists.current()
     }
 
-    /// Index of the last entry known to be accepted.
+    /// Returns the index of the last entry known to be committed.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry in the log.
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
 
-    /// Entries in memory since the last snapshot.
+    /// Returns the number of applied entries since the last snapshot.
     pub fn uncompacted(&self) -> u64 {
         self.applied.saturating_sub(self.log.base_index())
     }
 
-    /// The members and term at an applied index, for a snapshot of the state there.
+    /// Returns the term and the members at an applied index, for a snapshot of the state there.
     pub fn head_at(&self, index: u64) -> Option<pond_proto::quorum::SnapshotHead> {
         let term = self.log.term(index)?;
         let members = self.lists.at(index).clone();
@@ -222,34 +222,35 @@
         }
     }
 
-    fn letter(&mut self, now: Millis, letter: Letter) {
-        if letter.to != self.id {
+    fn handle_message(&mut self, now: Millis, message: Letter) {
+        if message.to != self.id {
             return;
         }
-        let Some(body) = letter.body else { return };
-        let from = letter.from;
-        // A pre-vote and its refusal carry a term that nobody has taken yet.
-        let hypothetical = match &body {
-            Body::VoteAsk(ask) => ask.pre || !self.may_disturb(now, ask.handover),
-            Body::VoteTell(tell) => tell.pre && tell.granted,
+        let Some(body) = message.body else { return };
+        let from = message.from;
+        // A pre-vote and its approval carry a term that no replica has adopted yet. A request that is
+        // refused for the sake of the current leader must not raise the term either.
+        let ignores_term = match &body {
+            Body::VoteAsk(request) => request.pre || !self.accepts_candidate(now, request.handover),
+            Body::VoteTell(reply) => reply.pre && reply.granted,
             _ => false,
         };
-        if letter.term > self.hard.term && !hypothetical {
+        if message.term > self.hard.term && !ignores_term {
             let leader = matches!(body, Body::Append(_) | Body::Chunk(_)).then_some(from);
-            self.become_follower(now, letter.term, leader);
+            self.become_follower(now, message.term, leader);
         }
         match body {
-            Body::VoteAsk(ask) => self.vote_ask(now, from, letter.term, ask),
-            Body::VoteTell(tell) => self.vote_tell(now, from, letter.term, tell),
-            Body::Append(append) => self.append(now, from, letter.term, append),
-            Body::AppendTell(tell) if letter.term == self.hard.term => {
-                self.append_tell(now, from, tell);
+            Body::VoteAsk(request) => self.handle_vote_request(now, from, message.term, request),
+            Body::VoteTell(reply) => self.handle_vote(now, from, message.term, reply),
+            Body::Append(append) => self.handle_append(now, from, message.term, append),
+            Body::AppendTell(reply) if message.term == self.hard.term => {
+                self.handle_append_reply(now, from, reply);
             }
-            Body::Chunk(chunk) => self.chunk(now, from, letter.term, chunk),
-            Body::ChunkTell(tell) if letter.term == self.hard.term => {
-                self.chunk_tell(now, from, tell);
+            Body::Chunk(chunk) => self.handle_chunk(now, from, message.term, chunk),
+            Body::ChunkTell(reply) if message.term == self.hard.term => {
+                self.handle_chunk_reply(now, from, reply);
             }
-            Body::TakeOver(_) if letter.term == self.hard.term => self.take_over(now, from),
+            Body::TakeOver(_) if message.term == self.hard.term => self.handle_take_over(now, from),
             _ => {}
         }
     }
@@ -271,28 +272,28 @@
         self.deadline = now + self.rng.random_range(span..span * 2);
     }
 
-    /// The shortest time after which a follower that hears nothing asks for votes, on the clock
-    /// of a leader that may be slow.
+    /// Returns the shortest election timeout of a follower, as measured by the clock of a leader that
+    /// may run slow.
     pub(crate) fn lease_span(&self) -> Span {
         let span = self.tuning.election_ms;
         span - span * self.tuning.drift_permille / 1000
     }
 
-    pub(crate) fn letter_to(&self, to: u64, body: Body) -> Letter {
+    pub(crate) fn message_to(&self, to: u64, body: Body) -> Letter {
         Letter { from: self.id, to, term: self.hard.term, body: Some(body) }
     }
 
     pub(crate) fn send(&mut self, to: u64, body: Body) {
-        let letter = self.letter_to(to, body);
-        self.outputs.push(Output::Send(letter));
+        let message = self.message_to(to, body);
+        self.outputs.push(Output::Send(message));
     }
 
     pub(crate) fn send_durable(&mut self, to: u64, body: Body) {
-        let letter = self.letter_to(to, body);
-        self.outputs.push(Output::SendDurable(letter));
+        let message = self.message_to(to, body);
+        self.outputs.push(Output::SendDurable(message));
     }
 
-    /// Appends an entry as leader.
+    /// Appends an entry to the log, as leader.
     pub(crate) fn propose(&mut self, kind: Kind, data: Vec<u8>) -> Result<u64, Rejection> {
         let State::Leader(leading) = &self.state else { return Err(Rejection::NotLeader) };
         if leading.handing_over() {
@@ -305,7 +306,7 @@
     }
 
     pub(crate) fn append_entry(&mut self, entry: Entry) {
-        if self.lists.take(&entry) {
+        if self.lists.append(&entry) {
             self.outputs.push(Output::MembersChanged(self.lists.current().clone()));
         }
         self.unwritten.push(entry.clone());
@@ -313,13 +314,13 @@
     }
 
     fn persisted(&mut self, now: Millis) {
-        self.persisted = self.handed_out;
+        self.persisted = self.emitted;
         if matches!(self.state, State::Leader(_)) {
             self.advance_commit(now);
         }
     }
 
-    pub(crate) fn hand_out_committed(&mut self) {
+    pub(crate) fn emit_committed(&mut self) {
         if self.commit <= self.applied {
             return;
         }
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and taking over on request.
+//! Elections: pre-vote, vote, and taking over leadership on request.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,11 @@
 use crate::io::Output;
 
 impl Core {
-    /// Whether a candidate may make this replica leave its leader.
+    /// Whether this replica may abandon its leader for a candidate.
     ///
-    /// Not while it leads itself with a majority or has heard from a leader a moment ago, unless
-    /// that leader asked for it.
-    pub(crate) fn may_disturb(&self, now: Millis, handover: bool) -> bool {
+    /// It may not while it leads itself or has heard from a leader within the shortest election
+    /// timeout, unless that leader requested the election.
+    pub(crate) fn accepts_candidate(&self, now: Millis, handover: bool) -> bool {
         if handover {
             return true;
         }
@@ -35,7 +35,7 @@
             self.start_vote(now, false);
             return;
         }
-        self.ask_all(true, false);
+        self.request_votes(true, false);
     }
 
     pub(crate) fn start_vote(&mut self, now: Millis, handover: bool) {
@@ -49,11 +49,11 @@
             self.become_leader(now);
             return;
         }
-        self.ask_all(false, handover);
+        self.request_votes(false, handover);
     }
 
-    fn ask_all(&mut self, pre: bool, handover: bool) {
-        let ask = VoteAsk {
+    fn request_votes(&mut self, pre: bool, handover: bool) {
+        let request = VoteAsk {
             pre,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
@@ -61,31 +61,37 @@
         };
         let voters: Vec<u64> = self.lists.current().voters().filter(|id| *id != self.id).collect();
         for to in voters {
-            let mut letter = self.letter_to(to, Body::VoteAsk(ask));
-            letter.term += u64::from(pre);
-            // A vote for itself must last before it is counted on.
-            let output = if pre { Output::Send(letter) } else { Output::SendDurable(letter) };
+            let mut message = self.message_to(to, Body::VoteAsk(request));
+            message.term += u64::from(pre);
+            // The candidate's vote for itself must be durable before it counts.
+            let output = if pre { Output::Send(message) } else { Output::SendDurable(message) };
             self.outputs.push(output);
         }
     }
 
-    pub(crate) fn vote_ask(&mut self, now: Millis, from: u64, term: u64, ask: VoteAsk) {
-        let newer =
-            (ask.last_term, ask.last_index) >= (self.log.last_term(), self.log.last_index());
-        let willing = newer && self.may_disturb(now, ask.handover);
-        if ask.pre {
+    pub(crate) fn handle_vote_request(
+        &mut self,
+        now: Millis,
+        from: u64,
+        term: u64,
+        request: VoteAsk,
+    ) {
+        let up_to_date = (request.last_term, request.last_index)
+            >= (self.log.last_term(), self.log.last_index());
+        let willing = up_to_date && self.accepts_candidate(now, request.handover);
+        if request.pre {
             let granted = willing && term > self.hard.term;
-            let letter = Letter {
+            let message = Letter {
                 from: self.id,
                 to: from,
                 term: if granted { term } else { self.hard.term },
                 body: Some(Body::VoteTell(VoteTell { pre: true, granted })),
             };
-            self.outputs.push(Output::Send(letter));
+            self.outputs.push(Output::Send(message));
             return;
         }
-        let free = self.hard.vote == 0 || self.hard.vote == from;
-        let granted = willing && term == self.hard.term && free;
+        let vote_available = self.hard.vote == 0 || self.hard.vote == from;
+        let granted = willing && term == self.hard.term && vote_available;
         if granted {
             self.hard.vote = from;
             self.reset_deadline(now);
@@ -93,19 +99,19 @@
         self.send_durable(from, Body::VoteTell(VoteTell { pre: false, granted }));
     }
 
-    pub(crate) fn vote_tell(&mut self, now: Millis, from: u64, term: u64, tell: VoteTell) {
-        if !tell.granted || !self.lists.current().votes(from) {
+    pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteTell) {
+        if !reply.granted || !self.lists.current().votes(from) {
             return;
         }
         let majority = self.lists.current().majority();
         match &mut self.state {
-            State::PreCandidate(votes) if tell.pre && term == self.hard.term + 1 => {
+            State::PreCandidate(votes) if reply.pre && term == self.hard.term + 1 => {
                 votes.insert(from);
                 if votes.len() >= majority {
                     self.start_vote(now, false);
                 }
             }
-            State::Candidate(votes) if !tell.pre && term == self.hard.term => {
+            State::Candidate(votes) if !reply.pre && term == self.hard.term => {
                 votes.insert(from);
                 if votes.len() >= majority {
                     self.become_leader(now);
@@ -115,7 +121,7 @@
         }
     }
 
-    pub(crate) fn take_over(&mut self, now: Millis, from: u64) {
+    pub(crate) fn handle_take_over(&mut self, now: Millis, from: u64) {
         if self.leader == Some(from) && self.lists.current().votes(self.id) {
             self.start_vote(now, true);
         }
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -1,4 +1,4 @@
-//! Following a leader: appends and snapshots.
+//! The follower's part: appends and snapshots from the leader.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 use crate::io::{Output, SnapshotImage};
 use crate::members::Lists;
 
-/// A snapshot that is coming in.
+/// A snapshot that is being received.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     index: u64,
     crc: u32,
     data: Vec<u8>,
 }
 
 impl Core {
-    /// Takes note of a message from a leader; false if that leader is out of date.
-    fn hear(&mut self, now: Millis, from: u64, term: u64) -> bool {
+    /// Records a message from a leader. Returns `false` if that leader's term is outdated.
+    fn heard_leader(&mut self, now: Millis, from: u64, term: u64) -> bool {
         if term < self.hard.term {
             return false;
         }
@@ -31,22 +31,23 @@
         true
     }
 
-    pub(crate) fn append(&mut self, now: Millis, from: u64, term: u64, append: Append) {
-        if !self.hear(now, from, term) {
-            // Tells an old leader the new term.
-            let tell = AppendTell { fitted: false, index: 0, hint_term: 0, round: append.round };
-            self.send(from, Body::AppendTell(tell));
+    pub(crate) fn handle_append(&mut self, now: Millis, from: u64, term: u64, append: Append) {
+        if !self.heard_leader(now, from, term) {
+            // Informs an outdated leader of the new term.
+            let reply = AppendTell { fitted: false, index: 0, hint_term: 0, round: append.round };
+            self.send(from, Body::AppendTell(reply));
             return;
         }
         let round = append.round;
-        let tell = match self.merge(append) {
+        let reply = match self.merge(append) {
             Ok(index) => AppendTell { fitted: true, index, hint_term: 0, round },
             Err((index, hint_term)) => AppendTell { fitted: false, index, hint_term, round },
         };
-        self.send_durable(from, Body::AppendTell(tell));
+        self.send_durable(from, Body::AppendTell(reply));
     }
 
-    /// Merges entries into the log; the last equal index, or where it may be equal and its term.
+    /// Merges entries into the log. Returns the last index up to which the log matches the leader's, or,
+    /// as an error, the index and the term at which the logs may match.
     fn merge(&mut self, append: Append) -> Result<u64, (u64, u64)> {
         let previous = append.previous_index;
         if previous >= self.log.base_index()
@@ -76,35 +77,37 @@
     }
 
     fn truncate(&mut self, index: u64) {
-        // What is committed is never replaced; a leader that asks for it is not one.
+        // A legitimate leader never replaces a committed entry.
         assert!(index > self.commit, "a committed entry would be replaced");
         self.log.truncate(index);
         self.persisted = self.persisted.min(index - 1);
-        self.handed_out = self.handed_out.min(index - 1);
+        self.emitted = self.emitted.min(index - 1);
         self.unwritten.retain(|entry| entry.index < index);
         if self.lists.truncate(index) {
             self.outputs.push(Output::MembersChanged(self.lists.current().clone()));
         }
     }
 
-    pub(crate) fn chunk(&mut self, now: Millis, from: u64, term: u64, chunk: Chunk) {
-        if !self.hear(now, from, term) {
+    pub(crate) fn handle_chunk(&mut self, now: Millis, from: u64, term: u64, chunk: Chunk) {
+        if !self.heard_leader(now, from, term) {
             return;
         }
         let (index, round) = (chunk.index, chunk.round);
-        let have = self.take_chunk(chunk);
+        let have = self.add_chunk(chunk);
         self.send_durable(from, Body::ChunkTell(ChunkTell { index, have, round }));
     }
 
-    /// Takes in a piece; how many bytes of the snapshot are there now.
-    fn take_chunk(&mut self, chunk: Chunk) -> u64 {
+    /// Adds a chunk to the incoming snapshot. Returns how many bytes of it have been received.
+    fn add_chunk(&mut self, chunk: Chunk) -> u64 {
         if chunk.index <= self.commit {
             return chunk.total;
         }
-        let same = |incoming: &Incoming| incoming.index == chunk.index && incoming.crc == chunk.crc;
+        let same = |incoming: &IncomingSnapshot| {
+            incoming.index == chunk.index && incoming.crc == chunk.crc
+        };
         if !self.incoming.as_ref().is_some_and(same) {
             let (index, crc) = (chunk.index, chunk.crc);
-            self.incoming = Some(Incoming { index, crc, data: Vec::new() });
+            self.incoming = Some(IncomingSnapshot { index, crc, data: Vec::new() });
         }
         let Some(incoming) = &mut self.incoming else { return 0 };
         if incoming.data.len() as u64 == chunk.offset {
@@ -123,8 +126,9 @@
         have
     }
 
-    /// Takes a whole snapshot in place of the log before it. What the log holds behind it stays if
-    /// it fits, since the leader may have counted on it.
+    /// Installs a complete snapshot in place of the log up to its index. Later entries are kept if the
+    /// snapshot matches the log, because this replica may have acknowledged them and the leader may
+    /// have counted them as stored.
     fn install(&mut self, image: SnapshotImage) {
         let head = &image.head;
         let keeps_log = self.log.term(head.index) == Some(head.term);
@@ -136,7 +140,7 @@
             self.log.reset(head.index, head.term);
             self.lists = Lists::new(head.index, head.members.clone());
             self.persisted = head.index;
-            self.handed_out = head.index;
+            self.emitted = head.index;
             self.unwritten.clear();
             self.outputs.push(Output::MembersChanged(head.members.clone()));
         }
--- a/crates/pond-quorum/src/io.rs
+++ b/crates/pond-quorum/src/io.rs
@@ -1,11 +1,11 @@
-//! What goes into the core and what comes out.
+//! Inputs and outputs of the core.
 
 use std::sync::Arc;
 
 use pond_proto::quorum::{Entry, Hard, Letter, Member, Members, SnapshotHead};
 use pond_store::{Snapshot, Write};
 
-/// Names something that the shell asked for, so that it can match the answer.
+/// Identifies a request of the caller, so that it can match the answer.
 pub type Ticket = u64;
 
 /// Something that happens to a replica.
@@ -13,100 +13,100 @@
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message came in.
+    /// A message was received.
     Message(Letter),
-    /// The shell wants an entry in the log.
+    /// The caller proposes an entry for the log.
     Propose {
-        /// Comes back in [`Output::Appended`] or [`Output::Rejected`].
+        /// Returned in [`Output::Appended`] or [`Output::Rejected`].
         ticket: Ticket,
         /// The encoded change.
         data: Vec<u8>,
     },
-    /// The shell wants to read the state as it is now or later.
+    /// The caller wants to read a state that is at least as new as the current one.
     Read {
-        /// Comes back in [`Output::ReadReady`] or [`Output::Rejected`].
+        /// Returned in [`Output::ReadReady`] or [`Output::Rejected`].
         ticket: Ticket,
     },
-    /// Everything that was handed out in [`Output::Persist`] so far lasts.
+    /// The contents of all [`Output::Persist`] so far are durable.
     Persisted,
-    /// The shell has saved a snapshot of the state; entries up to it may be dropped.
+    /// The caller has saved a snapshot of the state; entries up to its index may be dropped.
     Compact(SnapshotImage),
-    /// The shell wants another replica to lead, as this one will stop.
+    /// The caller wants another replica to take over leadership.
     HandOver,
-    /// The shell wants a member added as learner; it votes when it has caught up.
+    /// The caller wants a member added as a learner; it becomes a voter once it has caught up.
     Add(Member),
-    /// The shell wants the member with that identity removed.
+    /// The caller wants the member with this identity removed.
     Remove(u64),
 }
 
 /// A snapshot in memory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotImage {
-    /// What it stands for.
+    /// Its index, its term and the members.
     pub head: SnapshotHead,
-    /// The state's bytes.
+    /// The encoded state.
     pub data: Arc<Vec<u8>>,
 }
 
-/// Why something could not be done.
+/// Why a proposal or a read was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// This replica does not lead.
     NotLeader,
     /// The leader has not yet committed an entry of its own term.
     NotReady,
-    /// The leader is handing over.
+    /// The leader is handing over leadership.
     HandingOver,
     /// Another change of members is not yet committed.
     MembersChanging,
 }
 
-/// Something the shell must do, in this order.
+/// An action for the caller. Actions must be taken in the order in which they are returned.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Write to the log's files; must last before [`Output::SendDurable`] of the same step goes
-    /// out, and then be answered by [`Input::Persisted`].
+    /// Write to the log's files. The data must be durable before [`Output::SendDurable`] of the same
+    /// step is sent, and must then be confirmed by [`Input::Persisted`].
     Persist {
         /// Term, vote and commit index, if they changed.
         hard: Option<Hard>,
-        /// Entries; the first one replaces what has its index and all after it.
+        /// Entries. The first one replaces any stored entry with its index and all later ones.
         entries: Vec<Entry>,
     },
-    /// Send now.
+    /// Send at once.
     Send(Letter),
-    /// Send once all that was handed out before lasts.
+    /// Send once all previously returned writes are durable.
     SendDurable(Letter),
-    /// The proposal stands in the log at this place; it is accepted when an entry of this place
-    /// and term is applied.
+    /// The proposal was appended to the log at this position. It is committed once an entry with this
+    /// index and term is applied.
     Appended {
-        /// The proposal's.
+        /// The ticket of the proposal.
         ticket: Ticket,
-        /// Its index.
+        /// The index of the entry.
         index: u64,
-        /// Its term.
+        /// The term of the entry.
         term: u64,
     },
-    /// It could not be done.
+    /// A proposal or a read was rejected.
     Rejected {
-        /// The proposal's or the read's.
+        /// The ticket of the proposal or of the read.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         rejection: Rejection,
     },
-    /// Apply these accepted entries to the state.
+    /// Apply these committed entries to the state.
     Apply(Vec<Entry>),
-    /// Replace the state and the snapshot file by this.
+    /// Replace the state and the snapshot file with this snapshot.
     Install {
         /// The snapshot.
         image: SnapshotImage,
-        /// Whether the log's files keep what they hold behind it.
+        /// Whether the log's files keep the entries after the snapshot's index.
         keeps_log: bool,
     },
     /// The state may be read for this ticket once entries up to `index` are applied.
     ReadReady {
-        /// The read's.
+        /// The ticket of the read.
         ticket: Ticket,
-        /// See above.
+        /// The index up to which entries must be applied.
         index: u64,
     },
     /// The role, the term or the leader changed.
@@ -116,7 +116,7 @@
 }
 
 impl Output {
-    /// What of it must last, as the writer of the durable files takes it.
+    /// Returns the durable write that this output requires, if any, for [`pond_store::Writer`].
     pub fn durable_write(&self) -> Option<Write> {
         match self {
             Output::Persist { hard, entries } => {
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -1,4 +1,4 @@
-//! Leading: replication, commit, reads, members, handing over.
+//! The leader's part: replication, commit, reads, members, and the handover of leadership.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +12,7 @@
 use crate::io::{Output, Rejection, Ticket};
 use crate::progress::Progress;
 
-/// A read that waits for a majority to confirm the leader.
+/// A read that waits until a majority confirms the leader.
 #[derive(Debug)]
 struct Read {
     ticket: Ticket,
@@ -20,28 +20,28 @@
     round: u64,
 }
 
-/// What a leader keeps.
+/// The state of a leader.
 #[derive(Debug)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     progress: BTreeMap<u64, Progress>,
     first_index: u64,
     round: u64,
-    /// When each round that is not yet answered by all was sent.
+    /// The recent rounds of heartbeats and when each was sent.
     rounds: VecDeque<(u64, Millis)>,
     reads: VecDeque<Read>,
-    beat: Millis,
+    heartbeat_sent: Millis,
     since: Millis,
     handover: Option<(u64, Millis)>,
 }
 
-impl Leading {
+impl LeaderState {
     pub(crate) fn handing_over(&self) -> bool {
         self.handover.is_some()
     }
 }
 
-/// Rounds whose sending time is kept.
-const ROUNDS_KEPT: usize = 4096;
+/// Maximum number of rounds whose sending time is kept.
+const MAX_ROUNDS: usize = 4096;
 
 impl Core {
     pub(crate) fn become_leader(&mut self, now: Millis) {
@@ -49,17 +49,17 @@
         let others = self.lists.current().list.iter().filter(|member| member.id != self.id);
         let progress = others.map(|member| (member.id, Progress::new(last))).collect();
         self.leader = Some(self.id);
-        self.state = State::Leader(Leading {
+        self.state = State::Leader(LeaderState {
             progress,
             first_index: last + 1,
             round: 0,
             rounds: VecDeque::new(),
             reads: VecDeque::new(),
-            beat: now,
+            heartbeat_sent: now,
             since: now,
             handover: None,
         });
-        // The members go into the log with the first entry, so that all replicas agree on them.
+        // The first entry holds the members, so that all replicas agree on them.
         let members = self.lists.current().encode_to_vec();
         let _ = self.propose(Kind::Members, members);
         self.outputs.push(Output::RoleChanged);
@@ -74,9 +74,11 @@
         }
     }
 
-    /// Until when no other replica can lead, on this replica's clock; none if it does not lead.
+    /// Returns until when no other replica can lead, on this replica's clock; `None` if this replica does
+    /// not lead or is handing over.
     ///
-    /// A majority heard from this leader at the time behind it and elects nobody for a while.
+    /// The lease starts when the leader sent the last round that a majority answered. That majority elects
+    /// no other replica before the election timeout has passed.
     pub fn lease_until(&self) -> Option<Millis> {
         let State::Leader(leading) = &self.state else { return None };
         if leading.handing_over() {
@@ -85,14 +87,14 @@
         Some(self.majority_heard()? + self.lease_span())
     }
 
-    /// Up to which entry a follower has acknowledged the log to this leader; none if this replica
-    /// does not lead or knows no such follower.
+    /// Returns the index up to which a follower has acknowledged the log; `None` if this replica does not
+    /// lead or knows no such follower.
     pub fn acknowledged(&self, id: u64) -> Option<u64> {
         let State::Leader(leading) = &self.state else { return None };
         leading.progress.get(&id).map(|progress| progress.matched)
     }
 
-    /// The latest time at which a majority, this replica among it, still followed.
+    /// Returns the latest time at which a majority, which includes this replica, still followed it.
     fn majority_heard(&self) -> Option<Millis> {
         let State::Leader(leading) = &self.state else { return None };
         let members = self.lists.current();
@@ -108,19 +110,19 @@
     }
 
     pub(crate) fn tick_leader(&mut self, now: Millis) {
-        let patience = self.tuning.election_ms * 2;
+        let timeout = self.tuning.election_ms * 2;
         let heard = self.majority_heard().unwrap_or(now);
         let State::Leader(leading) = &mut self.state else { return };
-        if now.since(heard) > patience && now.since(leading.since) > patience {
+        if now.since(heard) > timeout && now.since(leading.since) > timeout {
             self.become_follower(now, self.hard.term, None);
             return;
         }
         if leading.handover.is_some_and(|(_, until)| now >= until) {
-            // The request may still be under way, so this term's lease cannot be trusted again.
+            // The request to take over may still be in transit, so the lease of this term is no longer safe.
             self.become_follower(now, self.hard.term, None);
             return;
         }
-        if now.since(leading.beat) >= self.tuning.heartbeat_ms {
+        if now.since(leading.heartbeat_sent) >= self.tuning.heartbeat_ms {
             self.broadcast(now);
         }
         self.promote();
@@ -130,9 +132,9 @@
     fn broadcast(&mut self, now: Millis) {
         let State::Leader(leading) = &mut self.state else { return };
         leading.round += 1;
-        leading.beat = now;
+        leading.heartbeat_sent = now;
         leading.rounds.push_back((leading.round, now));
-        if leading.rounds.len() > ROUNDS_KEPT {
+        if leading.rounds.len() > MAX_ROUNDS {
             leading.rounds.pop_front();
         }
         let ids: Vec<u64> = leading.progress.keys().copied().collect();
@@ -146,8 +148,9 @@
         let State::Leader(leading) = &mut self.state else { return };
         let round = leading.round;
         let Some(progress) = leading.progress.get_mut(&to) else { return };
-        // Lost answers must not keep the window closed for ever. Answers to heartbeats count as well,
-        // so what was lost is also known by entries that were sent and are not acknowledged.
+        // Lost answers must not keep the send window closed forever. Answers to heartbeats also reduce
+        // the number of appends in flight, so a loss also shows by entries that were sent and are not
+        // acknowledged.
         let unanswered = progress.in_flight > 0 || progress.unacknowledged();
         if unanswered && now.since(progress.sent) > election_ms {
             progress.in_flight = 0;
@@ -160,7 +163,7 @@
             (None, true) => progress.next - 1,
             (None, false) => progress.matched,
         };
-        // Where the entry is gone, a heartbeat from the very start fits every log.
+        // If that entry was compacted, the heartbeat refers to the start of the log, which fits every log.
         let (previous, term) = self.log.term(previous).map_or((0, 0), |term| (previous, term));
         if stalled {
             self.send_chunk(now, to);
@@ -175,7 +178,7 @@
         self.send(to, Body::Append(append));
     }
 
-    /// Sends entries that have not been sent, as far as the windows allow.
+    /// Sends entries that have not been sent yet, as far as the send windows allow.
     pub(crate) fn flush(&mut self, now: Millis) {
         let State::Leader(leading) = &mut self.state else { return };
         let waiting = leading.reads.back().is_some_and(|read| read.round > leading.round);
@@ -189,9 +192,9 @@
         }
     }
 
-    /// Sends one append with entries; false when there is none to send now.
+    /// Sends one append with entries. Returns `false` if none can be sent now.
     fn send_entries(&mut self, now: Millis, to: u64) -> bool {
-        let window = self.tuning.in_flight;
+        let window = self.tuning.max_in_flight;
         let last = self.log.last_index();
         let State::Leader(leading) = &mut self.state else { return false };
         let round = leading.round;
@@ -205,7 +208,7 @@
             self.send_chunk(now, to);
             return false;
         };
-        let entries = self.log.range(progress.next, last, self.tuning.append_bytes);
+        let entries = self.log.range(progress.next, last, self.tuning.max_append_bytes);
         if !progress.probing {
             progress.next += entries.len() as u64;
         }
@@ -217,19 +220,19 @@
         true
     }
 
-    pub(crate) fn append_tell(&mut self, now: Millis, from: u64, tell: AppendTell) {
-        self.answered(from, tell.round);
+    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: u64, reply: AppendTell) {
+        self.record_answer(from, reply.round);
         let last = self.log.last_index();
         let State::Leader(leading) = &mut self.state else { return };
         let Some(progress) = leading.progress.get_mut(&from) else { return };
         progress.in_flight = progress.in_flight.saturating_sub(1);
-        if tell.fitted {
-            progress.matched_to(tell.index.min(last));
+        if reply.fitted {
+            progress.record_match(reply.index.min(last));
             self.advance_commit(now);
             self.hand_over_if_ready(from);
-        } else if tell.index < progress.next {
-            // Goes back to the last index at which the follower's term can be the leader's.
-            let at = self.log.last_at_most(tell.index, tell.hint_term);
+        } else if reply.index < progress.next {
+            // Backs up to the last index at which the terms of the two logs can match.
+            let at = self.log.last_at_most(reply.index, reply.hint_term);
             progress.next = at.max(progress.matched) + 1;
             progress.probing = true;
             progress.in_flight = 0;
@@ -237,8 +240,8 @@
         self.confirm_reads();
     }
 
-    /// Takes note that a follower answered a round.
-    fn answered(&mut self, from: u64, round: u64) {
+    /// Records that a follower answered a round of heartbeats.
+    fn record_answer(&mut self, from: u64, round: u64) {
         let State::Leader(leading) = &mut self.state else { return };
         let Some(progress) = leading.progress.get_mut(&from) else { return };
         if round <= progress.round {
@@ -262,24 +265,24 @@
         let mut indexes: Vec<u64> = members.voters().map(matched).collect();
         indexes.sort_unstable_by(|a, b| b.cmp(a));
         let Some(decisive) = indexes.get(members.majority() - 1).copied() else { return };
-        // Only entries of the own term are counted; older ones are committed with them.
+        // Only entries of the current term are committed by counting; older ones are committed with them.
         if decisive <= self.commit || self.log.term(decisive) != Some(self.hard.term) {
             return;
         }
         self.commit = decisive;
-        self.left_if_removed(now);
+        self.step_down_if_removed(now);
     }
 
-    fn left_if_removed(&mut self, now: Millis) {
-        let gone = self.lists.current().get(self.id).is_none();
-        if gone && self.lists.index() <= self.commit {
+    fn step_down_if_removed(&mut self, now: Millis) {
+        let removed = self.lists.current().get(self.id).is_none();
+        if removed && self.lists.index() <= self.commit {
             self.become_follower(now, self.hard.term, None);
         }
     }
 
     fn send_chunk(&mut self, now: Millis, to: u64) {
         let Some(image) = self.snapshot.clone() else { return };
-        let size = self.tuning.chunk_bytes;
+        let size = self.tuning.max_chunk_bytes;
         let State::Leader(leading) = &mut self.state else { return };
         let round = leading.round;
         let Some(progress) = leading.progress.get_mut(&to) else { return };
@@ -304,23 +307,23 @@
         self.send(to, Body::Chunk(chunk));
     }
 
-    pub(crate) fn chunk_tell(&mut self, now: Millis, from: u64, tell: ChunkTell) {
-        self.answered(from, tell.round);
+    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: ChunkTell) {
+        self.record_answer(from, reply.round);
         let total = self.snapshot.as_ref().map_or(0, |image| image.data.len() as u64);
         let State::Leader(leading) = &mut self.state else { return };
         let Some(progress) = leading.progress.get_mut(&from) else { return };
         let Some((index, _)) = progress.snapshot else { return };
-        if index != tell.index {
+        if index != reply.index {
             return;
         }
-        if tell.have >= total {
+        if reply.have >= total {
             progress.snapshot = None;
             progress.in_flight = 0;
-            progress.matched_to(index);
+            progress.record_match(index);
             progress.next = progress.matched + 1;
             self.advance_commit(now);
-        } else if progress.snapshot != Some((index, tell.have)) {
-            progress.snapshot = Some((index, tell.have));
+        } else if progress.snapshot != Some((index, reply.have)) {
+            progress.snapshot = Some((index, reply.have));
             self.send_chunk(now, from);
         }
         self.confirm_reads();
@@ -335,14 +338,14 @@
         }
         let index = self.commit;
         if let State::Leader(leading) = &mut self.state {
-            // Reads of one step share the round that `flush` starts.
+            // All reads of one step share the round that `flush` starts.
             let round = leading.round + 1;
             leading.reads.push_back(Read { ticket, index, round });
         }
         self.confirm_reads();
     }
 
-    /// Hands out the reads whose round a majority has answered.
+    /// Completes the reads whose round a majority has answered.
     fn confirm_reads(&mut self) {
         let members = self.lists.current();
         let State::Leader(leading) = &mut self.state else { return };
@@ -389,8 +392,8 @@
         }
     }
 
-    /// Whether a change of members may be proposed: none is open, and the leader is ready.
-    fn members_settled(&self) -> bool {
+    /// Whether a change of members may be proposed: the leader is ready and the previous change is committed.
+    fn may_change_members(&self) -> bool {
         self.ready() && self.lists.index() <= self.commit
     }
 
@@ -407,7 +410,7 @@
     }
 
     pub(crate) fn add(&mut self, member: Member) {
-        if !self.members_settled() || self.lists.current().get(member.id).is_some() {
+        if !self.may_change_members() || self.lists.current().get(member.id).is_some() {
             return;
         }
         let mut list = self.lists.current().list.clone();
@@ -416,7 +419,7 @@
     }
 
     pub(crate) fn remove(&mut self, id: u64) {
-        if !self.members_settled() || self.lists.current().get(id).is_none() {
+        if !self.may_change_members() || self.lists.current().get(id).is_none() {
             return;
         }
         let mut list = self.lists.current().list.clone();
@@ -426,13 +429,13 @@
         }
     }
 
-    /// Lets one learner vote that has caught up.
+    /// Makes one learner that has caught up a voter.
     fn promote(&mut self) {
-        if !self.members_settled() {
+        if !self.may_change_members() {
             return;
         }
         let last = self.log.last_index();
-        let caught_up = self.tuning.caught_up;
+        let caught_up = self.tuning.max_learner_lag;
         let State::Leader(leading) = &self.state else { return };
         let ready = |member: &&Member| {
             let progress = leading.progress.get(&member.id);
--- a/crates/pond-quorum/src/lib.rs
+++ b/crates/pond-quorum/src/lib.rs
@@ -1,9 +1,9 @@
 //! The quorum: a replicated log as a pure state machine.
 //!
-//! [`Core`] is given the time and one [`Input`] at a time and hands out [`Output`]s. It does no
+//! [`Core`] receives the current time and one [`Input`] at a time, and returns [`Output`]s. It does no
 //! I/O, reads no clock and draws its random numbers from a seed. Elections have a pre-vote, and a
-//! replica that hears from a leader refuses to elect another; a leader that hears from no
-//! majority steps down.
+//! replica that hears from a leader does not vote for another candidate. A leader that does not hear
+//! from a majority steps down.
 
 mod core;
 mod election;
--- a/crates/pond-quorum/src/log.rs
+++ b/crates/pond-quorum/src/log.rs
@@ -1,4 +1,4 @@
-//! The part of the log that is in memory.
+//! The part of the log that is kept in memory.
 
 use std::collections::VecDeque;
 
@@ -13,28 +13,28 @@
 }
 
 impl Log {
-    /// The entries that follow a snapshot.
+    /// Creates a log of the entries that follow a snapshot.
     pub fn new(head: Option<&SnapshotHead>, entries: Vec<Entry>) -> Log {
         let (base_index, base_term) = head.map_or((0, 0), |head| (head.index, head.term));
         Log { base_index, base_term, entries: entries.into() }
     }
 
-    /// Index of the last entry that was dropped.
+    /// Returns the index of the last entry that was dropped; 0 if none was.
     pub fn base_index(&self) -> u64 {
         self.base_index
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> u64 {
         self.base_index + self.entries.len() as u64
     }
 
-    /// Term of the last entry.
+    /// Returns the term of the last entry.
     pub fn last_term(&self) -> u64 {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// The term at an index; none if it was dropped or is not there yet.
+    /// Returns the term of the entry at an index; `None` if it was dropped or does not exist yet.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -47,7 +47,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push_back(entry);
@@ -59,7 +59,7 @@
         self.entries.truncate(keep as usize);
     }
 
-    /// Entries `from..=to`, at most about `bytes` bytes of them but at least one.
+    /// Returns the entries `from..=to`, cut off at `bytes` bytes of data, but at least one entry.
     pub fn range(&self, from: u64, to: u64, bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
@@ -74,7 +74,7 @@
         taken
     }
 
-    /// Drops entries up to `index`, which a snapshot holds.
+    /// Drops the entries up to `index`, which a snapshot covers.
     pub fn compact(&mut self, index: u64) {
         let Some(term) = self.term(index) else { return };
         let count = index.saturating_sub(self.base_index) as usize;
@@ -83,12 +83,12 @@
         self.base_term = term;
     }
 
-    /// Replaces everything by a snapshot.
+    /// Drops all entries; the log then follows a snapshot with this index and term.
     pub fn reset(&mut self, index: u64, term: u64) {
         *self = Log { base_index: index, base_term: term, entries: VecDeque::new() };
     }
 
-    /// The last index at or below `index` whose term is at most `term`.
+    /// Returns the last index at or below `index` whose term is at most `term`.
     pub fn last_at_most(&self, index: u64, term: u64) -> u64 {
         let mut at = index.min(self.last_index());
         while at > self.base_index && self.term(at).is_some_and(|found| found > term) {
--- a/crates/pond-quorum/src/members.rs
+++ b/crates/pond-quorum/src/members.rs
@@ -1,41 +1,41 @@
-//! The members as the log gives them, with those that may come back.
+//! The lists of members in the log, including earlier ones that may become current again.
 
 use pond_proto::quorum::{Entry, Kind, Members};
 use prost::Message;
 
-/// Lists of members with the index of the entry that made each.
+/// Lists of members, each with the index of its log entry.
 ///
-/// A replica uses the newest list in its log, accepted or not; when the entry is dropped from the
-/// log, the list before it is in force again.
+/// A replica uses the newest list in its log, whether it is committed or not. When that entry is
+/// dropped from the log, the previous list becomes current again.
 #[derive(Clone, Debug)]
 pub struct Lists {
     lists: Vec<(u64, Members)>,
 }
 
 impl Lists {
-    /// The list of a snapshot or of the first start.
+    /// Starts with the list of a snapshot or of the first start.
     pub fn new(index: u64, members: Members) -> Lists {
         Lists { lists: vec![(index, members)] }
     }
 
-    /// The list in force.
+    /// Returns the current list.
     pub fn current(&self) -> &Members {
         &self.lists[self.lists.len() - 1].1
     }
 
-    /// Index of the entry that made it.
+    /// Returns the index of the entry that holds the current list.
     pub fn index(&self) -> u64 {
         self.lists[self.lists.len() - 1].0
     }
 
-    /// The list in force at an index.
+    /// Returns the list that is current at an index.
     pub fn at(&self, index: u64) -> &Members {
-        let found = self.lists.iter().rev().find(|(made, _)| *made <= index);
+        let found = self.lists.iter().rev().find(|(made_at, _)| *made_at <= index);
         &found.unwrap_or(&self.lists[0]).1
     }
 
-    /// Takes in an entry; true if it made a new list.
-    pub fn take(&mut self, entry: &Entry) -> bool {
+    /// Processes a log entry. Returns `true` if it holds a new list.
+    pub fn append(&mut self, entry: &Entry) -> bool {
         if entry.kind() != Kind::Members {
             return false;
         }
@@ -44,18 +44,18 @@
         true
     }
 
-    /// Forgets lists made by entries from `index` on; true if the list in force changed.
+    /// Drops the lists of entries from `index` on. Returns `true` if the current list changed.
     pub fn truncate(&mut self, index: u64) -> bool {
         let before = self.lists.len();
         let first = self.lists[0].clone();
-        self.lists.retain(|(made, _)| *made < index);
+        self.lists.retain(|(made_at, _)| *made_at < index);
         if self.lists.is_empty() {
             self.lists.push(first);
         }
         self.lists.len() != before
     }
 
-    /// Forgets lists that were replaced at or before `index`.
+    /// Drops the lists that were replaced at or before `index`.
     pub fn compact(&mut self, index: u64) {
         while self.lists.len() > 1 && self.lists[1].0 <= index {
             self.lists.remove(0);
--- a/crates/pond-quorum/src/progress.rs
+++ b/crates/pond-quorum/src/progress.rs
@@ -1,30 +1,30 @@
-//! What a leader knows of one follower.
+//! The leader's view of a follower.
 
 use pond_proto::Millis;
 
-/// What a leader knows of one follower.
+/// The leader's view of one follower.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// The follower's log is durable and equal to the leader's up to here.
+    /// Index up to which the follower's log is durable and equal to the leader's.
     pub matched: u64,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub next: u64,
-    /// Appends without an answer.
+    /// Number of appends without an answer.
     pub in_flight: usize,
-    /// The place where the logs agree is being looked for: one append at a time.
+    /// Whether the index up to which the logs match is unknown. Then only one append is sent at a time.
     pub probing: bool,
-    /// The last round of heartbeats that it answered.
+    /// The last round of heartbeats that the follower answered.
     pub round: u64,
     /// When that round was sent.
     pub heard: Millis,
     /// When something was last sent to it.
     pub sent: Millis,
-    /// Bytes of the snapshot that it has, while it needs one, and the snapshot's index.
+    /// While the follower needs a snapshot: its index, and the bytes of it that the follower has.
     pub snapshot: Option<(u64, u64)>,
 }
 
 impl Progress {
-    /// A follower of which nothing is known, on a log that ends at `last`.
+    /// Creates the progress of a follower about which nothing is known; the leader's log ends at `last`.
     pub fn new(last: u64) -> Progress {
         Progress {
             matched: 0,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Whether entries were sent behind the place where the logs agree, and not acknowledged.
+    /// Whether entries have been sent that the follower has not acknowledged.
     pub fn unacknowledged(&self) -> bool {
         !self.probing && self.next > self.matched + 1
     }
 
-    /// Takes in that the logs are equal up to `index`.
-    pub fn matched_to(&mut self, index: u64) {
+    /// Records that the logs match up to `index`.
+    pub fn record_match(&mut self, index: u64) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
         self.probing = false;
--- a/crates/pond-quorum/src/tuning.rs
+++ b/crates/pond-quorum/src/tuning.rs
@@ -1,25 +1,24 @@
-//! Times and sizes of the quorum.
+//! Timing and size limits of the quorum.
 
 use pond_proto::Span;
 
-/// Times and sizes of the quorum.
+/// Timing and size limits of the quorum.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// A follower that has heard nothing for this long, or up to twice as long, asks for votes;
-    /// in milliseconds.
+    /// Shortest election timeout, in milliseconds; the actual timeout is random, up to twice as long.
     pub election_ms: Span,
-    /// Time between heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_ms: Span,
-    /// Bytes of entries in one append.
-    pub append_bytes: usize,
-    /// Appends to one follower that may be unanswered.
-    pub in_flight: usize,
-    /// Bytes of a snapshot in one chunk.
-    pub chunk_bytes: usize,
-    /// How far two clocks may drift apart, in thousandths.
+    /// Maximum size of the entries in one append, in bytes.
+    pub max_append_bytes: usize,
+    /// Maximum number of unanswered appends to one follower.
+    pub max_in_flight: usize,
+    /// Maximum size of a chunk of a snapshot, in bytes.
+    pub max_chunk_bytes: usize,
+    /// Maximum relative drift between two clocks, in thousandths.
     pub drift_permille: u64,
-    /// A learner counts as caught up when it lacks at most this many entries.
-    pub caught_up: u64,
+    /// Maximum number of entries that a learner may lack to count as caught up.
+    pub max_learner_lag: u64,
 }
 
 impl Default for Tuning {
@@ -27,11 +26,11 @@
         Tuning {
             election_ms: 300,
             heartbeat_ms: 50,
-            append_bytes: 512 << 10,
-            in_flight: 16,
-            chunk_bytes: 256 << 10,
+            max_append_bytes: 512 << 10,
+            max_in_flight: 16,
+            max_chunk_bytes: 256 << 10,
             drift_permille: 50,
-            caught_up: 64,
+            max_learner_lag: 64,
         }
     }
 }
