--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of voting and following, one replica and one message at a time.
+//! The rules for voting and following, tested on one replica with one message at a time.
 
 use pond_proto::Millis;
 use pond_proto::quorum::{
@@ -18,7 +18,7 @@
     Entry { index, term, kind: Kind::Change as i32, data: vec![1] }
 }
 
-/// Replica 1 in term 5 with two entries of term 4, started at time 1000.
+/// Creates replica 1 in term 5 with two entries of term 4, started at time 1000.
 fn replica(vote: u64) -> Core {
     let start = Start {
         id: 1,
@@ -33,12 +33,12 @@
     core
 }
 
-/// What replica 1 answers to a message of replica 2.
+/// Returns the answer of replica 1 to a message of replica 2.
 fn answer(core: &mut Core, now: u64, term: u64, body: Body) -> Option<Body> {
-    let letter = Letter { from: 2, to: 1, term, body: Some(body) };
-    core.step(Millis(now), Input::Message(letter));
+    let message = Letter { from: 2, to: 1, term, body: Some(body) };
+    core.step(Millis(now), Input::Message(message));
     core.outputs(Millis(now)).into_iter().find_map(|output| match output {
-        Output::Send(letter) | Output::SendDurable(letter) => letter.body,
+        Output::Send(message) | Output::SendDurable(message) => message.body,
         _ => None,
     })
 }
@@ -54,33 +54,33 @@
     }
 }
 
-/// Long after the start: the replica has heard from nobody for longer than the timeout.
-const LATE: u64 = 2000;
+/// A time at which the replica has not heard from any leader for longer than the election timeout.
+const AFTER_TIMEOUT: u64 = 2000;
 
 #[test]
-fn a_vote_is_given_once_a_term_to_a_log_that_is_not_older() {
+fn vote_is_given_once_per_term_to_an_up_to_date_log() {
     let table: [(&str, u64, u64, u64, VoteAsk, bool); 8] = [
-        ("an equal log", 0, LATE, 6, ask(2, 4), true),
-        ("a longer log", 0, LATE, 6, ask(9, 4), true),
-        ("a shorter log of a later term", 0, LATE, 6, ask(1, 5), true),
-        ("a shorter log", 0, LATE, 6, ask(1, 4), false),
-        ("a longer log of an earlier term", 0, LATE, 6, ask(9, 3), false),
-        ("an older term", 0, LATE, 4, ask(9, 4), false),
-        ("a second candidate of the term", 3, LATE, TERM, ask(2, 4), false),
-        ("the same candidate again", 2, LATE, TERM, ask(2, 4), true),
+        ("an equal log", 0, AFTER_TIMEOUT, 6, ask(2, 4), true),
+        ("a longer log", 0, AFTER_TIMEOUT, 6, ask(9, 4), true),
+        ("a shorter log of a later term", 0, AFTER_TIMEOUT, 6, ask(1, 5), true),
+        ("a shorter log", 0, AFTER_TIMEOUT, 6, ask(1, 4), false),
+        ("a longer log of an earlier term", 0, AFTER_TIMEOUT, 6, ask(9, 3), false),
+        ("an older term", 0, AFTER_TIMEOUT, 4, ask(9, 4), false),
+        ("a second candidate of the term", 3, AFTER_TIMEOUT, TERM, ask(2, 4), false),
+        ("the same candidate again", 2, AFTER_TIMEOUT, TERM, ask(2, 4), true),
     ];
     for (name, vote, now, term, ask, expected) in table {
         let mut core = replica(vote);
-        let told = granted(answer(&mut core, now, term, Body::VoteAsk(ask)));
-        assert_eq!(told, Some(expected), "{name}");
+        let reply = granted(answer(&mut core, now, term, Body::VoteAsk(ask)));
+        assert_eq!(reply, Some(expected), "{name}");
     }
 }
 
 #[test]
-fn a_restarted_replica_elects_nobody_before_the_timeout_has_passed() {
+fn restarted_replica_does_not_vote_before_the_election_timeout() {
     let mut core = replica(0);
     assert_eq!(granted(answer(&mut core, 1100, 6, Body::VoteAsk(ask(9, 9)))), Some(false));
-    assert_eq!(core.term(), TERM, "its term stays, so that it still follows the leader");
+    assert_eq!(core.term(), TERM, "its term must stay, so that it still follows the leader");
 }
 
 fn heartbeat(entries: Vec<Entry>) -> Body {
@@ -89,89 +89,95 @@
 }
 
 #[test]
-fn a_replica_that_hears_from_a_leader_elects_no_other_unless_that_leader_asks() {
+fn replica_that_hears_from_a_leader_elects_another_only_on_that_leaders_request() {
     let mut core = replica(0);
-    answer(&mut core, LATE, TERM, heartbeat(Vec::new()));
-    assert_eq!(granted(answer(&mut core, LATE + 100, 6, Body::VoteAsk(ask(9, 9)))), Some(false));
+    answer(&mut core, AFTER_TIMEOUT, TERM, heartbeat(Vec::new()));
+    assert_eq!(
+        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteAsk(ask(9, 9)))),
+        Some(false)
+    );
     assert_eq!(core.term(), TERM);
     let handover = VoteAsk { handover: true, ..ask(9, 9) };
-    assert_eq!(granted(answer(&mut core, LATE + 100, 6, Body::VoteAsk(handover))), Some(true));
+    assert_eq!(
+        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteAsk(handover))),
+        Some(true)
+    );
 }
 
 #[test]
-fn a_pre_vote_changes_neither_term_nor_vote() {
+fn pre_vote_changes_neither_term_nor_vote() {
     let mut core = replica(0);
     let pre = VoteAsk { pre: true, ..ask(9, 9) };
-    assert_eq!(granted(answer(&mut core, LATE, 6, Body::VoteAsk(pre))), Some(true));
+    assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteAsk(pre))), Some(true));
     assert_eq!(core.term(), TERM);
-    assert_eq!(granted(answer(&mut core, LATE, 6, Body::VoteAsk(ask(9, 9)))), Some(true));
+    assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteAsk(ask(9, 9)))), Some(true));
 }
 
 #[test]
-fn an_old_leader_is_not_listened_to_and_told_the_new_term() {
+fn outdated_leader_is_rejected_and_informed_of_the_new_term() {
     let mut core = replica(0);
-    let told = answer(&mut core, LATE, TERM - 1, heartbeat(vec![entry(3, 4)]));
-    assert!(matches!(told, Some(Body::AppendTell(tell)) if !tell.fitted), "{told:?}");
+    let reply = answer(&mut core, AFTER_TIMEOUT, TERM - 1, heartbeat(vec![entry(3, 4)]));
+    assert!(matches!(reply, Some(Body::AppendTell(reply)) if !reply.fitted), "{reply:?}");
     assert_eq!((core.last_index(), core.leader().is_some()), (2, false));
 }
 
 #[test]
-fn entries_that_do_not_follow_on_the_log_are_refused() {
+fn entries_that_do_not_follow_the_log_are_rejected() {
     let table: [(&str, u64, u64, bool); 3] = [
-        ("on its last entry", 2, 4, true),
+        ("after its last entry", 2, 4, true),
         ("after a gap", 3, 4, false),
-        ("on an entry of another term", 2, 3, false),
+        ("after an entry of another term", 2, 3, false),
     ];
     for (name, previous_index, previous_term, fits) in table {
         let mut core = replica(0);
         let entries = vec![entry(previous_index + 1, TERM)];
         let append = Append { previous_index, previous_term, entries, commit: 0, round: 1 };
-        let told = answer(&mut core, LATE, TERM, Body::Append(append));
-        let fitted = matches!(told, Some(Body::AppendTell(tell)) if tell.fitted);
+        let reply = answer(&mut core, AFTER_TIMEOUT, TERM, Body::Append(append));
+        let fitted = matches!(reply, Some(Body::AppendTell(reply)) if reply.fitted);
         assert_eq!((fitted, core.last_index()), (fits, if fits { 3 } else { 2 }), "{name}");
     }
 }
 
 #[test]
-fn answers_that_promise_something_wait_for_the_disk() {
-    let promises: [(&str, Body); 2] =
+fn votes_and_acknowledgements_wait_for_the_disk() {
+    let cases: [(&str, Body); 2] =
         [("an append", heartbeat(vec![entry(3, TERM)])), ("a vote", Body::VoteAsk(ask(9, 4)))];
-    for (name, body) in promises {
+    for (name, body) in cases {
         let mut core = replica(0);
-        let letter = Letter { from: 2, to: 1, term: 6, body: Some(body) };
-        core.step(Millis(LATE), Input::Message(letter));
-        let outputs = core.outputs(Millis(LATE));
+        let message = Letter { from: 2, to: 1, term: 6, body: Some(body) };
+        core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
+        let outputs = core.outputs(Millis(AFTER_TIMEOUT));
         assert!(matches!(outputs[0], Output::Persist { .. }), "{name}: {outputs:?}");
         let at_once = outputs.iter().any(|output| matches!(output, Output::Send(_)));
-        assert!(!at_once, "{name} is answered before it lasts");
+        assert!(!at_once, "{name} is answered before it is durable");
     }
 }
 
-/// Replica 1 just elected by replica 2 in term 6. Its log ends with its own first entry, 3.
+/// Creates replica 1 just elected by replica 2 in term 6. Its log ends with the first entry of its term, 3.
 fn leader() -> Core {
     let mut core = replica(0);
-    core.step(Millis(LATE), Input::Tick);
-    let tell = |pre| Body::VoteTell(VoteTell { pre, granted: true });
-    answer(&mut core, LATE, TERM + 1, tell(true));
-    let letter = Letter { from: 2, to: 1, term: TERM + 1, body: Some(tell(false)) };
-    core.step(Millis(LATE), Input::Message(letter));
+    core.step(Millis(AFTER_TIMEOUT), Input::Tick);
+    let vote = |pre| Body::VoteTell(VoteTell { pre, granted: true });
+    answer(&mut core, AFTER_TIMEOUT, TERM + 1, vote(true));
+    let message = Letter { from: 2, to: 1, term: TERM + 1, body: Some(vote(false)) };
+    core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
     assert_eq!((core.role(), core.last_index()), (Role::Leader, 3));
     core
 }
 
-/// Replica 2 acknowledges the log up to an index.
+/// Lets replica 2 acknowledge the log up to an index.
 fn acknowledge(core: &mut Core, index: u64) {
-    let tell = AppendTell { fitted: true, index, hint_term: 0, round: 1 };
-    let body = Some(Body::AppendTell(tell));
-    let letter = Letter { from: 2, to: 1, term: TERM + 1, body };
-    core.step(Millis(LATE + 10), Input::Message(letter));
+    let reply = AppendTell { fitted: true, index, hint_term: 0, round: 1 };
+    let body = Some(Body::AppendTell(reply));
+    let message = Letter { from: 2, to: 1, term: TERM + 1, body };
+    core.step(Millis(AFTER_TIMEOUT + 10), Input::Message(message));
 }
 
 #[test]
-fn entries_of_older_terms_are_committed_only_with_one_of_the_own_term() {
+fn entries_of_older_terms_are_committed_only_with_one_of_the_current_term() {
     let mut core = leader();
-    core.outputs(Millis(LATE));
-    core.step(Millis(LATE), Input::Persisted);
+    core.outputs(Millis(AFTER_TIMEOUT));
+    core.step(Millis(AFTER_TIMEOUT), Input::Persisted);
     acknowledge(&mut core, 2);
     assert_eq!(core.commit(), 0);
     acknowledge(&mut core, 3);
@@ -179,23 +185,26 @@
 }
 
 #[test]
-fn a_leader_counts_its_own_entries_only_once_they_last() {
+fn leader_counts_its_own_entries_only_once_they_are_durable() {
     let mut core = leader();
-    core.outputs(Millis(LATE));
+    core.outputs(Millis(AFTER_TIMEOUT));
     acknowledge(&mut core, 3);
     assert_eq!(core.commit(), 0, "its own disk and one follower are needed, or two followers");
-    core.step(Millis(LATE), Input::Persisted);
+    core.step(Millis(AFTER_TIMEOUT), Input::Persisted);
     assert_eq!(core.commit(), 3);
 }
 
 #[test]
-fn a_leader_that_hands_over_holds_no_lease() {
+fn leader_that_hands_over_holds_no_lease() {
     let mut core = leader();
-    assert!(core.lease_until().is_none_or(|until| until < Millis(LATE)), "nobody answered yet");
-    core.outputs(Millis(LATE));
-    core.step(Millis(LATE), Input::Persisted);
+    assert!(
+        core.lease_until().is_none_or(|until| until < Millis(AFTER_TIMEOUT)),
+        "nobody answered yet"
+    );
+    core.outputs(Millis(AFTER_TIMEOUT));
+    core.step(Millis(AFTER_TIMEOUT), Input::Persisted);
     acknowledge(&mut core, 3);
-    assert!(core.lease_until().is_some_and(|until| until > Millis(LATE + 10)));
-    core.step(Millis(LATE + 10), Input::HandOver);
+    assert!(core.lease_until().is_some_and(|until| until > Millis(AFTER_TIMEOUT + 10)));
+    core.step(Millis(AFTER_TIMEOUT + 10), Input::HandOver);
     assert_eq!(core.lease_until(), None);
 }
--- a/crates/pond-quorum/tests/schedule.rs
+++ b/crates/pond-quorum/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The promises of the quorum under schedules of failures.
+//! The guarantees of the quorum under random schedules of failures.
 
 use pond_proto::quorum::Member;
 use pond_quorum::{Input, Role};
@@ -11,13 +11,13 @@
     assert_eq!(cluster.wrong, None);
 }
 
-/// A cluster of three that has a leader and some accepted values.
-fn settled() -> (Cluster, u64) {
-    settled_under(1)
+/// Creates a cluster of three that has a leader and ten accepted values.
+fn with_values() -> (Cluster, u64) {
+    with_values_and_seed(1)
 }
 
-/// The same under another seed.
-fn settled_under(seed: u64) -> (Cluster, u64) {
+/// Like [`with_values`], with another seed.
+fn with_values_and_seed(seed: u64) -> (Cluster, u64) {
     let mut cluster = Cluster::new(3, seed, Faults::none());
     cluster.run(1500);
     let leader = cluster.leader().expect("a leader");
@@ -31,7 +31,7 @@
     #![proptest_config(cases(2000))]
 
     #[test]
-    fn three_replicas_keep_every_promise_when_everything_fails(seed in any::<u64>()) {
+    fn three_replicas_keep_every_guarantee_under_all_faults(seed in any::<u64>()) {
         check(Cluster::new(3, seed, Faults::all()), 3000);
     }
 }
@@ -40,7 +40,7 @@
     #![proptest_config(cases(300))]
 
     #[test]
-    fn five_replicas_keep_every_promise_when_everything_fails(seed in any::<u64>()) {
+    fn five_replicas_keep_every_guarantee_under_all_faults(seed in any::<u64>()) {
         check(Cluster::new(5, seed, Faults::all()), 3000);
     }
 
@@ -51,7 +51,7 @@
     }
 
     #[test]
-    fn full_disks_beside_everything_else_lose_nothing(seed in any::<u64>()) {
+    fn full_disks_with_all_other_faults_lose_nothing(seed in any::<u64>()) {
         check(Cluster::new(3, seed, Faults { full: 50, ..Faults::all() }), 3000);
     }
 
@@ -68,17 +68,17 @@
     }
 
     #[test]
-    fn cuts_alone_lose_nothing(seed in any::<u64>()) {
+    fn network_cuts_alone_lose_nothing(seed in any::<u64>()) {
         let faults = Faults { cut: 1000, drift: 40, ..Faults::none() };
         check(Cluster::new(3, seed, faults), 3000);
     }
 
     #[test]
-    fn a_lost_disk_while_all_others_lose_power_loses_nothing(seed in any::<u64>(), lost in 1..=3u64) {
+    fn lost_disk_while_all_others_lose_power_loses_nothing(seed in any::<u64>(), lost in 1..=3u64) {
         let mut cluster = Cluster::new(3, seed, Faults::all());
         cluster.run_under_load(1000);
         let accepted = cluster.run_until_accepted(60_000, 1..15);
-        prop_assert!(accepted, "nothing is accepted: {:?}", cluster.wrong);
+        prop_assert!(accepted, "no value was accepted: {:?}", cluster.wrong);
         cluster.lose_power(lost, 9);
         cluster.run_under_load(2000);
         if let Some(leader) = cluster.leader() {
@@ -94,7 +94,7 @@
     }
 
     #[test]
-    fn a_lost_disk_votes_for_nobody_and_loses_nothing(seed in any::<u64>()) {
+    fn replica_with_a_lost_disk_does_not_vote_and_nothing_is_lost(seed in any::<u64>()) {
         let mut cluster = Cluster::new(3, seed, Faults { loss: 20, ..Faults::none() });
         cluster.run_under_load(2000);
         let Some(leader) = cluster.leader() else { return Ok(()) };
@@ -115,9 +115,9 @@
 }
 
 #[test]
-fn another_replica_leads_while_the_leaders_disk_is_full_and_all_agree_once_it_has_room() {
+fn another_replica_leads_while_the_leaders_disk_is_full_and_all_agree_afterwards() {
     for seed in 1..=50 {
-        let (mut cluster, leader) = settled_under(seed);
+        let (mut cluster, leader) = with_values_and_seed(seed);
         cluster.fill(leader, 5_000);
         cluster.propose(leader);
         cluster.run(600);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn full_disks_disturb_no_leader() {
+fn full_disk_of_a_follower_does_not_disturb_the_leader() {
     for seed in 1..=100 {
         let mut cluster = Cluster::new(5, seed, Faults::none());
         cluster.run(1500);
@@ -140,7 +140,7 @@
         let follower = (1..=5).find(|id| *id != former).expect("a follower");
         cluster.fill(follower, 6_000);
         cluster.crash(former, 5_000);
-        // Elections may be split a few times.
+        // Votes may be split in a few elections.
         cluster.run(2_000);
         let leader = cluster.leader().expect("another leader");
         let term = cluster.core(leader).map(|core| core.term());
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn an_append_that_was_lost_is_sent_again_though_nothing_follows_it() {
-    let (mut cluster, leader) = settled();
+fn lost_append_is_repeated_although_no_entry_follows_it() {
+    let (mut cluster, leader) = with_values();
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     cluster.isolate(others[0], 1_000_000);
     cluster.cut(leader, others[1], 5);
@@ -168,11 +168,11 @@
 }
 
 #[test]
-fn what_a_killed_replica_read_again_is_kept_when_power_is_lost() {
+fn entries_that_a_killed_replica_read_at_restart_survive_a_power_loss() {
     for seed in 1..=20 {
-        let (mut cluster, leader) = settled_under(seed);
+        let (mut cluster, leader) = with_values_and_seed(seed);
         let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
-        // Acceptance hangs on one follower, which is killed between writing and syncing.
+        // A majority needs one follower, which is killed between writing and syncing.
         cluster.isolate(others[0], 1_000_000);
         cluster.kill_writing(others[1]);
         let accepted = cluster.run_until_accepted(2000, 5000..5001);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn disks_that_lie_about_syncing_are_noticed() {
+fn disks_that_ignore_syncs_are_detected() {
     let faults = Faults { crash: 400, lying_disks: true, ..Faults::all() };
     let noticed = (0..40).any(|seed| {
         let mut cluster = Cluster::new(3, seed, faults);
@@ -192,19 +192,19 @@
         cluster.settle();
         cluster.wrong.is_some()
     });
-    assert!(noticed, "lost writes went unnoticed");
+    assert!(noticed, "lost writes were not detected");
 }
 
 #[test]
-fn a_leader_cut_off_for_an_hour_neither_leads_nor_disturbs_when_it_is_back() {
-    let (mut cluster, old) = settled();
+fn leader_partitioned_for_an_hour_neither_leads_nor_disturbs_after_it_reconnects() {
+    let (mut cluster, old) = with_values();
     cluster.isolate(old, 3_600_000);
     cluster.run(3000);
     let new = cluster.leader().expect("another leader");
     assert_ne!(new, old);
     assert_ne!(cluster.core(old).expect("old").role(), Role::Leader);
     let term = cluster.core(new).expect("new").term();
-    // It has asked for pre-votes all the time and not raised its term.
+    // The old leader has requested pre-votes all the time, which does not raise its term.
     cluster.run(20_000);
     assert!(cluster.core(old).expect("old").term() <= term);
     cluster.settle();
@@ -214,8 +214,8 @@
 }
 
 #[test]
-fn a_planned_stop_hands_over_without_waiting_for_a_timeout() {
-    let (mut cluster, old) = settled();
+fn planned_stop_hands_over_without_waiting_for_a_timeout() {
+    let (mut cluster, old) = with_values();
     cluster.input(old, Input::HandOver);
     cluster.run(100);
     let new = cluster.leader().expect("another leader");
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_replica_behind_the_snapshot_catches_up_by_it() {
+fn replica_behind_the_snapshot_catches_up_with_it() {
     let mut cluster = Cluster::new(3, 5, Faults { snapshot_every: 10, ..Faults::none() });
     cluster.run(1500);
     let leader = cluster.leader().expect("a leader");
@@ -238,8 +238,8 @@
 }
 
 #[test]
-fn a_second_replica_lost_right_after_a_repair_loses_nothing() {
-    let (mut cluster, leader) = settled();
+fn second_replica_lost_right_after_a_replacement_loses_nothing() {
+    let (mut cluster, leader) = with_values();
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     cluster.lose_disk(others[0], 9);
     cluster.input(leader, Input::Remove(others[0]));
@@ -247,7 +247,10 @@
     let member = Member { id: 9, name: "control-9".into(), address: String::new(), voter: false };
     cluster.input(leader, Input::Add(member));
     cluster.run(1000);
-    assert!(cluster.core(leader).expect("leader").members().votes(9), "it counts once caught up");
+    assert!(
+        cluster.core(leader).expect("leader").members().votes(9),
+        "it votes once it has caught up"
+    );
     cluster.crash(others[1], 1_000_000);
     cluster.propose(leader);
     cluster.run(500);
@@ -256,8 +259,8 @@
 }
 
 #[test]
-fn an_older_disk_is_known_by_what_it_had_acknowledged_and_removed() {
-    let (mut cluster, leader) = settled();
+fn replica_restored_to_an_older_disk_is_detected_and_removed() {
+    let (mut cluster, leader) = with_values();
     let follower = (1..=3).find(|id| *id != leader).expect("another");
     let older = cluster.copy_disk(follower).expect("a disk");
     (0..10).for_each(|_| cluster.propose(leader));
@@ -275,8 +278,8 @@
 }
 
 #[test]
-fn a_leader_without_a_majority_steps_down_and_accepts_nothing() {
-    let (mut cluster, leader) = settled();
+fn leader_without_a_majority_steps_down_and_accepts_nothing() {
+    let (mut cluster, leader) = with_values();
     cluster.isolate(leader, 1_000_000);
     cluster.propose(leader);
     cluster.run(2000);
@@ -286,7 +289,7 @@
 
 #[test]
 fn reads_are_served_without_log_entries() {
-    let (mut cluster, leader) = settled();
+    let (mut cluster, leader) = with_values();
     let last = cluster.core(leader).expect("leader").last_index();
     (0..5).for_each(|_| cluster.read(leader));
     cluster.run(50);
@@ -295,8 +298,8 @@
 }
 
 #[test]
-fn a_late_snapshot_drops_no_entry_that_was_acknowledged() {
-    // Under this seed a follower that already held the entries behind a snapshot was sent it.
+fn late_snapshot_drops_no_acknowledged_entry() {
+    // With this seed a follower receives a snapshot although it already holds the entries after it.
     let mut cluster = Cluster::new(3, 11_796_050_243_170_844_279, Faults::all());
     cluster.run_under_load(3000);
     cluster.settle();
--- a/crates/pond-quorum/tests/suspension.rs
+++ b/crates/pond-quorum/tests/suspension.rs
@@ -1,18 +1,19 @@
-//! Machines that are suspended for seconds: a replica that wakes holds no lease that another may hold by then.
+//! Machines that are suspended for seconds. A replica that resumes must not hold a lease that another
+//! replica may hold by then.
 
 use pond_test::{Cluster, Faults, cases};
 use proptest::prelude::*;
 
-/// The clocks that replicas are run with go on during a suspension. With ones that stand still, as the steady
-/// clock of the standard library, the first of these tests finds two holders of the lease.
-const STEADY: bool = false;
+/// Whether the clocks of replicas stop during a suspension, as the monotonic clock of the standard library
+/// does. Replicas use clocks that continue; with `true` the first test finds two holders of the lease.
+const CLOCK_STOPS: bool = false;
 
 proptest! {
     #![proptest_config(cases(300))]
 
     #[test]
-    fn suspended_replicas_keep_every_promise_when_they_wake(seed in any::<u64>()) {
-        let faults = Faults { suspend: 60, steady: STEADY, ..Faults::none() };
+    fn suspended_replicas_keep_every_guarantee_when_they_resume(seed in any::<u64>()) {
+        let faults = Faults { suspend: 60, steady: CLOCK_STOPS, ..Faults::none() };
         let mut cluster = Cluster::new(3, seed, faults);
         cluster.run_under_load(20_000);
         cluster.settle();
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn leader_that_was_suspended_finds_another_in_its_place() {
-    let faults = Faults { steady: STEADY, ..Faults::none() };
+fn leader_that_was_suspended_is_replaced() {
+    let faults = Faults { steady: CLOCK_STOPS, ..Faults::none() };
     let mut cluster = Cluster::new(3, 1, faults);
     cluster.run(1_500);
     let leader = cluster.leader().expect("a leader");
