--- a/crates/pond-replica/tests/full.rs
+++ b/crates/pond-replica/tests/full.rs
@@ -21,11 +21,11 @@
 
 /// Makes every modification of the disk fail, as if it were full.
 fn fill(disk: &Memory) {
-    disk.refuse(0..u64::MAX);
+    disk.fail_as_full(0..u64::MAX);
 }
 
 fn free(disk: &Memory) {
-    disk.refuse(0..0);
+    disk.fail_as_full(0..0);
 }
 
 async fn start_replicas() -> (Vec<Memory>, Vec<Handle>) {
--- a/crates/pond-store/src/memory.rs
+++ b/crates/pond-store/src/memory.rs
@@ -88,7 +88,7 @@
     }
 
     /// Makes `sync` answer without doing anything, to show that checks notice.
-    pub fn lie_about_sync(&self) {
+    pub fn ignore_syncs(&self) {
         self.inner().sync_lies = true;
     }
 
@@ -99,7 +99,7 @@
 
     /// Refuses calls that change something as a full disk does, by their numbers from now on. A
     /// refused append leaves half of its bytes, a refused sync loses half of what was not synced.
-    pub fn refuse(&self, calls: Range<u64>) {
+    pub fn fail_as_full(&self, calls: Range<u64>) {
         let mut inner = self.inner();
         inner.changes = 0;
         inner.refused = calls;
--- a/crates/pond-store/tests/full.rs
+++ b/crates/pond-store/tests/full.rs
@@ -103,7 +103,7 @@
     /// Whether a loss of power keeps all that was told to last.
     fn outlasts(&self, crash: Crash) {
         let copy = self.disk.copy();
-        copy.refuse(0..0);
+        copy.fail_as_full(0..0);
         copy.crash(crash);
         let (_, recovered) = open(&copy).expect("opens after a loss of power");
         holds(&recovered, self.told);
@@ -125,7 +125,7 @@
 fn calls() -> u64 {
     let disk = Memory::new();
     let mut files = Files::new(disk.clone());
-    disk.refuse(0..0);
+    disk.fail_as_full(0..0);
     (1..=GROUPS).for_each(|number| files.step(number));
     assert_eq!(files.told, GROUPS);
     disk.changes()
@@ -137,7 +137,7 @@
         for count in REFUSED {
             let disk = Memory::new();
             let mut files = Files::new(disk.clone());
-            disk.refuse(from..from + count);
+            disk.fail_as_full(from..from + count);
             (1..=GROUPS).for_each(|number| files.step(number));
             for _ in 0..=count {
                 files.flush();
@@ -157,7 +157,7 @@
         for count in REFUSED {
             let disk = Memory::new();
             let mut files = Files::new(disk.clone());
-            disk.refuse(from..from + count);
+            disk.fail_as_full(from..from + count);
             for number in 1..=GROUPS {
                 files.step(number);
                 CRASHES.into_iter().for_each(|crash| files.outlasts(crash));
@@ -179,13 +179,13 @@
         torn.crash(crash);
         for from in 0..12 {
             let full = torn.copy();
-            full.refuse(from..from + 1);
+            full.fail_as_full(from..from + 1);
             let first = open(&full);
             if let Err(error) = &first {
                 assert!(matches!(error, Error::Full { .. }), "{error}");
             }
             drop(first);
-            full.refuse(0..0);
+            full.fail_as_full(0..0);
             let (_, recovered) = open(&full).expect("opens once there is room");
             assert_eq!(recovered.id, before.id);
             holds(&recovered, GROUPS);
@@ -197,9 +197,9 @@
 fn new_disk_that_is_full_gets_its_identity_later() {
     for from in 0..8 {
         let disk = Memory::new();
-        disk.refuse(from..from + 2);
+        disk.fail_as_full(from..from + 2);
         let refused = open(&disk).map(|(_, recovered)| recovered.id);
-        disk.refuse(0..0);
+        disk.fail_as_full(0..0);
         let (_, recovered) = open(&disk).expect("opens once there is room");
         if let Ok(id) = refused {
             assert_eq!(recovered.id, id);
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -184,7 +184,7 @@
     fn add_node(&mut self, id: u64) {
         let disk = Memory::new();
         if self.faults.lying_disks {
-            disk.lie_about_sync();
+            disk.ignore_syncs();
         }
         let drift = self.faults.drift;
         let rate = self.rng.random_range(1000 - drift..=1000 + drift);
@@ -330,7 +330,7 @@
         let until = self.time + wait;
         if let Some(node) = self.nodes.get_mut(&id) {
             node.full = node.full.max(until);
-            node.disk.refuse(0..u64::MAX);
+            node.disk.fail_as_full(0..u64::MAX);
         }
     }
 
@@ -339,7 +339,7 @@
         let time = self.time;
         for node in self.nodes.values_mut().filter(|node| node.full > 0 && node.full <= time) {
             node.full = 0;
-            node.disk.refuse(0..0);
+            node.disk.fail_as_full(0..0);
         }
     }
 
