--- a/crates/pond-store/src/batch.rs
+++ b/crates/pond-store/src/batch.rs
@@ -1,34 +1,34 @@
-//! One group of writes as bytes.
+//! The encoding of a group of writes.
 //!
-//! A batch is a head of 20 bytes and an encoded [`Batch`]. The head holds a mark, the length, a
-//! checksum over number and content, and a number that counts up. A batch is written only after
-//! the one before it was synced, so a broken batch with a whole one of a higher number behind it
-//! was damaged after it had been synced; without one behind it, it is a torn end.
+//! A batch is a header of 20 bytes and an encoded [`Batch`]. The header holds a magic number, the
+//! length, a checksum over number and content, and the batch number, which counts up. A batch is
+//! written only after the previous one was synced. So an invalid batch that is followed by a valid one
+//! with a higher number was damaged after it had been synced; otherwise it is a torn write at the end.
 
 use pond_proto::quorum::Batch;
 use prost::Message;
 
-/// The first bytes of every batch.
-const MARK: [u8; 4] = *b"pndB";
+/// Magic number: the first bytes of every batch.
+const MAGIC: [u8; 4] = *b"pndB";
 
-/// Length of the head, in bytes.
-const HEAD: usize = 20;
+/// Length of the header, in bytes.
+const HEADER_BYTES: usize = 20;
 
-/// A batch as it was read.
+/// A batch that was read from a file.
 pub struct Framed {
     /// Its number.
     pub number: u64,
     /// Its content.
     pub batch: Batch,
-    /// Its length with the head, in bytes.
+    /// Its length including the header, in bytes.
     pub length: usize,
 }
 
-/// Writes a batch as bytes.
+/// Encodes a batch.
 pub fn encode(number: u64, batch: &Batch) -> Vec<u8> {
     let content = batch.encode_to_vec();
-    let mut bytes = Vec::with_capacity(HEAD + content.len());
-    bytes.extend_from_slice(&MARK);
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
+    bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&(content.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&checksum(number, &content).to_be_bytes());
     bytes.extend_from_slice(&number.to_be_bytes());
@@ -36,26 +36,26 @@
     bytes
 }
 
-/// Reads the batch at the start of `bytes`, or none if it is not whole.
+/// Decodes the batch at the start of `bytes`. Returns `None` if it is incomplete or invalid.
 pub fn decode(bytes: &[u8]) -> Option<Framed> {
-    if bytes.get(..4)? != MARK {
+    if bytes.get(..4)? != MAGIC {
         return None;
     }
     let length = u32::from_be_bytes(bytes.get(4..8)?.try_into().ok()?) as usize;
     let sum = u32::from_be_bytes(bytes.get(8..12)?.try_into().ok()?);
-    let number = u64::from_be_bytes(bytes.get(12..HEAD)?.try_into().ok()?);
-    let content = bytes.get(HEAD..HEAD.checked_add(length)?)?;
+    let number = u64::from_be_bytes(bytes.get(12..HEADER_BYTES)?.try_into().ok()?);
+    let content = bytes.get(HEADER_BYTES..HEADER_BYTES.checked_add(length)?)?;
     if checksum(number, content) != sum {
         return None;
     }
     let batch = Batch::decode(content).ok()?;
-    Some(Framed { number, batch, length: HEAD + length })
+    Some(Framed { number, batch, length: HEADER_BYTES + length })
 }
 
-/// Whether a whole batch with a number above `number` stands anywhere in `bytes`.
-pub fn any_after(bytes: &[u8], number: u64) -> bool {
-    let marks = bytes.windows(MARK.len()).enumerate().filter(|(_, window)| *window == MARK);
-    let mut framed = marks.filter_map(|(at, _)| decode(&bytes[at..]));
+/// Whether `bytes` contains a valid batch with a number above `number` at any position.
+pub fn contains_later(bytes: &[u8], number: u64) -> bool {
+    let matches = bytes.windows(MAGIC.len()).enumerate().filter(|(_, window)| *window == MAGIC);
+    let mut framed = matches.filter_map(|(at, _)| decode(&bytes[at..]));
     framed.any(|framed| framed.number > number)
 }
 
--- a/crates/pond-store/src/disk.rs
+++ b/crates/pond-store/src/disk.rs
@@ -1,37 +1,37 @@
-//! The border between the store and the files.
+//! Interface between the store and the files.
 
 use std::fmt::Debug;
 use std::io;
 
-/// A flat folder of files. Writes last only once they are synced.
+/// A folder of files without subfolders. Writes are durable only after a sync.
 ///
-/// [`crate::Folder`] is the real one; [`crate::Memory`] forgets what was not synced when told to.
+/// [`crate::Folder`] is a real folder. [`crate::Memory`] is a simulated one that can lose unsynced data.
 pub trait Disk: Debug + Send {
-    /// The names of all files.
+    /// Returns the names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole content of a file.
+    /// Returns the complete content of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Adds bytes to the end of a file, which is made if it is missing.
+    /// Appends bytes to a file, which is created if it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to a length.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Makes a file's content last.
+    /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, replacing what had it.
+    /// Renames a file, replacing any file that has the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes new, renamed and removed names last.
-    fn sync_names(&mut self) -> io::Result<()>;
+    /// Makes the creation, renaming and removal of files durable.
+    fn sync_directory(&mut self) -> io::Result<()>;
 
-    /// Bytes that are free, if that is known.
+    /// Returns the free space in bytes, if it is known.
     fn free_bytes(&self) -> Option<u64> {
         None
     }
--- a/crates/pond-store/src/error.rs
+++ b/crates/pond-store/src/error.rs
@@ -1,24 +1,24 @@
-//! What can go wrong with durable files.
+//! Errors of the durable files.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// What can go wrong with durable files.
+/// Errors of the durable files.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The system refused an operation.
+    /// The operating system reported an error.
     #[snafu(display("{file}: cannot {action}: {source}"))]
     Io {
         /// The file.
         file: String,
-        /// What was tried.
+        /// The attempted operation.
         action: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The disk is full; nothing of the group was kept, and all before it is.
+    /// The disk is full. Nothing of the current group was stored; all earlier groups were.
     #[snafu(display(
         "{file}: the disk is full; free space in the data folder's file system and try again"
     ))]
@@ -32,7 +32,7 @@
         /// The folder.
         folder: String,
     },
-    /// A file is damaged in a place that had been synced.
+    /// A file is damaged at a position that had been synced.
     #[snafu(display(
         "{file}: damaged at byte {offset}: {what}; move the folder away and start the replica \
          empty, so that it is replaced from the others"
@@ -40,26 +40,26 @@
     Damaged {
         /// The file.
         file: String,
-        /// Where.
+        /// The position of the damage, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// A description of the damage.
         what: String,
     },
-    /// The folder was written by another version.
+    /// The folder was written by an incompatible version.
     #[snafu(display(
-        "{file}: format {found}, this program reads {known}; start the version that wrote it"
+        "{file}: format {found}, but this program reads format {known}; start the version that wrote it"
     ))]
     Format {
         /// The file.
         file: String,
-        /// The format found.
+        /// The format that was found.
         found: String,
-        /// The format known.
+        /// The format that this program reads.
         known: u32,
     },
-    /// An earlier write or sync failed, so the state of the files is not known.
+    /// An earlier write or sync failed, so the state of the files is unknown.
     #[snafu(display("an earlier write failed; restart the process so that it reads its files"))]
-    Broken,
+    EarlierFailure,
 }
 
 impl Error {
@@ -70,7 +70,8 @@
         Error::Io { file: file.to_owned(), action, source }
     }
 
-    /// Tells a lock that another process holds from a system that gives none.
+    /// Converts an error of locking a folder. Distinguishes a lock that another process holds from other
+    /// failures.
     pub fn lock(folder: &str, source: io::Error) -> Error {
         if source.raw_os_error() == fs2::lock_contended_error().raw_os_error() {
             return Error::Locked { folder: folder.to_owned() };
--- a/crates/pond-store/src/folder.rs
+++ b/crates/pond-store/src/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder.
+//! Durable files in a real folder.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -9,10 +9,10 @@
 
 use crate::{Disk, Error};
 
-/// Name of the file whose lock guards the folder.
-const LOCK: &str = "lock";
+/// Name of the file whose lock protects the folder against other processes.
+const LOCK_FILE: &str = "lock";
 
-/// A real folder, locked for this process.
+/// A folder of the file system, locked for this process.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -21,24 +21,25 @@
 }
 
 impl Folder {
-    /// Opens a folder, which is made if it is missing, and takes its lock.
+    /// Opens a folder and acquires its lock. The folder is created if it does not exist.
     ///
     /// # Errors
-    /// [`Error::Locked`] if another process has it, [`Error::Io`] otherwise.
+    /// [`Error::Locked`] if another process holds the lock, [`Error::Full`] or [`Error::Io`] otherwise.
     pub fn open(path: &Path) -> Result<Folder, Error> {
-        let shown = path.display().to_string();
-        fs::create_dir_all(path).map_err(|source| Error::io(&shown, "make the folder", source))?;
+        let displayed = path.display().to_string();
+        fs::create_dir_all(path)
+            .map_err(|source| Error::io(&displayed, "create the folder", source))?;
         if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
             let synced = File::open(parent).and_then(|file| file.sync_all());
-            synced.map_err(|source| Error::io(&shown, "sync the parent folder", source))?;
+            synced.map_err(|source| Error::io(&displayed, "sync the parent folder", source))?;
         }
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(path.join(LOCK))
-            .map_err(|source| Error::io(&shown, "open the lock", source))?;
-        lock.try_lock_exclusive().map_err(|source| Error::lock(&shown, source))?;
+            .open(path.join(LOCK_FILE))
+            .map_err(|source| Error::io(&displayed, "open the lock", source))?;
+        lock.try_lock_exclusive().map_err(|source| Error::lock(&displayed, source))?;
         Ok(Folder { path: path.to_owned(), open: BTreeMap::new(), _lock: lock })
     }
 
@@ -57,7 +58,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name();
-            names.extend(name.to_str().filter(|name| *name != LOCK).map(str::to_owned));
+            names.extend(name.to_str().filter(|name| *name != LOCK_FILE).map(str::to_owned));
         }
         names.sort();
         Ok(names)
@@ -90,7 +91,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
--- a/crates/pond-store/src/lib.rs
+++ b/crates/pond-store/src/lib.rs
@@ -1,7 +1,8 @@
 //! Durable files of a control replica: a write-ahead log in segments, and snapshots.
 //!
-//! All files live in one folder. Nothing counts as kept before [`Store::sync`] returns. A torn
-//! end of the log is cut; any other damage is refused with its place and what to do.
+//! All files are in one folder. Data is durable only after [`Store::sync`] has returned. A torn write
+//! at the end of the log is truncated; for any other damage, opening fails with an error that names the
+//! position and the remedy.
 
 mod batch;
 mod disk;
--- a/crates/pond-store/src/memory.rs
+++ b/crates/pond-store/src/memory.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can lose what was not synced.
+//! A simulated disk in memory that can lose unsynced data.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,41 +10,42 @@
 
 use crate::Disk;
 
-/// One file: its bytes, and how many of them last.
+/// A file: its bytes, and how many of them are durable.
 #[derive(Clone, Debug, Default)]
-struct Stored {
+struct StoredFile {
     bytes: Vec<u8>,
     synced: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Inner {
-    files: BTreeMap<String, Stored>,
-    /// Names that last; `None` is a removal that was not synced.
-    lasting: BTreeMap<String, Stored>,
+    files: BTreeMap<String, StoredFile>,
+    /// The files as they would be after a crash: names as of the last sync of the folder, with synced
+    /// contents.
+    durable: BTreeMap<String, StoredFile>,
     capacity: Option<usize>,
-    sync_lies: bool,
-    /// Calls that change something, since refusals were last set.
+    ignores_syncs: bool,
+    /// Modifying calls since failures were last set.
     changes: u64,
-    /// Which of them are refused as on a full disk.
-    refused: Range<u64>,
+    /// Which of these calls fail as on a full disk.
+    failing: Range<u64>,
 }
 
 impl Inner {
-    /// Counts a call that changes something; an error if it is refused.
-    fn change(&mut self) -> io::Result<()> {
+    /// Counts a modifying call. Returns an error if it is to fail.
+    fn count_change(&mut self) -> io::Result<()> {
         self.changes += 1;
-        match self.refused.contains(&(self.changes - 1)) {
+        match self.failing.contains(&(self.changes - 1)) {
             true => Err(io::ErrorKind::StorageFull.into()),
             false => Ok(()),
         }
     }
 
-    /// Keeps or loses each change of a name that was not synced.
-    fn scatter_names(&mut self, rng: &mut StdRng) {
-        let Inner { files, lasting, .. } = self;
-        files.retain(|name, _| lasting.contains_key(name) || rng.random());
-        for (name, stored) in lasting.iter() {
+    /// Keeps or reverts each unsynced change of a name, at random.
+    fn keep_random_names(&mut self, rng: &mut StdRng) {
+        let Inner { files, durable, .. } = self;
+        files.retain(|name, _| durable.contains_key(name) || rng.random());
+        for (name, stored) in durable.iter() {
             if !files.contains_key(name) && rng.random() {
                 files.insert(name.clone(), stored.clone());
             }
@@ -52,44 +53,44 @@
     }
 }
 
-/// A disk in memory for tests and models of failure.
+/// A simulated disk in memory for tests and fault models.
 ///
-/// Clones share the files, so that a test can crash the disk under a store and open it again.
+/// Clones share the files, so that a test can crash the disk under a store and reopen it.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// What a crash leaves of bytes that were not synced.
+/// Which unsynced bytes a crash keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
-    /// Nothing of them.
+    /// None.
     DropUnsynced,
-    /// All of them, as when only the process died.
+    /// All, as when only the process was killed.
     KeepAll,
-    /// This many bytes of each file's part that was not synced.
+    /// This many unsynced bytes of each file.
     KeepBytes(usize),
-    /// Of each file's part some bytes, and each name that was made, renamed or removed since names
-    /// were synced is there or not, independently of the rest: drawn by this seed.
+    /// A random number of unsynced bytes of each file, drawn with this seed. Each file creation, renaming
+    /// and removal since the last sync of the folder is kept or reverted independently.
     KeepRandom(u64),
 }
 
 impl Memory {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new() -> Memory {
         Memory::default()
     }
 
-    /// A disk that is full when its files hold `bytes` together.
+    /// Creates a disk that is full when its files hold `bytes` in total.
     pub fn with_capacity(bytes: usize) -> Memory {
         let memory = Memory::new();
         memory.inner().capacity = Some(bytes);
         memory
     }
 
-    /// Makes `sync` answer without doing anything, to show that checks notice.
+    /// Makes syncs succeed without effect, to show that checks detect the loss.
     pub fn ignore_syncs(&self) {
-        self.inner().sync_lies = true;
+        self.inner().ignores_syncs = true;
     }
 
     /// Changes the capacity, in bytes.
@@ -97,20 +98,20 @@
         self.inner().capacity = bytes;
     }
 
-    /// Refuses calls that change something as a full disk does, by their numbers from now on. A
-    /// refused append leaves half of its bytes, a refused sync loses half of what was not synced.
+    /// Makes modifying calls fail as on a full disk, by their numbers counted from now on. A failed append
+    /// leaves half of its bytes; a failed sync loses half of the unsynced bytes.
     pub fn fail_as_full(&self, calls: Range<u64>) {
         let mut inner = self.inner();
         inner.changes = 0;
-        inner.refused = calls;
+        inner.failing = calls;
     }
 
-    /// Calls that changed something, refused ones included, since refusals were last set.
+    /// Returns the number of modifying calls, including failed ones, since failures were last set.
     pub fn changes(&self) -> u64 {
         self.inner().changes
     }
 
-    /// Crashes: unsynced bytes and names are treated as `crash` says.
+    /// Crashes the disk: unsynced bytes and names are kept or lost as `crash` says.
     pub fn crash(&self, crash: Crash) {
         let mut inner = self.inner();
         if crash == Crash::KeepAll {
@@ -121,8 +122,8 @@
             _ => 0,
         });
         match crash {
-            Crash::DropUnsynced => inner.files = inner.lasting.clone(),
-            Crash::KeepRandom(_) => inner.scatter_names(&mut rng),
+            Crash::DropUnsynced => inner.files = inner.durable.clone(),
+            Crash::KeepRandom(_) => inner.keep_random_names(&mut rng),
             _ => {}
         }
         for file in inner.files.values_mut() {
@@ -134,10 +135,10 @@
             file.bytes.truncate(keep);
             file.synced = file.bytes.len();
         }
-        inner.lasting = inner.files.clone();
+        inner.durable = inner.files.clone();
     }
 
-    /// Changes one byte of a file.
+    /// Corrupts one byte of a file.
     pub fn damage(&self, name: &str, offset: usize) {
         if let Some(byte) =
             self.inner().files.get_mut(name).and_then(|file| file.bytes.get_mut(offset))
@@ -146,7 +147,7 @@
         }
     }
 
-    /// A second disk with the same content.
+    /// Returns a separate disk with the same content.
     pub fn copy(&self) -> Memory {
         let inner = self.inner().clone();
         Memory { inner: Arc::new(Mutex::new(inner)) }
@@ -173,10 +174,10 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut inner = self.inner();
-        if let Err(refused) = inner.change() {
+        if let Err(full) = inner.count_change() {
             let file = inner.files.entry(name.to_owned()).or_default();
             file.bytes.extend_from_slice(&bytes[..bytes.len() / 2]);
-            return Err(refused);
+            return Err(full);
         }
         let used: usize = inner.files.values().map(|file| file.bytes.len()).sum();
         let room = inner.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(used));
@@ -191,7 +192,7 @@
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.change()?;
+        inner.count_change()?;
         let file = inner.files.get_mut(name).ok_or_else(|| missing(name))?;
         file.bytes.truncate(length as usize);
         file.synced = file.synced.min(file.bytes.len());
@@ -200,26 +201,26 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        if inner.sync_lies {
+        if inner.ignores_syncs {
             return Ok(());
         }
-        let refused = inner.change();
+        let outcome = inner.count_change();
         let file = inner.files.get_mut(name).ok_or_else(|| missing(name))?;
-        if refused.is_err() {
+        if outcome.is_err() {
             file.bytes.truncate(file.synced + (file.bytes.len() - file.synced) / 2);
-            return refused;
+            return outcome;
         }
         file.synced = file.bytes.len();
         let copy = file.clone();
-        if let Some(lasting) = inner.lasting.get_mut(name) {
-            *lasting = copy;
+        if let Some(durable) = inner.durable.get_mut(name) {
+            *durable = copy;
         }
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.change()?;
+        inner.count_change()?;
         let file = inner.files.remove(from).ok_or_else(|| missing(from))?;
         inner.files.insert(to.to_owned(), file);
         Ok(())
@@ -227,22 +228,22 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.change()?;
+        inner.count_change()?;
         let removed = inner.files.remove(name);
         removed.map(|_| ()).ok_or_else(|| missing(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut inner = self.inner();
-        if inner.sync_lies {
+        if inner.ignores_syncs {
             return Ok(());
         }
-        inner.change()?;
-        let mut lasting = inner.files.clone();
-        for file in lasting.values_mut() {
+        inner.count_change()?;
+        let mut durable = inner.files.clone();
+        for file in durable.values_mut() {
             file.bytes.truncate(file.synced);
         }
-        inner.lasting = lasting;
+        inner.durable = durable;
         Ok(())
     }
 }
--- a/crates/pond-store/src/snapshot.rs
+++ b/crates/pond-store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files: written aside, synced, then renamed.
+//! Snapshot files. A snapshot is written to a temporary file, synced, then renamed.
 
 use pond_proto::quorum::SnapshotHead;
 use prost::Message;
@@ -6,56 +6,57 @@
 use crate::{Disk, Error};
 
 const PREFIX: &str = "snapshot-";
-const ASIDE: &str = "aside-snapshot";
+const TEMPORARY_FILE: &str = "aside-snapshot";
 
-/// Length of the checksum and the head's length before the head, in bytes.
-const LEAD: usize = 8;
+/// Length of the prefix, in bytes: the checksum and the length of the head.
+const PREFIX_BYTES: usize = 8;
 
 /// A snapshot of the replicated state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// What it stands for.
+    /// Its index, its term and the members.
     pub head: SnapshotHead,
-    /// The state's bytes.
+    /// The encoded state.
     pub data: Vec<u8>,
 }
 
-/// The name of the snapshot that holds entries up to `index`.
+/// Returns the name of the snapshot that covers entries up to `index`.
 pub fn name(index: u64) -> String {
     format!("{PREFIX}{index:020}")
 }
 
-/// The index in a snapshot's name.
+/// Returns the index of a snapshot, if `name` is the name of a snapshot.
 pub fn index(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX)?.parse().ok()
 }
 
-/// Writes a snapshot so that it is there whole or not at all.
+/// Writes a snapshot atomically.
 pub fn write(disk: &mut dyn Disk, snapshot: &Snapshot) -> Result<(), Error> {
     let head = snapshot.head.encode_to_vec();
     let sum = crc32c::crc32c_append(crc32c::crc32c(&head), &snapshot.data);
-    let mut bytes = Vec::with_capacity(LEAD + head.len() + snapshot.data.len());
+    let mut bytes = Vec::with_capacity(PREFIX_BYTES + head.len() + snapshot.data.len());
     bytes.extend_from_slice(&sum.to_be_bytes());
     bytes.extend_from_slice(&(head.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&head);
     bytes.extend_from_slice(&snapshot.data);
 
     let name = name(snapshot.head.index);
-    remove_aside(disk)?;
-    let written = disk.append(ASIDE, &bytes).and_then(|()| disk.sync(ASIDE));
+    remove_temporary(disk)?;
+    let written = disk.append(TEMPORARY_FILE, &bytes).and_then(|()| disk.sync(TEMPORARY_FILE));
     if let Err(source) = written {
-        let _ = disk.remove(ASIDE);
-        return Err(Error::io(ASIDE, "write", source));
+        let _ = disk.remove(TEMPORARY_FILE);
+        return Err(Error::io(TEMPORARY_FILE, "write", source));
     }
-    disk.rename(ASIDE, &name).map_err(|source| Error::io(&name, "rename", source))?;
-    disk.sync_names().map_err(|source| Error::io(&name, "sync the folder", source))
+    disk.rename(TEMPORARY_FILE, &name).map_err(|source| Error::io(&name, "rename", source))?;
+    disk.sync_directory().map_err(|source| Error::io(&name, "sync the folder", source))
 }
 
-/// Removes what a crash left of a snapshot that was being written.
-pub fn remove_aside(disk: &mut dyn Disk) -> Result<(), Error> {
-    let names = disk.list().map_err(|source| Error::io(ASIDE, "list", source))?;
-    if names.iter().any(|name| name == ASIDE) {
-        disk.remove(ASIDE).map_err(|source| Error::io(ASIDE, "remove", source))?;
+/// Removes the temporary file that a crash may have left.
+pub fn remove_temporary(disk: &mut dyn Disk) -> Result<(), Error> {
+    let names = disk.list().map_err(|source| Error::io(TEMPORARY_FILE, "list", source))?;
+    if names.iter().any(|name| name == TEMPORARY_FILE) {
+        disk.remove(TEMPORARY_FILE)
+            .map_err(|source| Error::io(TEMPORARY_FILE, "remove", source))?;
     }
     Ok(())
 }
@@ -72,10 +73,11 @@
 
 fn decode(bytes: &[u8]) -> Option<Snapshot> {
     let sum = u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?);
-    let length = u32::from_be_bytes(bytes.get(4..LEAD)?.try_into().ok()?) as usize;
-    if crc32c::crc32c(bytes.get(LEAD..)?) != sum {
+    let length = u32::from_be_bytes(bytes.get(4..PREFIX_BYTES)?.try_into().ok()?) as usize;
+    if crc32c::crc32c(bytes.get(PREFIX_BYTES..)?) != sum {
         return None;
     }
-    let head = SnapshotHead::decode(bytes.get(LEAD..LEAD.checked_add(length)?)?).ok()?;
-    Some(Snapshot { head, data: bytes[LEAD + length..].to_vec() })
+    let head =
+        SnapshotHead::decode(bytes.get(PREFIX_BYTES..PREFIX_BYTES.checked_add(length)?)?).ok()?;
+    Some(Snapshot { head, data: bytes[PREFIX_BYTES + length..].to_vec() })
 }
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The write-ahead log and its snapshots together.
+//! The write-ahead log together with its snapshots.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::snapshot::Snapshot;
 use crate::{Disk, Error, identity, segment, snapshot};
 
-/// A segment is closed when it has grown beyond this many bytes.
+/// Size of a segment, in bytes, from which on the next batch starts a new segment.
 const SEGMENT_BYTES: usize = 16 << 20;
 
-/// What was found on the disk.
+/// The data that was found on the disk.
 #[derive(Debug)]
 pub struct Recovered {
     /// The disk's identity.
@@ -22,20 +22,20 @@
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, in order.
     pub entries: Vec<Entry>,
-    /// Bytes that were cut from a torn end.
+    /// Number of bytes of a torn write that were truncated from the end of the log.
     pub truncated_bytes: usize,
 }
 
-/// A segment that is in use.
+/// A segment of the log.
 #[derive(Clone, Copy, Debug)]
 struct Segment {
     first_batch: u64,
-    /// The highest index of an entry in it.
+    /// The highest index of its entries.
     last_index: u64,
     bytes: usize,
 }
 
-/// The newest batch while it is not synced: where it begins in the last segment, and its bytes.
+/// The newest batch while it is not synced: its position in the last segment, and its bytes.
 #[derive(Debug)]
 struct Unsynced {
     at: usize,
@@ -49,22 +49,23 @@
     segments: Vec<Segment>,
     next_batch: u64,
     hard: Hard,
-    broken: bool,
+    failed: bool,
     unsynced: Option<Unsynced>,
-    /// A full disk refused a write or a sync, so what stands behind the last synced batch is not
-    /// known. Nothing more is written before it is cut, and the newest batch written again.
+    /// Whether a write or a sync failed because the disk was full, so that the content after the last
+    /// synced batch is unknown. Before the next write, that content is truncated and the newest batch is
+    /// rewritten.
     in_doubt: bool,
     segment_bytes: usize,
 }
 
 impl Store {
-    /// Opens the files, cuts a torn end, and reads what is there.
+    /// Opens the files, truncates a torn write at the end, and reads the content.
     ///
     /// # Errors
-    /// See [`Error`]; on damage nothing is changed.
+    /// See [`Error`]; damaged files are left unchanged.
     pub fn open(mut disk: Box<dyn Disk>) -> Result<(Store, Recovered), Error> {
         let id = identity::open(disk.as_mut())?;
-        snapshot::remove_aside(disk.as_mut())?;
+        snapshot::remove_temporary(disk.as_mut())?;
         let names = disk.list().map_err(|source| Error::io("folder", "list", source))?;
         let snapshot = newest_snapshot(disk.as_ref(), &names)?;
         let mut store = Store {
@@ -72,40 +73,44 @@
             segments: Vec::new(),
             next_batch: 1,
             hard: Hard::default(),
-            broken: false,
+            failed: false,
             unsynced: None,
             in_doubt: false,
             segment_bytes: SEGMENT_BYTES,
         };
-        let floor = snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
-        let (entries, truncated_bytes) = store.replay(&names, floor)?;
-        store.keep_what_was_read()?;
+        let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
+        let (entries, truncated_bytes) = store.replay(&names, snapshot_index)?;
+        store.sync_recovered()?;
         let hard = store.hard;
         Ok((store, Recovered { id, hard, snapshot, entries, truncated_bytes }))
     }
 
-    /// Makes segments close after that many bytes.
+    /// Sets the size of segments, in bytes.
     pub fn with_segment_bytes(mut self, bytes: usize) -> Store {
         self.segment_bytes = bytes;
         self
     }
 
-    fn replay(&mut self, names: &[String], floor: u64) -> Result<(Vec<Entry>, usize), Error> {
+    fn replay(
+        &mut self,
+        names: &[String],
+        snapshot_index: u64,
+    ) -> Result<(Vec<Entry>, usize), Error> {
         let segments: Vec<&String> =
-            names.iter().filter(|name| segment::first(name).is_some()).collect();
+            names.iter().filter(|name| segment::first_batch(name).is_some()).collect();
         let mut entries = BTreeMap::new();
-        let mut cut = 0;
+        let mut truncated_bytes = 0;
         for (i, name) in segments.iter().enumerate() {
             let last = i + 1 == segments.len();
-            let first_batch = segment::first(name).unwrap_or_default();
+            let first_batch = segment::first_batch(name).unwrap_or_default();
             if i > 0 && first_batch != self.next_batch {
-                let what = format!("batch {} is missing before it", self.next_batch);
+                let what = format!("batch {} is missing before this segment", self.next_batch);
                 return Err(Error::Damaged { file: (*name).clone(), offset: 0, what });
             }
             let content = segment::read(self.disk.as_ref(), name, last)?;
-            cut += self.cut_torn_end(name, &content)?;
+            truncated_bytes += self.truncate_torn_end(name, &content)?;
             self.next_batch = first_batch + content.batches.len() as u64;
-            let bytes = content.whole;
+            let bytes = content.valid_bytes;
             let mut last_index = 0;
             for framed in content.batches {
                 self.hard = framed.batch.hard.unwrap_or(self.hard);
@@ -120,44 +125,48 @@
             }
             self.segments.push(Segment { first_batch, last_index, bytes });
         }
-        entries.retain(|index, _| *index > floor);
-        self.check_gaps(&entries, floor, &segments)?;
-        Ok((entries.into_values().collect(), cut))
+        entries.retain(|index, _| *index > snapshot_index);
+        self.check_gaps(&entries, snapshot_index, &segments)?;
+        Ok((entries.into_values().collect(), truncated_bytes))
     }
 
-    /// A process that was killed may have left entries and names that were not synced. The replica
-    /// answers for what it reads now, so it must outlast a loss of power: one sync of the last
-    /// segment, as older ones were synced when it was made, and one of the folder.
-    fn keep_what_was_read(&mut self) -> Result<(), Error> {
+    /// Makes the recovered data durable. A killed process may have left unsynced entries and names. The
+    /// replica acknowledges what it reads now, so that must survive a power loss. This takes one sync of
+    /// the last segment, since older ones were synced before it was created, and one of the folder.
+    fn sync_recovered(&mut self) -> Result<(), Error> {
         let Some(last) = self.segments.last() else { return Ok(()) };
         if last.bytes == 0 && self.segments.len() > 1 {
-            // It was made, and power was lost before the hard state was in it.
+            // Power was lost after the segment was created and before the hard state was written to it.
             self.write(&Batch::default())?;
         }
         if let Some(last) = self.segments.last() {
             self.unsynced.get_or_insert(Unsynced { at: last.bytes, bytes: Vec::new() });
         }
         self.sync()?;
-        self.disk.sync_names().map_err(|source| Error::io("folder", "sync", source))
+        self.disk.sync_directory().map_err(|source| Error::io("folder", "sync", source))
     }
 
-    fn cut_torn_end(&mut self, name: &str, content: &segment::Content) -> Result<usize, Error> {
-        let cut = content.length - content.whole;
-        if cut > 0 {
-            let io = |source| Error::io(name, "cut the torn end", source);
-            self.disk.truncate(name, content.whole as u64).map_err(io)?;
+    fn truncate_torn_end(
+        &mut self,
+        name: &str,
+        content: &segment::Content,
+    ) -> Result<usize, Error> {
+        let truncated_bytes = content.file_bytes - content.valid_bytes;
+        if truncated_bytes > 0 {
+            let io = |source| Error::io(name, "truncate the torn end", source);
+            self.disk.truncate(name, content.valid_bytes as u64).map_err(io)?;
             self.disk.sync(name).map_err(io)?;
         }
-        Ok(cut)
+        Ok(truncated_bytes)
     }
 
     fn check_gaps(
         &self,
         entries: &BTreeMap<u64, Entry>,
-        floor: u64,
+        snapshot_index: u64,
         segments: &[&String],
     ) -> Result<(), Error> {
-        let expected = floor + 1..;
+        let expected = snapshot_index + 1..;
         let gap = entries.keys().zip(expected).find(|(index, expected)| *index != expected);
         let Some((index, expected)) = gap else { return Ok(()) };
         Err(Error::Damaged {
@@ -167,22 +176,22 @@
         })
     }
 
-    /// Writes a group of entries and the hard state; they last once [`Store::sync`] has returned.
+    /// Writes a group of entries and the hard state. They are durable once [`Store::sync`] has returned.
     ///
     /// # Errors
-    /// [`Error::Full`] leaves all that was there before in place, and the same write can be tried
-    /// again. After any other error the store may refuse further writes.
+    /// After [`Error::Full`] all earlier data is intact, and the same write can be retried. After any
+    /// other error the store may reject further writes.
     pub fn append(&mut self, hard: Option<Hard>, entries: &[Entry]) -> Result<(), Error> {
         let batch = Batch { hard, entries: entries.to_vec(), keep_to: None };
         self.write(&batch)
     }
 
-    /// Writes one batch. The one before it is synced first, see the module `batch`. The first one of
-    /// a segment carries the hard state, so that older segments can be removed.
+    /// Writes one batch. The previous batch is synced first; see the module `batch`. The first batch of
+    /// a segment includes the hard state, so that older segments can be removed.
     fn write(&mut self, batch: &Batch) -> Result<(), Error> {
         self.sync()?;
         self.open_segment()?;
-        let Some(segment) = self.segments.last_mut() else { return Err(Error::Broken) };
+        let Some(segment) = self.segments.last_mut() else { return Err(Error::EarlierFailure) };
         let mut batch = batch.clone();
         if segment.bytes == 0 {
             batch.hard.get_or_insert(self.hard);
@@ -190,7 +199,7 @@
         let bytes = batch::encode(self.next_batch, &batch);
         let name = segment::name(segment.first_batch);
         if let Err(source) = self.disk.append(&name, &bytes) {
-            return Err(self.refused(Error::io(&name, "write", source)));
+            return Err(self.write_failed(Error::io(&name, "write", source)));
         }
         let at = segment.bytes;
         segment.bytes += bytes.len();
@@ -203,60 +212,61 @@
         Ok(())
     }
 
-    /// A write was refused: what it left is cut now, or before the next write if that is refused, too.
-    fn refused(&mut self, error: Error) -> Error {
+    /// Handles a failed write. What it left in the file is truncated now or, if that fails because the disk
+    /// is full, before the next write.
+    fn write_failed(&mut self, error: Error) -> Error {
         self.in_doubt = true;
-        match self.mend() {
+        match self.repair_tail() {
             Ok(()) | Err(Error::Full { .. }) => {}
-            Err(_) => self.broken = true,
+            Err(_) => self.failed = true,
         }
         error
     }
 
-    /// Cuts what stands behind the last synced batch if that is in doubt, and writes the newest
-    /// batch again.
-    fn mend(&mut self) -> Result<(), Error> {
+    /// If the content after the last synced batch is in doubt, truncates it and rewrites the newest batch.
+    fn repair_tail(&mut self) -> Result<(), Error> {
         let Some(segment) = self.segments.last().filter(|_| self.in_doubt) else { return Ok(()) };
         let name = segment::name(segment.first_batch);
-        let whole = self.unsynced.as_ref().map_or(segment.bytes, |newest| newest.at);
-        let cut = self.disk.truncate(&name, whole as u64);
-        cut.map_err(|source| Error::io(&name, "cut", source))?;
+        let valid_bytes = self.unsynced.as_ref().map_or(segment.bytes, |newest| newest.at);
+        let truncated = self.disk.truncate(&name, valid_bytes as u64);
+        truncated.map_err(|source| Error::io(&name, "truncate", source))?;
         if let Some(newest) = &self.unsynced {
-            let again = self.disk.append(&name, &newest.bytes);
-            again.map_err(|source| Error::io(&name, "write again", source))?;
+            let rewritten = self.disk.append(&name, &newest.bytes);
+            rewritten.map_err(|source| Error::io(&name, "rewrite", source))?;
         }
         self.in_doubt = false;
         Ok(())
     }
 
     fn open_segment(&mut self) -> Result<(), Error> {
-        let full = self.segments.last().is_none_or(|last| last.bytes >= self.segment_bytes);
-        if !full {
+        let needs_segment =
+            self.segments.last().is_none_or(|last| last.bytes >= self.segment_bytes);
+        if !needs_segment {
             return Ok(());
         }
         let name = segment::name(self.next_batch);
-        let io = |source| Error::io(&name, "make", source);
+        let io = |source| Error::io(&name, "create", source);
         self.disk.append(&name, &[]).map_err(io)?;
-        self.disk.sync_names().map_err(io)?;
+        self.disk.sync_directory().map_err(io)?;
         self.segments.push(Segment { first_batch: self.next_batch, last_index: 0, bytes: 0 });
         Ok(())
     }
 
-    /// Makes all that was written last.
+    /// Makes all written data durable.
     ///
     /// # Errors
-    /// [`Error::Full`] leaves what was written to be synced by a later call. After any other error
-    /// the store refuses further writes, as it is not known what lasted.
+    /// After [`Error::Full`] a later call can sync the same data. After any other error the store rejects
+    /// further writes, because it is unknown which data is durable.
     pub fn sync(&mut self) -> Result<(), Error> {
-        if self.broken {
-            return Err(Error::Broken);
+        if self.failed {
+            return Err(Error::EarlierFailure);
         }
-        let synced = self.mend().and_then(|()| self.sync_newest());
+        let synced = self.repair_tail().and_then(|()| self.sync_newest());
         match &synced {
             Ok(()) => self.unsynced = None,
-            // The system may have dropped what it could not keep, and would not say so again.
+            // The system may have dropped data that it could not store, and a second sync would not report that.
             Err(Error::Full { .. }) => self.in_doubt = true,
-            Err(_) => self.broken = true,
+            Err(_) => self.failed = true,
         }
         synced
     }
@@ -269,17 +279,17 @@
         self.disk.sync(&name).map_err(|source| Error::io(&name, "sync", source))
     }
 
-    /// Writes a snapshot, then removes older snapshots and segments that it makes needless.
+    /// Writes a snapshot, then removes the older snapshots and segments that it makes obsolete.
     ///
     /// # Errors
-    /// See [`Error`]; what was there before stays usable.
+    /// See [`Error`]; the previous data stays usable.
     pub fn save(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         self.sync()?;
         snapshot::write(self.disk.as_mut(), snapshot)?;
         self.remove_old(snapshot.head.index)
     }
 
-    /// Writes a snapshot that replaces the log, as a follower that was far behind does.
+    /// Writes a snapshot that replaces the log. A follower that was far behind uses it.
     ///
     /// # Errors
     /// See [`Error`].
@@ -297,29 +307,30 @@
                 self.disk.remove(&name).map_err(io)?;
             }
         }
-        // At a loss of power one that was removed may come back without the one after it, and a gap
-        // is refused: so each removal lasts before the next, also one of an earlier call.
-        self.disk.sync_names().map_err(io)?;
-        while self.first_is_needless(index) {
+        // After a power loss a removed segment may reappear without the one after it, and such a gap is
+        // an error. So each removal is made durable before the next, including those of an earlier call.
+        self.disk.sync_directory().map_err(io)?;
+        while self.first_segment_is_obsolete(index) {
             self.disk.remove(&segment::name(self.segments[0].first_batch)).map_err(io)?;
             self.segments.remove(0);
-            self.disk.sync_names().map_err(io)?;
+            self.disk.sync_directory().map_err(io)?;
         }
         Ok(())
     }
 
-    /// Whether a snapshot at `index` holds all of the first segment, and a later one the hard state.
-    fn first_is_needless(&self, index: u64) -> bool {
+    /// Whether a snapshot at `index` covers the whole first segment, and a later segment holds the hard
+    /// state.
+    fn first_segment_is_obsolete(&self, index: u64) -> bool {
         let later = self.segments.iter().skip(1).any(|segment| segment.bytes > 0);
         later && self.segments.first().is_some_and(|first| first.last_index <= index)
     }
 
-    /// Bytes that are free on the disk, if it tells.
+    /// Returns the free space on the disk in bytes, if it is known.
     pub fn free_bytes(&self) -> Option<u64> {
         self.disk.free_bytes()
     }
 
-    /// Bytes of the log's files.
+    /// Returns the total size of the log's files, in bytes.
     pub fn log_bytes(&self) -> usize {
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
--- a/crates/pond-store/src/writer.rs
+++ b/crates/pond-store/src/writer.rs
@@ -1,4 +1,4 @@
-//! What must last, in order, and what may happen only then, across times when the disk is full.
+//! Ordered writes, and items that are released once those writes are durable. Tolerates a full disk.
 
 use std::collections::VecDeque;
 
@@ -6,21 +6,21 @@
 
 use crate::{Error, Snapshot, Store};
 
-/// Something that must last.
+/// A write that must become durable.
 #[derive(Clone, Debug)]
 pub enum Write {
     /// A group of entries and the hard state.
     Batch {
         /// Term, vote and commit index, if they changed.
         hard: Option<Hard>,
-        /// Entries; the first one replaces what has its index and all after it.
+        /// Entries. The first one replaces any stored entry with its index and all later ones.
         entries: Vec<Entry>,
     },
-    /// A snapshot of a leader in place of the own log.
+    /// A snapshot from the leader, which replaces the log.
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// Whether the log's files keep what they hold behind it.
+        /// Whether the log's files keep the entries after the snapshot's index.
         keeps_log: bool,
     },
 }
@@ -31,69 +31,69 @@
     After(T),
 }
 
-/// What came of writing.
+/// The result of a flush.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Flushed<T> {
-    /// What may happen now, in order.
+    /// The items whose preceding writes are now durable, in order.
     pub released: Vec<T>,
-    /// All batches that were handed in last now, and some did not before.
+    /// Whether all enqueued batches are durable now, and some were not before.
     pub all_durable: bool,
 }
 
-/// Writes to a [`Store`] in order. While the disk is full, what could not be written waits, and what
-/// should happen after it waits with it; nothing is lost and nothing overtakes.
+/// Writes to a [`Store`] in order. While the disk is full, pending writes and the items that follow them
+/// wait; nothing is lost or reordered.
 #[derive(Debug)]
 pub struct Writer<T> {
     store: Store,
     queue: VecDeque<Item<T>>,
-    /// Items at the front that are in the files and may not be synced yet.
+    /// Number of items at the front that are written but may not be synced yet.
     written: usize,
-    /// Batches were handed in since all lasted.
+    /// Whether batches were enqueued since all were last durable.
     has_unsynced: bool,
     full: bool,
 }
 
 impl<T> Writer<T> {
-    /// Writes to a store.
+    /// Creates a writer to a store.
     pub fn new(store: Store) -> Writer<T> {
         Writer { store, queue: VecDeque::new(), written: 0, has_unsynced: false, full: false }
     }
 
-    /// The store.
+    /// Returns the store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// This must last.
+    /// Enqueues a write.
     pub fn enqueue(&mut self, write: Write) {
         self.has_unsynced |= matches!(write, Write::Batch { .. });
         self.queue.push_back(Item::Write(write));
     }
 
-    /// This may happen once all that was put before lasts.
-    pub fn enqueue_after(&mut self, next: T) {
-        self.queue.push_back(Item::After(next));
+    /// Enqueues an item that is released once all previously enqueued writes are durable.
+    pub fn enqueue_after(&mut self, item: T) {
+        self.queue.push_back(Item::After(item));
     }
 
-    /// Whether the disk was full at the last try, and something waits for room.
+    /// Whether the disk was full at the last attempt, so that writes wait for space.
     pub fn full(&self) -> bool {
         self.full
     }
 
-    /// How many things wait.
+    /// Returns the number of waiting writes and items.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no writes or items wait.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Writes and syncs what waits, as far as the disk has room.
+    /// Writes and syncs what waits, as far as the disk has space.
     ///
     /// # Errors
-    /// See [`Error`]; a full disk is none here.
+    /// See [`Error`]; a full disk is not an error here.
     pub fn flush(&mut self) -> Result<Flushed<T>, Error> {
         self.full = !self.write()?;
         match self.store.sync() {
@@ -106,7 +106,7 @@
         }
         let done = self.queue.drain(..std::mem::take(&mut self.written));
         let released = done.filter_map(|item| match item {
-            Item::After(next) => Some(next),
+            Item::After(released) => Some(released),
             Item::Write(_) => None,
         });
         let released = released.collect();
@@ -114,7 +114,7 @@
         Ok(Flushed { released, all_durable })
     }
 
-    /// Writes what waits and syncs nothing that need not be; false if the disk is full.
+    /// Writes what waits, without a final sync. Returns `false` if the disk is full.
     ///
     /// # Errors
     /// See [`Error`].
@@ -137,7 +137,8 @@
         Ok(true)
     }
 
-    /// Saves a snapshot of the own state; false if the disk is full, and then all is as before.
+    /// Saves a snapshot of this replica's state. Returns `false` if the disk is full; the previous data then
+    /// stays usable.
     ///
     /// # Errors
     /// See [`Error`].
--- a/crates/pond-store/tests/recovery.rs
+++ b/crates/pond-store/tests/recovery.rs
@@ -289,8 +289,8 @@
         self.change(|disk| disk.remove(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
-        self.change(Memory::sync_names)
+    fn sync_directory(&mut self) -> io::Result<()> {
+        self.change(Memory::sync_directory)
     }
 }
 
