--- a/crates/pond-store/tests/full.rs
+++ b/crates/pond-store/tests/full.rs
@@ -1,34 +1,34 @@
-//! A disk that is full for a while, from every call on and for any number of calls, also with power
-//! lost before or after it has room again. Nothing that was told to last is lost, nothing half
-//! written is believed, and once there is room all is written in its order.
+//! A disk that is full for a while, starting at every possible call and for several numbers of calls, also
+//! with a power loss before or after there is space again. Nothing that was reported durable may be lost,
+//! partial writes must not be read as data, and once there is space everything is written in order.
 
 use std::ops::Range;
 
 use pond_proto::quorum::{Entry, Hard, Kind, Members, SnapshotHead};
 use pond_store::{Crash, Error, Memory, Recovered, Snapshot, Store, Write, Writer};
 
-/// Groups that are written.
+/// Number of groups that are written.
 const GROUPS: u64 = 14;
 
-/// Entries of a group.
+/// Number of entries in a group.
 const ENTRIES: u64 = 3;
 
-/// While one of these groups is the last that was told to last, snapshots up to it are saved.
-const SAVED: Range<u64> = 2..8;
+/// While one of these groups is the last that was reported durable, snapshots up to it are saved.
+const SNAPSHOT_GROUPS: Range<u64> = 2..8;
 
-/// After this group a leader's snapshot replaces the log.
+/// After this group a snapshot from the leader replaces the log.
 const REPLACED_AFTER: u64 = 9;
 
-/// Entries that the leader's snapshot holds beyond the own ones.
+/// Number of entries in the leader's snapshot beyond those in the log.
 const AHEAD: u64 = 10;
 
-/// Segments as small as two groups, so that several are made and removed.
-const SEGMENT: usize = 400;
+/// Size of a segment, in bytes: about two groups, so that several segments are created and removed.
+const SEGMENT_BYTES: usize = 400;
 
-/// Calls that are refused in a row.
-const REFUSED: [u64; 5] = [1, 2, 3, 7, 40];
+/// Numbers of consecutive calls that fail.
+const FAILED_CALLS: [u64; 5] = [1, 2, 3, 7, 40];
 
-/// What a loss of power leaves.
+/// The kinds of power loss.
 const CRASHES: [Crash; 4] =
     [Crash::DropUnsynced, Crash::KeepAll, Crash::KeepBytes(25), Crash::KeepRandom(7)];
 
@@ -46,7 +46,7 @@
     Snapshot { head, data: vec![42; 100] }
 }
 
-/// The index of the last entry of a group.
+/// Returns the index of the last entry of a group.
 fn last_index(group: u64) -> u64 {
     let ahead = if group > REPLACED_AFTER { AHEAD } else { 0 };
     group * ENTRIES + ahead
@@ -58,83 +58,93 @@
     Write::Batch { hard: Some(Hard { term: number, vote: 7, commit: 0 }), entries }
 }
 
-/// A replica's files, what was told to last, and what was handed in.
+/// The files of a replica, with what was enqueued and what was reported durable.
 struct Files {
     disk: Memory,
     writer: Writer<u64>,
-    told: u64,
-    /// Groups were handed in since the writer said that all last.
-    owes: bool,
+    reported: u64,
+    /// Whether groups were enqueued since the writer last reported that all are durable.
+    has_unsynced: bool,
 }
 
 impl Files {
     fn new(disk: Memory) -> Files {
         let (store, _) = open(&disk).expect("opens");
-        let store = store.with_segment_bytes(SEGMENT);
-        Files { disk, writer: Writer::new(store), told: 0, owes: false }
+        let store = store.with_segment_bytes(SEGMENT_BYTES);
+        Files { disk, writer: Writer::new(store), reported: 0, has_unsynced: false }
     }
 
     fn flush(&mut self) {
         let flushed = self.writer.flush().expect("a full disk is no error");
-        for told in flushed.released {
-            assert_eq!(told, self.told + 1, "in order");
-            self.told = told;
+        for reported in flushed.released {
+            assert_eq!(reported, self.reported + 1, "in order");
+            self.reported = reported;
         }
         assert!(!flushed.all_durable || self.writer.is_empty());
-        self.owes &= !flushed.all_durable;
+        self.has_unsynced &= !flushed.all_durable;
     }
 
-    /// Hands in a group and what belongs after it.
+    /// Enqueues a group and the item after it, then flushes.
     fn step(&mut self, number: u64) {
         self.writer.enqueue(group(number));
-        self.owes = true;
+        self.has_unsynced = true;
         if number == REPLACED_AFTER {
             let snapshot = snapshot(last_index(number) + AHEAD);
             self.writer.enqueue(Write::Snapshot { snapshot, keeps_log: false });
         }
         self.writer.enqueue_after(number);
         self.flush();
-        // A snapshot holds what was told; also while a group waits for room.
-        if SAVED.contains(&self.told) {
-            self.writer.save(&snapshot(last_index(self.told))).expect("a full disk is no error");
+        // A snapshot covers what was reported durable, also while a group waits for space.
+        if SNAPSHOT_GROUPS.contains(&self.reported) {
+            self.writer
+                .save(&snapshot(last_index(self.reported)))
+                .expect("a full disk is no error");
         }
     }
 
-    /// Whether a loss of power keeps all that was told to last.
-    fn outlasts(&self, crash: Crash) {
+    /// Asserts that all data that was reported durable survives a power loss.
+    fn assert_survives(&self, crash: Crash) {
         let copy = self.disk.copy();
         copy.fail_as_full(0..0);
         copy.crash(crash);
-        let (_, recovered) = open(&copy).expect("opens after a loss of power");
-        holds(&recovered, self.told);
+        let (_, recovered) = open(&copy).expect("opens after a power loss");
+        assert_holds(&recovered, self.reported);
     }
 }
 
-/// The files hold all groups up to `told`, perhaps more, and nothing in pieces.
-fn holds(recovered: &Recovered, told: u64) {
-    assert!(recovered.hard.term >= told, "hard state {:?}, told {told}", recovered.hard);
+/// Asserts that the files hold at least all groups up to `reported`, and no partial data.
+fn assert_holds(recovered: &Recovered, reported: u64) {
+    assert!(
+        recovered.hard.term >= reported,
+        "hard state {:?}, reported {reported}",
+        recovered.hard
+    );
     let floor = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
     let last = recovered.entries.last().map_or(floor, |entry| entry.index);
-    assert!(last >= last_index(told), "entries up to {last}, told {}", last_index(told));
+    assert!(
+        last >= last_index(reported),
+        "entries up to {last}, reported {}",
+        last_index(reported)
+    );
     for (expected, entry) in (floor + 1..).zip(&recovered.entries) {
         assert_eq!(entry.index, expected);
     }
 }
 
-/// Calls of a whole play with nothing refused.
-fn calls() -> u64 {
+/// Counts the modifying calls of a complete run without failures.
+fn count_calls() -> u64 {
     let disk = Memory::new();
     let mut files = Files::new(disk.clone());
     disk.fail_as_full(0..0);
     (1..=GROUPS).for_each(|number| files.step(number));
-    assert_eq!(files.told, GROUPS);
+    assert_eq!(files.reported, GROUPS);
     disk.changes()
 }
 
 #[test]
-fn whatever_is_refused_is_written_once_there_is_room() {
-    for from in 0..calls() {
-        for count in REFUSED {
+fn failed_writes_are_repeated_once_there_is_space() {
+    for from in 0..count_calls() {
+        for count in FAILED_CALLS {
             let disk = Memory::new();
             let mut files = Files::new(disk.clone());
             disk.fail_as_full(from..from + count);
@@ -142,9 +152,9 @@
             for _ in 0..=count {
                 files.flush();
             }
-            assert!(!files.owes && !files.writer.full());
-            assert_eq!(files.told, GROUPS, "{count} calls refused from {from} on");
-            files.outlasts(Crash::DropUnsynced);
+            assert!(!files.has_unsynced && !files.writer.full());
+            assert_eq!(files.reported, GROUPS, "{count} calls failed from {from} on");
+            files.assert_survives(Crash::DropUnsynced);
             let (_, recovered) = open(&disk).expect("opens");
             assert_eq!(recovered.entries.last(), Some(&entry(last_index(GROUPS), GROUPS)));
         }
@@ -152,22 +162,22 @@
 }
 
 #[test]
-fn nothing_that_was_told_to_last_is_lost_with_power_at_any_time() {
-    for from in 0..calls() {
-        for count in REFUSED {
+fn nothing_reported_durable_is_lost_in_a_power_loss_at_any_time() {
+    for from in 0..count_calls() {
+        for count in FAILED_CALLS {
             let disk = Memory::new();
             let mut files = Files::new(disk.clone());
             disk.fail_as_full(from..from + count);
             for number in 1..=GROUPS {
                 files.step(number);
-                CRASHES.into_iter().for_each(|crash| files.outlasts(crash));
+                CRASHES.into_iter().for_each(|crash| files.assert_survives(crash));
             }
         }
     }
 }
 
 #[test]
-fn full_disk_at_a_start_changes_nothing_and_a_later_start_succeeds() {
+fn full_disk_at_startup_changes_nothing_and_a_later_start_succeeds() {
     let disk = Memory::new();
     let mut files = Files::new(disk.clone());
     (1..=GROUPS).for_each(|number| files.step(number));
@@ -186,22 +196,22 @@
             }
             drop(first);
             full.fail_as_full(0..0);
-            let (_, recovered) = open(&full).expect("opens once there is room");
+            let (_, recovered) = open(&full).expect("opens once there is space");
             assert_eq!(recovered.id, before.id);
-            holds(&recovered, GROUPS);
+            assert_holds(&recovered, GROUPS);
         }
     }
 }
 
 #[test]
-fn new_disk_that_is_full_gets_its_identity_later() {
+fn new_disk_that_is_full_gets_its_identity_once_there_is_space() {
     for from in 0..8 {
         let disk = Memory::new();
         disk.fail_as_full(from..from + 2);
-        let refused = open(&disk).map(|(_, recovered)| recovered.id);
+        let first_id = open(&disk).map(|(_, recovered)| recovered.id);
         disk.fail_as_full(0..0);
-        let (_, recovered) = open(&disk).expect("opens once there is room");
-        if let Ok(id) = refused {
+        let (_, recovered) = open(&disk).expect("opens once there is space");
+        if let Ok(id) = first_id {
             assert_eq!(recovered.id, id);
         }
     }
--- a/crates/pond-store/tests/recovery.rs
+++ b/crates/pond-store/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of durable files from every point at which a crash may come.
+//! Recovery of the durable files after a crash at any point.
 
 use std::io;
 
@@ -27,8 +27,8 @@
     Store::open(Box::new(disk.clone())).expect("opens")
 }
 
-/// Writes `groups` groups of three entries, each synced; the disk.
-fn written(groups: u64) -> Memory {
+/// Returns a disk to which `groups` groups of three entries were written and synced.
+fn disk_with(groups: u64) -> Memory {
     let disk = Memory::new();
     let (store, _) = open(&disk);
     let mut store = store.with_segment_bytes(300);
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn what_was_synced_is_there_after_a_crash() {
-    let disk = written(10);
+fn synced_data_survives_a_crash() {
+    let disk = disk_with(10);
     disk.crash(Crash::DropUnsynced);
     let (_, recovered) = open(&disk);
     assert_eq!(recovered.entries.len(), 30);
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn every_prefix_of_an_unsynced_group_recovers_to_what_was_synced() {
+fn every_prefix_of_an_unsynced_group_recovers_to_the_synced_data() {
     let size = {
-        let disk = written(1);
+        let disk = disk_with(1);
         disk.read(&last_segment(&disk)).expect("reads").len()
     };
     for kept in 0..=size + 10 {
-        let disk = written(1);
+        let disk = disk_with(1);
         let (mut store, _) = open(&disk);
         let entries: Vec<Entry> = (4..=6).map(|index| entry(index, 2)).collect();
         store.append(hard(2), &entries).expect("writes");
@@ -71,7 +71,7 @@
         let count = recovered.entries.len();
         assert!(count == 3 || count == 6, "{kept} bytes kept gave {count} entries");
         assert_eq!(recovered.hard.term, if count == 6 { 2 } else { 1 });
-        // What comes after a cut end is kept as well.
+        // Data written after a truncated end is durable as well.
         store.append(None, &[entry(count as u64 + 1, 3)]).expect("writes");
         store.sync().expect("syncs");
         disk.crash(Crash::DropUnsynced);
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn an_entry_that_is_written_again_replaces_all_after_it() {
-    let disk = written(2);
+fn rewritten_entry_replaces_all_later_entries() {
+    let disk = disk_with(2);
     let (mut store, _) = open(&disk);
     store.append(hard(2), &[entry(4, 2)]).expect("writes");
     store.sync().expect("syncs");
@@ -91,20 +91,20 @@
 }
 
 #[test]
-fn damage_before_the_end_is_refused_with_its_place() {
-    let disk = written(10);
+fn damage_before_the_end_is_rejected_and_located() {
+    let disk = disk_with(10);
     let names = disk.list().expect("lists");
     let first = names.iter().find(|name| name.starts_with("log-")).expect("a segment");
     disk.damage(first, 30);
-    let error = Store::open(Box::new(disk.copy())).expect_err("refuses");
+    let error = Store::open(Box::new(disk.copy())).expect_err("rejects");
     assert!(matches!(&error, Error::Damaged { file, .. } if file == first), "{error}");
     assert!(error.to_string().contains("move the folder away"));
 }
 
 #[test]
-fn damage_in_the_last_segment_before_a_whole_group_is_refused() {
-    let disk = written(2);
-    // One segment holds both groups here.
+fn damage_in_the_last_segment_before_a_valid_group_is_rejected() {
+    let disk = disk_with(2);
+    // With this segment size, further groups go into the same segment.
     let (store, _) = open(&disk);
     let mut store = store.with_segment_bytes(1 << 20);
     for index in 7..=9 {
@@ -113,25 +113,25 @@
     }
     let name = last_segment(&disk);
     disk.damage(&name, 25);
-    let error = Store::open(Box::new(disk.copy())).expect_err("refuses");
+    let error = Store::open(Box::new(disk.copy())).expect_err("rejects");
     assert!(matches!(error, Error::Damaged { .. }), "{error}");
 }
 
 #[test]
-fn a_damaged_snapshot_is_refused() {
-    let disk = written(5);
+fn damaged_snapshot_is_rejected() {
+    let disk = disk_with(5);
     let (mut store, _) = open(&disk);
     store.save(&snapshot(9)).expect("saves");
     let names = disk.list().expect("lists");
     let name = names.iter().find(|name| name.starts_with("snapshot-")).expect("a snapshot");
     disk.damage(name, 50);
-    let error = Store::open(Box::new(disk.copy())).expect_err("refuses");
+    let error = Store::open(Box::new(disk.copy())).expect_err("rejects");
     assert!(matches!(error, Error::Damaged { .. }), "{error}");
 }
 
 #[test]
-fn a_snapshot_makes_old_segments_needless_and_keeps_the_rest() {
-    let disk = written(10);
+fn snapshot_removes_obsolete_segments_and_keeps_the_rest() {
+    let disk = disk_with(10);
     let first = "log-00000000000000000001".to_owned();
     assert!(disk.list().expect("lists").contains(&first));
     let (mut store, _) = open(&disk);
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn a_snapshot_that_replaces_the_log_leaves_nothing_of_it() {
-    let disk = written(3);
+fn snapshot_that_replaces_the_log_removes_all_entries() {
+    let disk = disk_with(3);
     let (mut store, _) = open(&disk);
     store.replace(&snapshot(4)).expect("replaces");
     disk.crash(Crash::DropUnsynced);
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_keeps_what_was_accepted() {
-    let disk = written(2);
+fn full_disk_rejects_writes_and_keeps_accepted_data() {
+    let disk = disk_with(2);
     let used: usize = disk
         .list()
         .expect("lists")
@@ -167,9 +167,9 @@
         .sum();
     let (mut store, _) = open(&disk);
     disk.set_capacity(Some(used + 10));
-    let error = store.append(hard(3), &[entry(7, 3)]).expect_err("refuses");
+    let error = store.append(hard(3), &[entry(7, 3)]).expect_err("rejects");
     assert!(matches!(error, Error::Full { .. }), "{error}");
-    // With room again the same store goes on.
+    // The same store continues once there is space.
     disk.set_capacity(None);
     store.append(hard(3), &[entry(7, 3)]).expect("writes");
     store.sync().expect("syncs");
@@ -177,41 +177,41 @@
 }
 
 #[test]
-fn an_identity_is_drawn_once_and_an_empty_disk_gets_another() {
-    let disk = written(1);
+fn identity_is_created_once_and_an_empty_disk_gets_another() {
+    let disk = disk_with(1);
     let first = open(&disk).1.id;
     assert_eq!(open(&disk).1.id, first);
     assert_ne!(open(&Memory::new()).1.id, first);
 }
 
 #[test]
-fn a_folder_of_another_format_is_refused() {
+fn folder_of_another_format_is_rejected() {
     let mut disk = Memory::new();
     disk.append("identity", b"9 0000000000000001\n").expect("writes");
-    let error = Store::open(Box::new(disk)).expect_err("refuses");
+    let error = Store::open(Box::new(disk)).expect_err("rejects");
     assert!(matches!(error, Error::Format { .. }), "{error}");
 }
 
 proptest! {
     #![proptest_config(cases(400))]
 
-    /// Whatever byte is damaged, files are read rightly or refused, never read wrongly.
+    /// Whichever byte is damaged, files are read correctly or rejected.
     #[test]
-    fn damaged_files_are_never_read_wrongly(place in any::<prop::sample::Index>(), which in any::<prop::sample::Index>()) {
-        let disk = written(6);
+    fn damaged_files_are_never_read_incorrectly(position in any::<prop::sample::Index>(), which in any::<prop::sample::Index>()) {
+        let disk = disk_with(6);
         let names = disk.list().expect("lists");
         let name = &names[which.index(names.len())];
         let length = disk.read(name).expect("reads").len();
-        disk.damage(name, place.index(length));
+        disk.damage(name, position.index(length));
         let Ok((_, recovered)) = Store::open(Box::new(disk.copy())) else { return Ok(()) };
         for (i, found) in recovered.entries.iter().enumerate() {
             prop_assert_eq!(found, &entry(i as u64 + 1, 1));
         }
-        // Only the last group may be missing, as if it had been torn.
+        // Only the last group may be missing, as after a torn write.
         prop_assert!(recovered.entries.len() >= 15);
     }
 
-    /// Any bytes in place of a segment are refused or read as nothing.
+    /// Arbitrary bytes in position of a segment are rejected or read as an empty segment.
     #[test]
     fn garbage_is_never_read_as_entries(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut disk = Memory::new();
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn folder_that_another_holds_is_told_from_one_that_cannot_be_locked() {
+fn folder_locked_by_another_process_is_distinguished_from_one_that_cannot_be_locked() {
     let held = pond_store::Error::lock("f", fs2::lock_contended_error());
     assert!(held.to_string().contains("another process holds the lock"));
     let other = pond_store::Error::lock("f", std::io::Error::from_raw_os_error(9));
@@ -232,10 +232,10 @@
 }
 
 #[test]
-fn what_was_read_after_a_kill_outlasts_a_loss_of_power() {
-    // A replica that is killed before its sync reads on its next start what is not on the disk yet,
-    // and acknowledges it like anything else in its log.
-    let disk = written(2);
+fn data_read_after_a_kill_survives_a_power_loss() {
+    // A replica that is killed before its sync reads, at its next start, data that is not durable yet,
+    // and acknowledges it like everything else in its log.
+    let disk = disk_with(2);
     let (mut store, _) = open(&disk);
     store.append(hard(2), &[entry(7, 2)]).expect("writes");
     disk.crash(Crash::KeepAll);
@@ -246,21 +246,21 @@
     assert_eq!((recovered.entries, recovered.hard), (read.entries, read.hard));
 }
 
-/// A disk whose power is lost after so many changes.
+/// A disk that loses power after a given number of modifications.
 #[derive(Debug)]
-struct Fading {
+struct FailingDisk {
     disk: Memory,
-    left: usize,
+    changes_left: usize,
 }
 
-impl Fading {
+impl FailingDisk {
     fn change<T>(&mut self, act: impl FnOnce(&mut Memory) -> io::Result<T>) -> io::Result<T> {
-        self.left = self.left.checked_sub(1).ok_or(io::ErrorKind::NotConnected)?;
+        self.changes_left = self.changes_left.checked_sub(1).ok_or(io::ErrorKind::NotConnected)?;
         act(&mut self.disk)
     }
 }
 
-impl Disk for Fading {
+impl Disk for FailingDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         self.disk.list()
     }
@@ -294,22 +294,22 @@
     }
 }
 
-/// What was synced, as far as a replica may have answered for it.
+/// The synced data that a replica may have acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-struct Kept {
+struct Synced {
     term: u64,
     snapshot: u64,
     last: u64,
 }
 
-impl Kept {
-    fn read(recovered: &Recovered) -> Kept {
+impl Synced {
+    fn read(recovered: &Recovered) -> Synced {
         let snapshot = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
         let last = recovered.entries.last().map_or(snapshot, |entry| entry.index);
-        Kept { term: recovered.hard.term, snapshot, last }
+        Synced { term: recovered.hard.term, snapshot, last }
     }
 
-    /// Writes until the power is lost; each step counts once it has come back without an error.
+    /// Writes until the power is lost. A step counts once it has returned without an error.
     fn write(&mut self, store: &mut Store, rng: &mut StdRng) -> Result<(), Error> {
         loop {
             match rng.random_range(0..10) {
@@ -340,25 +340,25 @@
 proptest! {
     #![proptest_config(cases(2000))]
 
-    /// Power is lost again and again, at any change of the disk, also while a replica starts.
+    /// Power is lost repeatedly, at any modification of the disk, also while a replica starts.
     #[test]
-    fn nothing_synced_is_lost_whenever_power_is(seed in any::<u64>()) {
+    fn synced_data_survives_power_losses_at_any_time(seed in any::<u64>()) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (disk, mut kept) = (Memory::new(), Kept::default());
+        let (disk, mut synced) = (Memory::new(), Synced::default());
         for _ in 0..6 {
-            let fading = Fading { disk: disk.clone(), left: rng.random_range(0..120) };
-            if let Ok((store, recovered)) = Store::open(Box::new(fading)) {
-                kept = Kept::read(&recovered);
+            let failing = FailingDisk { disk: disk.clone(), changes_left: rng.random_range(0..120) };
+            if let Ok((store, recovered)) = Store::open(Box::new(failing)) {
+                synced = Synced::read(&recovered);
                 let mut store = store.with_segment_bytes(200);
-                prop_assert!(kept.write(&mut store, &mut rng).is_err());
+                prop_assert!(synced.write(&mut store, &mut rng).is_err());
             }
             disk.crash(Crash::KeepRandom(rng.random()));
             let opened = Store::open(Box::new(disk.copy()));
-            prop_assert!(opened.is_ok(), "it does not open: {:?}", opened.err());
-            let found = opened.map(|(_, recovered)| Kept::read(&recovered)).unwrap_or_default();
-            prop_assert!(found.term >= kept.term, "{found:?} of {kept:?}");
-            prop_assert!(found.snapshot >= kept.snapshot, "{found:?} of {kept:?}");
-            prop_assert!(found.last >= kept.last, "{found:?} of {kept:?}");
+            prop_assert!(opened.is_ok(), "the files do not open: {:?}", opened.err());
+            let found = opened.map(|(_, recovered)| Synced::read(&recovered)).unwrap_or_default();
+            prop_assert!(found.term >= synced.term, "{found:?} of {synced:?}");
+            prop_assert!(found.snapshot >= synced.snapshot, "{found:?} of {synced:?}");
+            prop_assert!(found.last >= synced.last, "{found:?} of {synced:?}");
         }
     }
 }
