--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -199,7 +199,7 @@
     let mut core = leader();
     assert!(
         core.lease_until().is_none_or(|until| until < Millis(AFTER_TIMEOUT)),
-        "nobody answered yet"
+        "no follower has answered yet"
     );
     core.outputs(Millis(AFTER_TIMEOUT));
     core.step(Millis(AFTER_TIMEOUT), Input::Persisted);
--- a/crates/pond-quorum/tests/schedule.rs
+++ b/crates/pond-quorum/tests/schedule.rs
@@ -136,10 +136,10 @@
     for seed in 1..=100 {
         let mut cluster = Cluster::new(5, seed, Faults::none());
         cluster.run(1500);
-        let former = cluster.leader().expect("a leader");
-        let follower = (1..=5).find(|id| *id != former).expect("a follower");
+        let old_leader = cluster.leader().expect("a leader");
+        let follower = (1..=5).find(|id| *id != old_leader).expect("a follower");
         cluster.fill(follower, 6_000);
-        cluster.crash(former, 5_000);
+        cluster.crash(old_leader, 5_000);
         // Votes may be split in a few elections.
         cluster.run(2_000);
         let leader = cluster.leader().expect("another leader");
--- a/crates/pond-replica/src/handle.rs
+++ b/crates/pond-replica/src/handle.rs
@@ -70,7 +70,7 @@
         answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
-    /// Evacuates a data centre or readmits it. The last order in the log takes effect.
+    /// Evacuates a data centre or readmits it. The last order in the replicated log takes effect.
     ///
     /// # Errors
     /// See [`RequestError`].
--- a/crates/pond-replica/src/operators.rs
+++ b/crates/pond-replica/src/operators.rs
@@ -10,10 +10,10 @@
 use crate::pending::Waiter;
 use crate::replica::Replica;
 
-/// Longest silence of the leader, in milliseconds, after which operators are no longer redirected to it:
+/// Silence of the leader, in milliseconds, after which operators are no longer redirected to it:
 /// two and a half heartbeats. An operator who is redirected to a lost machine waits for a second in vain.
 /// (After the loss of a leader's machine an order took 1.2 s, and one sent 250 ms later took 2.2 s.)
-const LEADER_NAMED_MS: Span = 250;
+const MAX_LEADER_SILENCE_MS: Span = 250;
 
 /// Longest time that a request is deferred until a leader is known, in milliseconds. This covers most
 /// elections, and is less than the second after which operators try another replica.
@@ -30,7 +30,7 @@
 
 impl Replica {
     /// Answers a request of an operator, or defers it until a leader is known.
-    pub(crate) fn operator(&mut self, now: Millis, command: Command) {
+    pub(crate) fn operator_request(&mut self, now: Millis, command: Command) {
         let answerable = self.holds_lease(now) || self.knows_leader(now) || self.stopping.is_some();
         if answerable || self.deferred.len() >= MAX_DEFERRED {
             return self.answer_operator(now, command);
@@ -104,10 +104,10 @@
 
     /// Evacuates a data centre or readmits it, if this replica leads.
     ///
-    /// Orders have no version number; only their position in the log says which of two is newer. Therefore
-    /// an order that repeats the current state is logged as well, because an opposite one may be about to be
-    /// logged. An order whose operator has disconnected is dropped: the operator has sent it to another
-    /// replica, and further orders may have been acknowledged since then.
+    /// Orders have no version number; only their position in the replicated log says which of two is newer.
+    /// Therefore an order that repeats the current state is proposed as well, because an opposite one may
+    /// be about to be committed. An order whose operator has disconnected is dropped: the operator has sent
+    /// it to another replica, and further orders may have been acknowledged since then.
     fn evacuate(
         &mut self,
         now: Millis,
@@ -139,7 +139,7 @@
 
     fn leader_address(&self, now: Millis) -> Option<&str> {
         let leader = self.core.leader().filter(|leader| leader.id != self.core.id())?;
-        let heard = self.core.heard().is_some_and(|heard| now.since(heard) < LEADER_NAMED_MS);
+        let heard = self.core.heard().is_some_and(|heard| now.since(heard) < MAX_LEADER_SILENCE_MS);
         let reached = self.peers.down_since(&leader.address).is_none();
         (heard && reached).then_some(leader.address.as_str())
     }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -116,7 +116,7 @@
 }
 
 impl Replica {
-    pub(crate) fn link(&mut self, event: Event) {
+    pub(crate) fn handle_link_event(&mut self, event: Event) {
         let now = self.now();
         let link = event.link;
         match event.kind {
@@ -140,7 +140,7 @@
                 }
             }
             EventKind::Down(error) => self.link_down(now, link, &error),
-            EventKind::Frame(body) => self.frame(now, link, body),
+            EventKind::Frame(body) => self.handle_frame(now, link, body),
         }
     }
 
@@ -167,10 +167,10 @@
         }
     }
 
-    fn frame(&mut self, now: Millis, link: LinkKey, body: Body) {
+    fn handle_frame(&mut self, now: Millis, link: LinkKey, body: Body) {
         match body {
             Body::Quorum(message) => match message.body {
-                Some(Payload::Present(present)) => self.presented(now, link, present),
+                Some(Payload::Present(present)) => self.handle_presence(now, link, present),
                 _ if self.accepts_messages() => self.core.step(now, Input::Message(message)),
                 // The sender repeats the message.
                 _ => {}
@@ -192,7 +192,7 @@
         self.peers.send_presence_to_all(&self.own_presence());
     }
 
-    fn presented(&mut self, now: Millis, link: LinkKey, present: Present) {
+    fn handle_presence(&mut self, now: Millis, link: LinkKey, present: Present) {
         let member = &present.member;
         if let Some(client) = self.clients.get_mut(&link) {
             client.presented = Some((member.address.clone(), member.id));
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -196,23 +196,23 @@
 
     async fn take_inputs(&mut self) {
         tokio::select! {
-            Some(event) = self.links.recv() => self.link(event),
-            Some(request) = self.requests.recv() => self.request(request),
+            Some(event) = self.links.recv() => self.handle_link_event(event),
+            Some(request) = self.requests.recv() => self.handle_request(request),
             () = sleep(Duration::from_millis(TICK_MS)) => {}
         }
         for _ in 0..MAX_BATCH {
             let Ok(event) = self.links.try_recv() else { break };
-            self.link(event);
+            self.handle_link_event(event);
         }
         while let Ok(request) = self.requests.try_recv() {
-            self.request(request);
+            self.handle_request(request);
         }
     }
 
-    fn request(&mut self, request: Request) {
+    fn handle_request(&mut self, request: Request) {
         let now = self.now();
         match request {
-            Request::Operator(command) => self.operator(now, command),
+            Request::Operator(command) => self.operator_request(now, command),
             Request::AddAddresses(addresses) => self.peers.add_addresses(&addresses),
             Request::Advised(question, permits) => {
                 if let Some(leader) = &mut self.leader {
