--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -1,4 +1,4 @@
-//! What a leader writes to the log: its decisions, and what applied changes did.
+//! Events that a leader logs: its decisions, and the effects of applied changes.
 
 use pond_job::{Blame, Change, Decision, End, Obstacle, Reply, Start};
 use pond_log::event;
@@ -7,8 +7,8 @@
 
 use crate::replica::Replica;
 
-/// Runs of a lost worker that its line names at most; the others are counted.
-const RUNS_TOLD: usize = 8;
+/// Maximum number of runs that the event of a lost worker lists; the others are only counted.
+const MAX_RUNS_LOGGED: usize = 8;
 
 impl Replica {
     /// Logs a decision of the leader.
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Logs what a change did, on the leader only.
+    /// Logs the effect of an applied change, on the leader only.
     pub(crate) fn log_change(&self, change: &Change, reply: &Reply) {
         match change {
             Change::Configure(configuration) => {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The evacuated data centres, in one text.
+    /// Returns the names of the evacuated data centres, separated by spaces.
     fn evacuated(&self) -> String {
         let names: Vec<&str> = self.state.evacuations().map(|(name, _)| name).collect();
         names.join(" ")
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Logs what a change that is about to be applied ends and loses, on the leader only. A proposal
-    /// holds again what earlier ones held, which is no news.
+    /// Logs the ended runs and lost workers of a change that is about to be applied, on the leader only.
+    /// A proposal repeats ends of earlier proposals; those are not logged again.
     pub(crate) fn log_ends(&self, change: &Change) {
         match change {
             Change::Ended { worker, ends, unstarted } => self.log_ended(worker, ends, unstarted),
@@ -138,17 +138,17 @@
         }
     }
 
-    /// Logs which tasks may have taken down a worker, with all that is then held against each, and which are given
-    /// up for it.
+    /// Logs which tasks are suspected of the loss of a worker, with the losses recorded against each, and
+    /// which tasks are given up because of it.
     fn log_blame(&self, worker: &str, blame: &[Blame]) {
         for blame in blame.iter().filter(|blame| blame.is_reportable()) {
-            let Some(held) = self.state.suspicion_with(worker, blame) else { continue };
+            let Some(suspicion) = self.state.suspicion_with(worker, blame) else { continue };
             let (run, verdict) = (blame.run.to_string(), format!("{:?}", blame.verdict));
             event!(self.log, TASK_SUSPECTED, "run" => run.clone(), "worker" => worker.to_owned(),
-                "verdict" => verdict, "lived_ms" => blame.survived_ms, "losses" => held.losses,
-                "likely" => held.likely, "proven" => held.conclusive, "begun" => held.failed_starts,
-                "probability" => format!("{:.4}", held.probability.unwrap_or(0.0)));
-            if held.is_culprit() {
+                "verdict" => verdict, "lived_ms" => blame.survived_ms, "losses" => suspicion.losses,
+                "likely" => suspicion.likely, "proven" => suspicion.conclusive, "begun" => suspicion.failed_starts,
+                "probability" => format!("{:.4}", suspicion.probability.unwrap_or(0.0)));
+            if suspicion.is_culprit() {
                 self.metrics.count("tasks_given_up", 1);
                 event!(self.log, TASK_GIVEN_UP, "run" => run, "worker" => worker.to_owned());
             }
@@ -176,12 +176,12 @@
     }
 }
 
-/// The runs that lived for the shortest time on a lost worker, and for how long in milliseconds: what ended it
-/// is most likely among them.
+/// Lists the runs that had run for the shortest time on a lost worker, with that time in milliseconds. The
+/// cause of the loss is most likely among them.
 fn shortest(mut runs: Vec<(RunName, Option<Span>)>) -> String {
-    runs.retain(|(_, lived_ms)| lived_ms.is_some());
-    runs.sort_by_key(|(_, lived_ms)| *lived_ms);
-    let told = runs.iter().take(RUNS_TOLD);
-    let texts = told.map(|(run, lived_ms)| format!("{run} {} ms", lived_ms.unwrap_or(0)));
+    runs.retain(|(_, survived_ms)| survived_ms.is_some());
+    runs.sort_by_key(|(_, survived_ms)| *survived_ms);
+    let listed = runs.iter().take(MAX_RUNS_LOGGED);
+    let texts = listed.map(|(run, survived_ms)| format!("{run} {} ms", survived_ms.unwrap_or(0)));
     texts.collect::<Vec<_>>().join(", ")
 }
--- a/crates/pond-replica/src/handle.rs
+++ b/crates/pond-replica/src/handle.rs
@@ -1,117 +1,119 @@
-//! What operators ask of a replica, and other news from outside.
+//! Requests to a replica from operators and from the rest of its process.
 
 use pond_job::{Configuration, Permit, Question};
 use pond_proto::Millis;
 use tokio::sync::{mpsc, oneshot};
 
-/// This replica cannot do it.
+/// Why a replica did not confirm an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Elsewhere {
-    /// Nothing was done here; the leader takes internal links at that address, if one is known.
-    Leader(Option<String>),
-    /// It may have been done.
-    Unknown,
+pub enum RequestError {
+    /// This replica cannot act as the leader and did nothing. Holds the address at which the leader accepts
+    /// internal links, if it is known.
+    NotLeader(Option<String>),
+    /// The request may or may not have been carried out.
+    OutcomeUnknown,
 }
 
-/// An operator's order about a data centre.
+/// An operator's order to evacuate a data centre or to readmit it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: String,
-    /// Whether it is evacuated from now on, or work is started there again.
+    /// `true` to evacuate the data centre, `false` to allow new work there again.
     pub begins: bool,
 }
 
-/// The evacuated data centres, and since when each is, on the operators' clock.
+/// The evacuated data centres, each with the time of day at which its evacuation was ordered.
 pub type Evacuated = Vec<(String, Millis)>;
 
-/// Something that an operator asks.
-pub enum Order {
-    /// Bring a configuration in force.
-    Configure(Box<Configuration>, oneshot::Sender<Result<(), Elsewhere>>),
-    /// Start nothing more in a data centre, or start work there again.
-    Evacuate(Evacuation, oneshot::Sender<Result<(), Elsewhere>>),
-    /// Tell which data centres are evacuated.
-    Evacuated(oneshot::Sender<Result<Evacuated, Elsewhere>>),
-    /// Tell the configuration in force; none if there is none.
-    Read(oneshot::Sender<Result<Option<String>, Elsewhere>>),
+/// A request of an operator, with the channel for its reply.
+pub enum Command {
+    /// Activate a configuration.
+    Configure(Box<Configuration>, oneshot::Sender<Result<(), RequestError>>),
+    /// Stop starting work in a data centre, or allow it again.
+    Evacuate(Evacuation, oneshot::Sender<Result<(), RequestError>>),
+    /// List the evacuated data centres.
+    ListEvacuated(oneshot::Sender<Result<Evacuated, RequestError>>),
+    /// Read the source text of the active configuration, if there is one.
+    ReadConfiguration(oneshot::Sender<Result<Option<String>, RequestError>>),
 }
 
-/// Something that comes from outside.
+/// An input to the replica's task from within its process.
 pub enum Request {
-    /// An operator asks something.
-    Operator(Order),
-    /// Further addresses of replicas.
-    Learn(Vec<String>),
-    /// The adviser answered the leader's question, or did not.
+    /// A request of an operator.
+    Operator(Command),
+    /// Addresses of further replicas.
+    AddAddresses(Vec<String>),
+    /// The adviser's answer to a question of the leader; `None` if there was no valid answer.
     Advised(Question, Option<Vec<Permit>>),
-    /// Stop as planned.
+    /// Hand over leadership and stop.
     Stop,
 }
 
-/// Asks a replica.
+/// Sends requests to a replica's task.
 #[derive(Clone)]
 pub struct Handle {
     pub(crate) requests: mpsc::Sender<Request>,
 }
 
 impl Handle {
-    /// Brings a configuration in force, unless a newer one is.
+    /// Activates a configuration. Succeeds without a change if the active one is the same or newer.
     ///
     /// # Errors
-    /// See [`Elsewhere`].
-    pub async fn configure(&self, configuration: Configuration) -> Result<(), Elsewhere> {
+    /// See [`RequestError`].
+    pub async fn configure(&self, configuration: Configuration) -> Result<(), RequestError> {
         let (reply, answer) = oneshot::channel();
-        let request = Request::Operator(Order::Configure(Box::new(configuration), reply));
+        let request = Request::Operator(Command::Configure(Box::new(configuration), reply));
         if self.requests.send(request).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Unknown))
+        answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
-    /// Evacuates a data centre or takes that back; the order that came into the log last is in force.
+    /// Evacuates a data centre or readmits it. The last order in the replicated log takes effect.
     ///
     /// # Errors
-    /// See [`Elsewhere`].
-    pub async fn evacuate(&self, evacuation: Evacuation) -> Result<(), Elsewhere> {
+    /// See [`RequestError`].
+    pub async fn evacuate(&self, evacuation: Evacuation) -> Result<(), RequestError> {
         let (reply, answer) = oneshot::channel();
-        let request = Request::Operator(Order::Evacuate(evacuation, reply));
+        let request = Request::Operator(Command::Evacuate(evacuation, reply));
         if self.requests.send(request).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Unknown))
+        answer.await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
-    /// The evacuated data centres.
+    /// Lists the evacuated data centres.
     ///
     /// # Errors
-    /// [`Elsewhere::Leader`] if this replica cannot be sure.
-    pub async fn evacuated(&self) -> Result<Evacuated, Elsewhere> {
+    /// [`RequestError::NotLeader`] if this replica holds no lease as leader.
+    pub async fn evacuated(&self) -> Result<Evacuated, RequestError> {
         let (reply, answer) = oneshot::channel();
-        if self.requests.send(Request::Operator(Order::Evacuated(reply))).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+        if self.requests.send(Request::Operator(Command::ListEvacuated(reply))).await.is_err() {
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Leader(None)))
+        answer.await.unwrap_or(Err(RequestError::NotLeader(None)))
     }
 
-    /// The operator's text of the configuration in force, none if there is none.
+    /// Returns the operator's source text of the active configuration, or `None` if there is none.
     ///
     /// # Errors
-    /// [`Elsewhere::Leader`] if this replica cannot be sure.
-    pub async fn read(&self) -> Result<Option<String>, Elsewhere> {
+    /// [`RequestError::NotLeader`] if this replica holds no lease as leader.
+    pub async fn configuration(&self) -> Result<Option<String>, RequestError> {
         let (reply, answer) = oneshot::channel();
-        if self.requests.send(Request::Operator(Order::Read(reply))).await.is_err() {
-            return Err(Elsewhere::Leader(None));
+        if self.requests.send(Request::Operator(Command::ReadConfiguration(reply))).await.is_err() {
+            return Err(RequestError::NotLeader(None));
         }
-        answer.await.unwrap_or(Err(Elsewhere::Leader(None)))
+        answer.await.unwrap_or(Err(RequestError::NotLeader(None)))
     }
 
-    /// Further addresses of replicas, as from changed settings.
-    pub async fn learn(&self, addresses: Vec<String>) -> bool {
-        self.requests.send(Request::Learn(addresses)).await.is_ok()
+    /// Adds addresses of replicas, for example from changed settings. Returns whether the replica still
+    /// runs.
+    pub async fn add_addresses(&self, addresses: Vec<String>) -> bool {
+        self.requests.send(Request::AddAddresses(addresses)).await.is_ok()
     }
 
-    /// Asks the replica to hand over the lead and stop.
+    /// Asks the replica to hand over leadership and stop. Returns whether the replica still runs.
     pub async fn stop(&self) -> bool {
         self.requests.send(Request::Stop).await.is_ok()
     }
--- a/crates/pond-replica/src/lib.rs
+++ b/crates/pond-replica/src/lib.rs
@@ -1,22 +1,22 @@
 //! A control replica for jobs.
 //!
-//! One task owns the quorum, the files, the state and all decisions, and blocks while the disk
-//! syncs: a replica whose disk hangs sends no heartbeats and loses the lead. Links and operators
-//! feed it through bounded queues.
+//! A single task owns the quorum, the files, the state and all decisions, and blocks while the disk
+//! syncs. A replica whose disk hangs therefore sends no heartbeats and loses leadership. Links and
+//! operators feed the task through bounded queues.
 
 mod adviser;
-mod asks;
 mod audit;
+mod callers;
 mod formation;
 mod handle;
 mod lead;
 mod operators;
 mod outputs;
 mod peers;
+mod pending;
 mod replica;
-mod waiting;
 
 pub use adviser::Adviser;
-pub use formation::{Formation, Replacement};
-pub use handle::{Elsewhere, Evacuated, Evacuation, Handle};
+pub use formation::{Formation, MemberChange};
+pub use handle::{Evacuated, Evacuation, Handle, RequestError};
 pub use replica::{Replica, Settings};
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -1,15 +1,15 @@
-//! Links to other replicas and to the processes that follow them.
+//! Links to other replicas, entries and agents.
 //!
-//! Each replica dials every other one it knows and sends only on links that it dialled; what comes
-//! in on accepted links is only read. So it does not matter which of two replicas knew the other
-//! first.
+//! Each replica dials every other replica it knows and sends to them only on links that it dialled; on
+//! links accepted from other replicas it only receives. So it does not matter which of two replicas
+//! learned of the other first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms};
 use pond_log::{Logger, event};
-use pond_proto::quorum::{Body as Letter, Letter as QuorumLetter, Present};
+use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Present};
 use pond_proto::wire::{Body, Role as WireRole};
 use pond_proto::{Life, Millis};
 use pond_quorum::Input;
@@ -17,27 +17,28 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use crate::replica::{Guest, Replica, Settings};
+use crate::replica::{Client, Replica, Settings};
 
-/// Largest frame between processes, in bytes: a configuration with thousands of queues.
-const FRAME_BYTES: usize = 8 << 20;
+/// Maximum size of a frame between processes, in bytes; fits a configuration with thousands of queues.
+const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Frames that may wait on one link, as on all links of control (see docs/ARCHITECTURE.md).
+/// Capacity of the send queue of a link, in frames; the same on all links of control (see
+/// docs/ARCHITECTURE.md).
 const LINK_QUEUE: usize = 1024;
 
 /// Another replica.
 struct Peer {
     link: LinkKey,
     sender: Option<Sender>,
-    /// Since when there is no link.
-    down: Option<Millis>,
+    /// Since when there is no link; `None` while the link is up.
+    down_since: Option<Millis>,
 }
 
 /// The other replicas.
 pub(crate) struct Peers {
-    own: String,
+    own_address: String,
     dialled: BTreeMap<String, Peer>,
-    /// Addresses by the identity of the disk.
+    /// Addresses by disk identity.
     addresses: BTreeMap<u64, String>,
     terms: Arc<Terms>,
     events: mpsc::Sender<Event>,
@@ -45,7 +46,7 @@
 }
 
 impl Peers {
-    /// Listens, and dials the replicas of the settings.
+    /// Starts to accept links, and dials the replicas named in the settings.
     pub fn start(
         settings: &Settings,
         listener: TcpListener,
@@ -54,102 +55,103 @@
     ) -> Peers {
         let own = settings.internal.to_string();
         let terms = Terms::new(WireRole::Control, &own, &settings.data_centre, Life::random())
-            .with_limits(FRAME_BYTES, LINK_QUEUE)
+            .with_limits(MAX_FRAME_BYTES, LINK_QUEUE)
             .with_address(&own)
             .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let terms = Arc::new(terms);
         tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
         let (dialled, addresses) = (BTreeMap::new(), BTreeMap::new());
-        let mut peers = Peers { own, dialled, addresses, terms, events, log };
-        peers.learn(&settings.seeds);
+        let mut peers = Peers { own_address: own, dialled, addresses, terms, events, log };
+        peers.add_addresses(&settings.seeds);
         peers
     }
 
-    /// Dials replicas that are not known yet.
-    pub fn learn(&mut self, addresses: &[String]) {
+    /// Dials the replicas at those addresses that are not known yet.
+    pub fn add_addresses(&mut self, addresses: &[String]) {
         for address in addresses {
-            if *address == self.own || self.dialled.contains_key(address) {
+            if *address == self.own_address || self.dialled.contains_key(address) {
                 continue;
             }
             let Ok(parsed) = address.parse() else {
-                event!(self.log, LINK_REFUSED, "why" => format!("{address} is no address"));
+                event!(self.log, LINK_REFUSED, "why" => format!("{address} is not a valid address"));
                 continue;
             };
             let link = LinkKey(self.dialled.len() as u64);
             let (terms, events) = (self.terms.clone(), self.events.clone());
             tokio::spawn(pond_link::dial(parsed, link, terms, events));
-            let peer = Peer { link, sender: None, down: Some(Millis(0)) };
+            let peer = Peer { link, sender: None, down_since: Some(Millis(0)) };
             self.dialled.insert(address.clone(), peer);
         }
     }
 
-    /// The addresses of all replicas that are known.
-    pub fn known(&self) -> Vec<String> {
+    /// Returns the addresses of all known replicas, this one included.
+    pub fn known_addresses(&self) -> Vec<String> {
         let others = self.dialled.keys().cloned();
-        std::iter::once(self.own.clone()).chain(others).collect()
+        std::iter::once(self.own_address.clone()).chain(others).collect()
     }
 
-    /// Since when the link to a replica is down; none if it is up.
+    /// Returns since when the link to a replica is down; `None` if it is up.
     pub fn down_since(&self, address: &str) -> Option<Millis> {
-        self.dialled.get(address).and_then(|peer| peer.down)
+        self.dialled.get(address).and_then(|peer| peer.down_since)
     }
 
-    fn of(&mut self, link: LinkKey) -> Option<(&String, &mut Peer)> {
+    fn by_link(&mut self, link: LinkKey) -> Option<(&String, &mut Peer)> {
         self.dialled.iter_mut().find(|(_, peer)| peer.link == link)
     }
 
-    /// Sends a message of the quorum.
-    pub fn send(&self, letter: QuorumLetter) {
-        let peer = self.addresses.get(&letter.to).and_then(|address| self.dialled.get(address));
+    /// Sends a message of the quorum to the replica that it names.
+    pub fn send(&self, message: QuorumMessage) {
+        let peer = self.addresses.get(&message.to).and_then(|address| self.dialled.get(address));
         if let Some(sender) = peer.and_then(|peer| peer.sender.as_ref()) {
-            // The quorum sends again what is lost.
-            sender.send(Body::Quorum(letter));
+            // The quorum repeats lost messages.
+            sender.send(Body::Quorum(message));
         }
     }
 
-    fn present_to_all(&self, letter: &QuorumLetter) {
+    fn send_presence_to_all(&self, message: &QuorumMessage) {
         for sender in self.dialled.values().filter_map(|peer| peer.sender.as_ref()) {
-            sender.send(Body::Quorum(letter.clone()));
+            sender.send(Body::Quorum(message.clone()));
         }
     }
 }
 
 impl Replica {
-    pub(crate) fn link(&mut self, event: Event) {
+    pub(crate) fn handle_link_event(&mut self, event: Event) {
         let now = self.now();
         let link = event.link;
         match event.kind {
             EventKind::Up { hello, sender, .. } if link.accepted() => {
                 if hello.role() == WireRole::Control && !hello.address.is_empty() {
-                    self.peers.learn(&[hello.address]);
+                    self.peers.add_addresses(&[hello.address]);
                 }
-                if let Some(lead) = &self.told {
+                if let Some(lead) = &self.announced {
                     sender.send(Body::Lead(lead.clone()));
                 }
-                self.guests.insert(link, Guest { name: hello.name, sender, presented: None });
+                self.clients.insert(link, Client { name: hello.name, sender, presented: None });
             }
             EventKind::Up { sender, .. } => {
-                let letter = self.own_presence();
-                sender.send(Body::Quorum(letter));
-                if let Some((address, peer)) = self.peers.of(link) {
+                let message = self.own_presence();
+                sender.send(Body::Quorum(message));
+                if let Some((address, peer)) = self.peers.by_link(link) {
                     let address = address.clone();
                     peer.sender = Some(sender);
-                    peer.down = None;
+                    peer.down_since = None;
                     event!(self.log, LINK_UP, "peer" => address);
                 }
             }
             EventKind::Down(error) => self.link_down(now, link, &error),
-            EventKind::Frame(body) => self.frame(now, link, body),
+            EventKind::Frame(body) => self.handle_frame(now, link, body),
         }
     }
 
     fn link_down(&mut self, now: Millis, link: LinkKey, error: &pond_link::Error) {
         if link.accepted() {
-            let presented = self.guests.remove(&link).and_then(|guest| guest.presented);
-            // The other end may have noticed the loss first and have presented itself on a newer
-            // link; if that were forgotten, it would never be added, as it does so once a link.
-            let again = self.guests.values().any(|guest| guest.presented == presented);
-            if let Some((address, id)) = presented.filter(|_| !again) {
+            let presented = self.clients.remove(&link).and_then(|client| client.presented);
+            // The other replica may have noticed the loss first and presented itself on a newer link.
+            // It does so only once per link, so forgetting that would mean that it is never added.
+            let presented_on_newer_link =
+                self.clients.values().any(|client| client.presented == presented);
+            if let Some((address, id)) = presented.filter(|_| !presented_on_newer_link) {
                 self.formation.link_lost(&address, id);
             }
             if let Some(leader) = &mut self.leader {
@@ -158,62 +160,62 @@
             return;
         }
         let log = self.log.clone();
-        let Some((address, peer)) = self.peers.of(link) else { return };
+        let Some((address, peer)) = self.peers.by_link(link) else { return };
         if peer.sender.take().is_some() {
-            peer.down = Some(now);
+            peer.down_since = Some(now);
             event!(log, LINK_DOWN, "peer" => address.clone(), "why" => error.to_string());
         }
     }
 
-    fn frame(&mut self, now: Millis, link: LinkKey, body: Body) {
+    fn handle_frame(&mut self, now: Millis, link: LinkKey, body: Body) {
         match body {
-            Body::Quorum(letter) => match letter.body {
-                Some(Letter::Present(present)) => self.presented(now, link, present),
-                _ if self.takes_letters() => self.core.step(now, Input::Letter(letter)),
-                // It is sent again.
+            Body::Quorum(message) => match message.body {
+                Some(Payload::Present(present)) => self.handle_presence(now, link, present),
+                _ if self.accepts_messages() => self.core.step(now, Input::Message(message)),
+                // The sender repeats the message.
                 _ => {}
             },
-            Body::Lead(lead) => self.peers.learn(&lead.replicas),
-            Body::Ask(ask) => self.ask(now, link, ask),
+            Body::Lead(lead) => self.peers.add_addresses(&lead.replicas),
+            Body::Ask(ask) => self.caller_request(now, link, ask),
             Body::Report(report) => self.report(now, link, report),
             _ => {}
         }
     }
 
-    fn own_presence(&self) -> QuorumLetter {
-        let present = Letter::Present(self.formation.present(self.core.last_index()));
-        QuorumLetter { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
+    fn own_presence(&self) -> QuorumMessage {
+        let present = Payload::Present(self.formation.present(self.core.last_index()));
+        QuorumMessage { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
     }
 
-    /// Tells all replicas that this one has a log now.
-    pub(crate) fn present_again(&self) {
-        self.peers.present_to_all(&self.own_presence());
+    /// Announces to all replicas that this one has a log now.
+    pub(crate) fn announce_presence(&self) {
+        self.peers.send_presence_to_all(&self.own_presence());
     }
 
-    fn presented(&mut self, now: Millis, link: LinkKey, present: Present) {
+    fn handle_presence(&mut self, now: Millis, link: LinkKey, present: Present) {
         let member = &present.member;
-        if let Some(guest) = self.guests.get_mut(&link) {
-            guest.presented = Some((member.address.clone(), member.id));
+        if let Some(client) = self.clients.get_mut(&link) {
+            client.presented = Some((member.address.clone(), member.id));
         }
-        self.peers.learn(std::slice::from_ref(&member.address));
+        self.peers.add_addresses(std::slice::from_ref(&member.address));
         self.peers.addresses.insert(member.id, member.address.clone());
-        // A log shorter than what it acknowledged: its disk was put back to an older state, and
-        // its votes cannot be trusted.
+        // The log is shorter than what the replica has acknowledged: its disk was restored to an
+        // older state, and its votes cannot be trusted.
         let acknowledged = self.core.acknowledged(member.id).unwrap_or(0);
         if present.last_index < acknowledged {
             event!(self.log, OLDER_DISK, "replica" => member.address.clone(),
                 "has" => present.last_index, "acknowledged" => acknowledged);
             self.core.step(now, Input::Remove(member.id));
         }
-        self.formation.hear(present);
-        self.try_to_form();
+        self.formation.record(present);
+        self.form_quorum_if_ready();
     }
 
-    /// Dials all members and knows them by their identities.
-    pub(crate) fn learn_members(&mut self) {
+    /// Dials all members, and records their addresses by identity.
+    pub(crate) fn connect_to_members(&mut self) {
         for member in &self.core.members().list {
             self.peers.addresses.insert(member.id, member.address.clone());
-            self.peers.learn(std::slice::from_ref(&member.address));
+            self.peers.add_addresses(std::slice::from_ref(&member.address));
         }
     }
 }
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -1,4 +1,4 @@
-//! The task that owns everything of a replica.
+//! The main task of a replica, which owns all of its state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,88 +21,88 @@
 use crate::adviser::Adviser;
 use crate::formation::Formation;
 use crate::handle::{Handle, Request};
-use crate::operators::Held;
+use crate::operators::Deferred;
 use crate::peers::Peers;
-use crate::waiting::{Waiter, Waiting};
+use crate::pending::{Pending, Waiter};
 
-/// Requests of operators that may wait: far more than operators send at once.
-const REQUESTS: usize = 64;
+/// Capacity of the queue of operators' requests: far more than operators send at once.
+const REQUEST_QUEUE: usize = 64;
 
-/// Events of links that may wait: more than a second of reports, with two a second from each of
-/// 1,200 agents.
-pub(crate) const EVENTS: usize = 4096;
+/// Capacity of the queue of link events: more than a second of reports, with two per second from each
+/// of 1,200 agents.
+pub(crate) const EVENT_QUEUE: usize = 4096;
 
-/// Inputs that are taken in before outputs are carried out together, with one sync: half a second
-/// of the peak of 1,000 starts a second.
-const BATCH: usize = 512;
+/// Maximum number of link events that are handled before their outputs are processed together with one
+/// sync: half a second at the peak rate of 1,000 starts per second.
+const MAX_BATCH: usize = 512;
 
-/// Longest time between looks at what is due, in milliseconds: half a heartbeat.
+/// Longest time between checks of timers, in milliseconds: half a heartbeat.
 const TICK_MS: u64 = 50;
 
-/// Without word from a leader for this long, or up to twice as long, a replica asks for votes, in
-/// milliseconds. A follower on a tenth of a core may be silent for some hundred milliseconds.
+/// Shortest election timeout, in milliseconds; the actual timeout is random, up to twice as long. A
+/// follower on a tenth of a core may be silent for some hundred milliseconds.
 const ELECTION_MS: Span = 500;
 
-/// Time between heartbeats of the leader, in milliseconds: a fifth of the shortest election.
+/// Interval between heartbeats of the leader, in milliseconds: a fifth of the shortest election timeout.
 const HEARTBEAT_MS: Span = 100;
 
-/// Longest time that a planned stop waits for another leader, in milliseconds: two elections.
-const STOP_MS: Span = 1_500;
+/// Longest time that a planned stop waits for another leader, in milliseconds. Covers two elections.
+const STOP_TIMEOUT_MS: Span = 1_500;
 
-/// What a replica is made from.
+/// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it takes internal links; also its name among the replicas.
+    /// The address at which it accepts internal links; also its name among the replicas.
     pub internal: SocketAddr,
-    /// Internal addresses of replicas to begin with.
+    /// Internal addresses of the replicas that are known at the start.
     pub seeds: Vec<String>,
     /// Whether the whole system starts for the first time, so that the seeds form the quorum.
     pub first_start: bool,
     /// Its data centre.
     pub data_centre: String,
-    /// Times of leases.
-    pub terms: Timing,
+    /// Durations of leases and of their safety margins.
+    pub timing: Timing,
 }
 
-/// A process that has a link to this replica.
-pub(crate) struct Guest {
-    /// What it calls itself.
+/// A process with a link that this replica accepted: an entry, an agent or another replica.
+pub(crate) struct Client {
+    /// The name that it gave.
     pub name: String,
-    /// Sends to it.
+    /// The sending end of the link.
     pub sender: Sender,
-    /// Address and identity, if it is a replica that has presented itself.
+    /// The address and the disk identity, if it is a replica that has presented itself.
     pub presented: Option<(String, u64)>,
 }
 
 /// A replica.
 pub struct Replica {
     pub(crate) settings: Settings,
-    /// Writes the durable files; letters wait in it for what must last before them.
+    /// Writes the durable files. Messages wait in it for the writes that must be durable first.
     pub(crate) writer: Writer<Letter>,
-    /// Since when the disk is full.
+    /// Since when the disk is full, if it is.
     pub(crate) full_since: Option<Millis>,
-    /// When that was last told.
-    pub(crate) full_told: Option<Millis>,
+    /// When the full disk was last logged.
+    pub(crate) full_logged_at: Option<Millis>,
     pub(crate) core: Core,
     pub(crate) state: State,
-    /// Entries of the log up to this index are applied.
+    /// Index of the last applied log entry.
     pub(crate) applied: u64,
     pub(crate) formation: Formation,
     pub(crate) peers: Peers,
-    pub(crate) guests: BTreeMap<LinkKey, Guest>,
-    pub(crate) waiting: Waiting,
-    /// Operators who wait until it is known who leads.
-    pub(crate) held: Vec<Held>,
-    /// There while this replica leads.
+    pub(crate) clients: BTreeMap<LinkKey, Client>,
+    pub(crate) pending: Pending,
+    /// Requests of operators that wait until a leader is known.
+    pub(crate) deferred: Vec<Deferred>,
+    /// Present while this replica leads.
     pub(crate) leader: Option<Leader>,
-    /// What those who are linked were last told about the lead.
-    pub(crate) told: Option<Lead>,
+    /// The last announcement to the linked processes of who leads.
+    pub(crate) announced: Option<Lead>,
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
-    /// Where the leader asks which workers may run a step.
+    /// Decides which workers may run a step.
     pub(crate) adviser: Arc<dyn Adviser>,
-    /// Brings answers of the adviser back.
-    pub(crate) own: Handle,
+    /// Returns answers of the adviser to this task.
+    pub(crate) handle: Handle,
     /// Until when a planned stop waits for another leader.
     pub(crate) stopping: Option<Millis>,
     links: mpsc::Receiver<Event>,
@@ -111,10 +111,10 @@
 }
 
 impl Replica {
-    /// A replica from its files and what they held, with its links on the current runtime.
+    /// Creates a replica from its opened files and starts its links on the current runtime.
     ///
     /// # Errors
-    /// If the snapshot cannot be read.
+    /// A message if the snapshot cannot be decoded.
     pub fn start(
         settings: Settings,
         files: (Store, Recovered),
@@ -129,35 +129,35 @@
         let formation = formation(&settings, &recovered);
         let applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.head.index);
         let core = core(recovered, Members::default(), clock.now());
-        let (requests, request_queue) = mpsc::channel(REQUESTS);
-        let (events, links) = mpsc::channel(EVENTS);
+        let (requests, request_queue) = mpsc::channel(REQUEST_QUEUE);
+        let (events, links) = mpsc::channel(EVENT_QUEUE);
         let peers = Peers::start(&settings, listener, events, log.clone());
         let handle = Handle { requests };
         let replica = Replica {
             settings,
             writer: Writer::new(store),
             full_since: None,
-            full_told: None,
+            full_logged_at: None,
             core,
             state,
             applied,
             formation,
             peers,
-            guests: BTreeMap::new(),
-            waiting: Waiting::default(),
-            held: Vec::new(),
+            clients: BTreeMap::new(),
+            pending: Pending::default(),
+            deferred: Vec::new(),
             leader: None,
-            told: None,
+            announced: None,
             metrics,
             log,
             adviser,
-            own: handle.clone(),
+            handle: handle.clone(),
             stopping: None,
             links,
             requests: request_queue,
             clock,
         };
-        replica.show_evacuations();
+        replica.update_evacuation_gauge();
         Ok((replica, handle))
     }
 
@@ -165,29 +165,29 @@
         self.clock.now()
     }
 
-    /// Time of day in milliseconds since 1970; only timed jobs and the order of jobs depend on it.
-    pub(crate) fn wall(&self) -> Millis {
+    /// Returns the time of day in milliseconds since 1970. Only timed jobs and the order of jobs depend on it.
+    pub(crate) fn wall_time(&self) -> Millis {
         self.clock.wall()
     }
 
-    /// Runs until it is stopped.
+    /// Runs the replica until it is stopped.
     ///
     /// # Errors
-    /// What failed of the files.
+    /// An error of the files, except a full disk.
     pub async fn run(mut self) -> Result<(), pond_store::Error> {
-        self.learn_members();
+        self.connect_to_members();
         loop {
             let now = self.now();
-            // A candidate whose vote for itself cannot last can win nothing.
-            if !self.abstains() || self.core.role() == Role::Leader {
+            // A candidate must store its vote for itself; with a full disk it cannot win.
+            if !self.disk_is_full() || self.core.role() == Role::Leader {
                 self.core.step(now, Input::Tick);
             }
-            self.carry_out()?;
+            self.process_outputs()?;
             self.lead(now);
-            self.carry_out()?;
-            self.tell_who_leads(now);
-            self.answer_held(now);
-            if self.may_end(now) {
+            self.process_outputs()?;
+            self.announce_leader(now);
+            self.answer_deferred(now);
+            if self.may_stop(now) {
                 return Ok(());
             }
             self.take_inputs().await;
@@ -196,24 +196,24 @@
 
     async fn take_inputs(&mut self) {
         tokio::select! {
-            Some(event) = self.links.recv() => self.link(event),
-            Some(request) = self.requests.recv() => self.request(request),
+            Some(event) = self.links.recv() => self.handle_link_event(event),
+            Some(request) = self.requests.recv() => self.handle_request(request),
             () = sleep(Duration::from_millis(TICK_MS)) => {}
         }
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH {
             let Ok(event) = self.links.try_recv() else { break };
-            self.link(event);
+            self.handle_link_event(event);
         }
         while let Ok(request) = self.requests.try_recv() {
-            self.request(request);
+            self.handle_request(request);
         }
     }
 
-    fn request(&mut self, request: Request) {
+    fn handle_request(&mut self, request: Request) {
         let now = self.now();
         match request {
-            Request::Operator(order) => self.operator(now, order),
-            Request::Learn(addresses) => self.peers.learn(&addresses),
+            Request::Operator(command) => self.operator_request(now, command),
+            Request::AddAddresses(addresses) => self.peers.add_addresses(&addresses),
             Request::Advised(question, permits) => {
                 if let Some(leader) = &mut self.leader {
                     leader.advised(now, &question, permits);
@@ -223,21 +223,21 @@
         }
     }
 
-    /// Whether this replica leads, no other can, and its disk takes what it accepts.
-    pub(crate) fn certain(&self, now: Millis) -> bool {
-        !self.abstains()
+    /// Whether this replica leads, its lease excludes other leaders, and its disk can store proposals.
+    pub(crate) fn holds_lease(&self, now: Millis) -> bool {
+        !self.disk_is_full()
             && self.core.ready()
             && self.core.lease_until().is_some_and(|until| now < until)
     }
 
     /// Proposes a change.
     pub(crate) fn propose(&mut self, now: Millis, change: &Change, waiter: Waiter) {
-        if self.abstains() {
+        if self.disk_is_full() {
             return self.reject(waiter);
         }
         match change.encode() {
             Ok(data) => {
-                let ticket = self.waiting.ticket(waiter);
+                let ticket = self.pending.ticket(waiter);
                 self.core.step(now, Input::Propose { ticket, data });
             }
             Err(why) => {
@@ -250,22 +250,22 @@
     fn stop(&mut self, now: Millis) {
         if self.stopping.is_none() {
             event!(self.log, STOPPING);
-            self.stopping = Some(now + STOP_MS);
+            self.stopping = Some(now + STOP_TIMEOUT_MS);
             self.core.step(now, Input::HandOver);
         }
     }
 
-    /// Whether a planned stop is done: another leads, or time is up.
-    fn may_end(&self, now: Millis) -> bool {
+    /// Whether a planned stop is complete: another replica leads, or the timeout has passed.
+    fn may_stop(&self, now: Millis) -> bool {
         let Some(until) = self.stopping else { return false };
         let other = self.core.leader().is_some_and(|leader| leader.id != self.core.id());
-        let led = self.core.role() == Role::Leader;
-        now >= until || (!led && other) || !self.formation.formed()
+        let leads = self.core.role() == Role::Leader;
+        now >= until || (!leads && other) || !self.formation.formed()
     }
 
-    /// Takes the quorum's first members once all of them are there.
-    pub(crate) fn try_to_form(&mut self) {
-        let Some(members) = self.formation.first_members() else { return };
+    /// Forms the quorum once all initial members have presented themselves.
+    pub(crate) fn form_quorum_if_ready(&mut self) {
+        let Some(members) = self.formation.initial_members() else { return };
         if self.core.term() != 0 {
             return;
         }
@@ -276,17 +276,17 @@
             hard: Default::default(),
             snapshot: None,
             entries: Vec::new(),
-            cut: 0,
+            truncated_bytes: 0,
         };
         self.core = core(recovered, members, self.now());
-        self.learn_members();
+        self.connect_to_members();
     }
 }
 
-/// The state of the newest snapshot, or nothing yet; a torn end of the files is logged.
+/// Returns the state of the newest snapshot, or an empty state. Logs a truncated end of the log files.
 fn recovered_state(recovered: &Recovered, log: &Logger) -> Result<State, String> {
-    if recovered.cut > 0 {
-        event!(log, TORN_END, "bytes" => recovered.cut);
+    if recovered.truncated_bytes > 0 {
+        event!(log, TORN_END, "bytes" => recovered.truncated_bytes);
     }
     match &recovered.snapshot {
         Some(snapshot) => State::decode(&snapshot.data),
@@ -294,7 +294,7 @@
     }
 }
 
-/// How this replica presents itself at first: as new, unless its files hold a log.
+/// Creates the formation. This replica counts as new unless its files hold a log.
 fn formation(settings: &Settings, recovered: &Recovered) -> Formation {
     let address = settings.internal.to_string();
     let own = Member { id: recovered.id, name: address.clone(), address, voter: true };
