--- a/crates/pond-agent/src/agent.rs
+++ b/crates/pond-agent/src/agent.rs
@@ -134,7 +134,7 @@
         match input {
             Input::Registered(registration) => self.registered(now, registration),
             Input::Deregistered(id) => {
-                event!(self.log, WORKER_LEAVES, "worker" => id.clone());
+                event!(self.log, WORKER_DEREGISTERED, "worker" => id.clone());
                 self.core.deregistered(now, &id);
             }
             Input::Answered { incarnation, token, list_id, call, answer } => {
@@ -170,7 +170,7 @@
             event!(self.log, CALL_FAILED, "worker" => incarnation.to_owned(), "call" => verb, "run" => run,
                 "reply" => format!("{:?}", answer.reply));
         } else if let Call::Pace { run, percent } = call {
-            event!(self.log, RUN_PACED, "worker" => incarnation.to_owned(), "run" => run.to_string(),
+            event!(self.log, RUN_THROTTLED, "worker" => incarnation.to_owned(), "run" => run.to_string(),
                 "percent" => *percent);
         } else if !matches!(call, Call::List { .. }) {
             event!(self.log, WORKER_CALLED, "worker" => incarnation.to_owned(), "call" => verb, "run" => run);
@@ -196,7 +196,7 @@
     fn log_observation(&self, observation: Observation) {
         match observation {
             Observation::EndRepeated { incarnation, run, number, committed } => {
-                event!(self.log, END_REPEATED, "worker" => incarnation, "run" => run.to_string(),
+                event!(self.log, END_DROPPED, "worker" => incarnation, "run" => run.to_string(),
                     "number" => number, "settled" => committed);
             }
             Observation::RunVanished { incarnation, run, committed } => {
--- a/crates/pond-command/tests/local.rs
+++ b/crates/pond-command/tests/local.rs
@@ -208,7 +208,7 @@
     for settings in plan.endpoints.iter().chain(&plan.control) {
         assert!(running.installation.stop_process(&settings.name));
         load.more(20);
-        running.installation.start_again(&settings.name).expect("it starts again");
+        running.installation.restart_process(&settings.name).expect("it starts again");
         running.wait_for("status", "in force at 12 of 12");
         load.more(20);
     }
@@ -228,7 +228,7 @@
             assert!(result.is_ok(), "{result:?} {printed}");
             assert!(running.installation.kill_process(replica));
             running.wait_for("get vms", &format!("test={value}"));
-            running.installation.start_again(replica).expect("it starts again");
+            running.installation.restart_process(replica).expect("it starts again");
             load.more(20);
         }
     }
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -77,7 +77,7 @@
             orders,
             times: Times {
                 lease_ms: lease.span_ms,
-                surely_over_ms: lease.surely_over_ms(),
+                surely_over_ms: lease.expiry_ms(),
                 renew_ms: lease.renew_ms,
                 drain_ms: DRAIN_MS,
                 grace_ms: GRACE_MS,
@@ -193,14 +193,14 @@
         if let Some(thread) = self.decider.take() {
             let _ = thread.join();
         }
-        self.threads.cut_short();
+        self.threads.abort();
     }
 
     /// Stops as planned: hands the lead over, then ends all threads. True if all went well.
     pub fn stop(mut self) -> bool {
         let _ = self.ring.send(Input::Stop);
         let well = self.decider.take().is_some_and(|thread| thread.join().unwrap_or(false));
-        self.threads.cut_short();
+        self.threads.abort();
         event!(self.log, STOPPED);
         well
     }
--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -113,7 +113,7 @@
             },
         );
         if recovered.cut > 0 {
-            event!(parts.log, TORN_END, "bytes" => recovered.cut);
+            event!(parts.log, LOG_TRUNCATED, "bytes" => recovered.cut);
         }
         let state = match &recovered.snapshot {
             Some(snapshot) => State::decode(&snapshot.data).map_err(|error| error.to_string())?,
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -64,7 +64,7 @@
                 "free_bytes" => free.map_or("unknown".to_owned(), |free| free.to_string()));
             self.core.step(now, QuorumInput::HandOver);
         } else if was_full && !full {
-            event!(self.parts.log, DISK_ROOM);
+            event!(self.parts.log, DISK_RECOVERED);
         }
         Ok(())
     }
--- a/crates/pond-control/src/replica/report.rs
+++ b/crates/pond-control/src/replica/report.rs
@@ -64,7 +64,7 @@
             }
             Change::Judged { vm, liveness, why, .. } => {
                 let name = self.state.vm(*vm).map(|record| record.vm.name.clone());
-                event!(log, VM_JUDGED, "vm" => name.unwrap_or_default(),
+                event!(log, VM_LIVENESS_CHANGED, "vm" => name.unwrap_or_default(),
                     "liveness" => format!("{liveness:?}"), "why" => why.clone());
             }
             _ => {}
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -74,6 +74,6 @@
 
     /// Ends at once, as if it had been killed.
     pub fn kill(self) {
-        self.threads.cut_short();
+        self.threads.abort();
     }
 }
--- a/crates/pond-local/benches/requests.rs
+++ b/crates/pond-local/benches/requests.rs
@@ -215,7 +215,7 @@
         }
     });
     std::thread::sleep(Duration::from_secs(2));
-    running.start_again("endpoint-vm-1").expect("starts again");
+    running.restart_process("endpoint-vm-1").expect("starts again");
     let tallies = load.join().expect("ends");
     let report = Report::new("2000/s, half repeatable", &tallies, Duration::from_secs(12));
     println!("| {} |", report.row().join(" | "));
--- a/crates/pond-local/src/installation.rs
+++ b/crates/pond-local/src/installation.rs
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// See [`Error`].
-    pub fn start_again(&mut self, name: &str) -> Result<(), Error> {
+    pub fn restart_process(&mut self, name: &str) -> Result<(), Error> {
         let plan = self.plan.clone();
         let all = plan.control.iter().chain(&plan.endpoints).chain(&plan.entries);
         match all.into_iter().find(|settings| settings.name == name) {
--- a/crates/pond-local/src/standins.rs
+++ b/crates/pond-local/src/standins.rs
@@ -59,7 +59,7 @@
     /// Ends them all.
     pub fn stop(self) {
         self.stop.stop();
-        self.threads.cut_short();
+        self.threads.abort();
     }
 }
 
--- a/crates/pond-log/src/events.rs
+++ b/crates/pond-log/src/events.rs
@@ -71,7 +71,7 @@
     STOPPED = 102, Info, "process stopped", "nothing";
     STOP_LATE = 103, Warning, "the planned stop took too long and was cut short",
         "raise limits.stop_ms if requests may take that long";
-    SETTINGS_BAD = 104, Error, "the settings are wrong", "run `pondbay check` on the file";
+    SETTINGS_INVALID = 104, Error, "the settings are wrong", "run `pondbay check` on the file";
     RELOADED = 105, Info, "settings were read again", "nothing";
     LINK_UP = 200, Debug, "link is up", "nothing";
     LINK_DOWN = 201, Warning, "link is lost",
@@ -88,7 +88,7 @@
     QUORUM_WAITS = 303, Info, "waiting for all replicas before the first start",
         "start all control processes that the settings name";
     MEMBERS = 304, Info, "the members of the quorum changed", "nothing";
-    TORN_END = 305, Warning, "a torn end of the log was cut", "nothing: it had not been accepted";
+    LOG_TRUNCATED = 305, Warning, "a torn end of the log was cut", "nothing: it had not been accepted";
     SNAPSHOT = 306, Info, "a snapshot was saved", "nothing";
     INSTALLED = 307, Info, "a snapshot of the leader was installed", "nothing";
     STORE_FAILED = 308, Error, "durable files failed; the replica stops",
@@ -100,7 +100,7 @@
         "stop it, move its folder away, start it empty";
     DISK_FULL = 313, Warning, "the disk is full; the replica neither leads nor votes until it has room",
         "free space in the data folder's file system";
-    DISK_ROOM = 314, Info, "the disk takes writes again", "nothing";
+    DISK_RECOVERED = 314, Info, "the disk takes writes again", "nothing";
     MEMBER_ADDED = 312, Info, "a replica joins the quorum", "nothing";
     CHANGE_ACCEPTED = 400, Info, "a change was accepted", "nothing";
     CHANGE_REFUSED = 401, Info, "a change was refused", "nothing: the sender was told why";
@@ -113,7 +113,7 @@
         "look at the worker if it goes on";
     LIST_FAILED = 408, Warning, "the platform's VM list could not be read",
         "look at the platform; the last list stays in use";
-    VM_JUDGED = 409, Info, "a VM's liveness was judged anew", "nothing";
+    VM_LIVENESS_CHANGED = 409, Info, "a VM's liveness was judged anew", "nothing";
     DEADLINE_RISK = 410, Warning, "a job will probably miss its deadline",
         "give it more room or a higher priority";
     CONFIGURED = 411, Info, "a configuration is in force", "nothing";
@@ -139,7 +139,7 @@
     ENDPOINT_EJECTED = 504, Warning, "an endpoint is ejected", "look at the endpoint";
     DRAINING = 505, Info, "endpoint takes nothing new", "nothing";
     JOB_ACCEPTED = 600, Info, "a job was accepted", "nothing";
-    JOB_NOT_TAKEN = 601, Info, "a job was not taken and will not run",
+    JOB_REJECTED = 601, Info, "a job was not taken and will not run",
         "nothing: its caller was told when to come back";
     JOB_UNKNOWN = 602, Warning, "it is not known whether a job was taken",
         "nothing: its caller sends it again under the same id";
@@ -152,20 +152,20 @@
     WORKER_UP = 608, Info, "a worker is known", "nothing";
     WORKER_LOST = 609, Warning, "a worker is over or its lease ran out; its runs go elsewhere",
         "look at the VM if that was not planned";
-    WORKER_SICK = 610, Warning, "a worker gets no runs for a while", "look at the worker";
+    WORKER_UNHEALTHY = 610, Warning, "a worker gets no runs for a while", "look at the worker";
     REQUEST_ANSWERED = 611, Debug, "a request about jobs was answered", "nothing";
     ORDERED = 612, Debug, "an order went to an agent", "nothing";
     WORKER_CALLED = 613, Debug, "a worker answered a call", "nothing";
     CALL_FAILED = 614, Warning, "a worker refused a call or did not answer",
         "look at the worker if it goes on";
     WORKER_REGISTERED = 615, Info, "a worker registered or changed", "nothing";
-    RUN_PACED = 616, Info, "a filling run was slowed down or sped up", "nothing";
+    RUN_THROTTLED = 616, Info, "a filling run was slowed down or sped up", "nothing";
     RUN_MOVED = 617, Info, "a filling run disturbs serving ones and is moved", "nothing";
     ADVICE_FAILED = 618, Warning, "the adviser did not answer which workers may run a step",
         "look at the adviser; it is asked again";
-    JOB_WAITS = 620, Info, "tasks of a job find no place",
+    JOB_WAITING = 620, Info, "tasks of a job find no place",
         "see which obstacle counts most workers; rest points to sick workers, room to a full pool";
-    RUN_TRIED = 621, Info, "a task that is expected to disturb has waited too long and is started",
+    RUN_FORCED = 621, Info, "a task that is expected to disturb has waited too long and is started",
         "nothing: its agent slows it down if need be";
     RUN_ABSENT = 622, Warning, "a run that was given to a worker is not on its lists",
         "see whether the worker is linked and answers; look for 614 on its agent";
@@ -174,12 +174,12 @@
     TASK_GIVEN_UP = 624, Error, "a task is given up as its workers go down; its job has failed",
         "look at the task's program; 623 names the workers that went down with it";
     TASK_CLEARED = 625, Info, "a task that was there when workers went down has survived", "nothing";
-    END_REPEATED = 626, Warning,
+    END_DROPPED = 626, Warning,
         "an end is dropped: its number counts as settled, though its run was there",
         "compare the worker's ends with `settled` in 612: both must be of one start of the worker";
     RUN_VANISHED = 627, Info, "a run that was listed is on no list any more and counts as ended",
         "nothing if 606 tells of its end; else see 626";
-    WORKER_LEAVES = 628, Info, "a worker says that it ends",
+    WORKER_DEREGISTERED = 628, Info, "a worker says that it ends",
         "nothing: 609 of the leader follows once it takes no calls any more";
     ADVISED = 619, Info, "the adviser said which workers may run a step", "nothing";
 }
--- a/crates/pond-log/src/metrics.rs
+++ b/crates/pond-log/src/metrics.rs
@@ -93,7 +93,7 @@
     }
 
     /// Metrics that are kept in memory, for [`Metrics::text`].
-    pub fn kept() -> Metrics {
+    pub fn in_memory() -> Metrics {
         Metrics { client: None, kept: Some(Arc::default()) }
     }
 
--- a/crates/pond-log/tests/metrics.rs
+++ b/crates/pond-log/tests/metrics.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn kept_metrics_are_read_as_text() {
-    let metrics = Metrics::kept();
+    let metrics = Metrics::in_memory();
     metrics.count("requests", 2);
     metrics.count("requests", 1);
     metrics.gauge("term", 7);
@@ -19,7 +19,7 @@
 
 #[test]
 fn names_are_bounded() {
-    let metrics = Metrics::kept();
+    let metrics = Metrics::in_memory();
     for i in 0..2_000 {
         metrics.count(&format!("name{i}"), 1);
     }
--- a/crates/pond-process/src/threads.rs
+++ b/crates/pond-process/src/threads.rs
@@ -58,7 +58,7 @@
     }
 
     /// Cuts all duties short and waits for their threads.
-    pub fn cut_short(self) {
+    pub fn abort(self) {
         let (stops, threads): (Vec<_>, Vec<_>) = self.running.into_iter().unzip();
         drop(stops);
         for thread in threads {
--- a/crates/pond-replica/src/asks.rs
+++ b/crates/pond-replica/src/asks.rs
@@ -68,7 +68,7 @@
             return;
         }
         if !State::is_acceptable(&spec) {
-            event!(self.log, JOB_NOT_TAKEN, "job" => format!("{id:016x}"), "why" => "malformed");
+            event!(self.log, JOB_REJECTED, "job" => format!("{id:016x}"), "why" => "malformed");
             self.send_tell(link, tell(ticket, Outcome::Invalid));
             return;
         }
--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -39,7 +39,7 @@
                 obstacles,
             } => {
                 let count = |obstacle| obstacles.count(obstacle);
-                event!(self.log, JOB_WAITS, "job" => format!("{job:016x}"), "step" => step,
+                event!(self.log, JOB_WAITING, "job" => format!("{job:016x}"), "step" => step,
                     "tasks" => tasks, "placed" => placed, "since_ms" => since_ms, "still_ms" => still_ms, "image" => image,
                     "elsewhere" => count(Obstacle::Elsewhere),
                     "evacuated" => count(Obstacle::Evacuated),
@@ -51,7 +51,7 @@
                     "no_ticket" => count(Obstacle::NoTicket), "harm" => count(Obstacle::Harm));
             }
             Decision::Tried { run, worker, still_ms } => {
-                event!(self.log, RUN_TRIED, "run" => run.to_string(), "worker" => worker,
+                event!(self.log, RUN_FORCED, "run" => run.to_string(), "worker" => worker,
                     "still_ms" => still_ms);
             }
             Decision::Absent { run, worker, since_ms, linked, answers, told, stops, orders } => {
@@ -60,7 +60,7 @@
                     "told" => told, "stops" => stops, "orders" => orders);
             }
             Decision::Sick { worker, for_ms } => {
-                event!(self.log, WORKER_SICK, "worker" => worker, "for_ms" => for_ms);
+                event!(self.log, WORKER_UNHEALTHY, "worker" => worker, "for_ms" => for_ms);
             }
         }
     }
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -106,7 +106,7 @@
         self.full_told = None;
         self.metrics.gauge("disk_full", 0);
         let now = self.now();
-        event!(self.log, DISK_ROOM, "after_ms" => since.map_or(0, |since| now.since(since)));
+        event!(self.log, DISK_RECOVERED, "after_ms" => since.map_or(0, |since| now.since(since)));
     }
 
     /// Whether this replica can neither lead nor vote now, as its disk is full.
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -286,7 +286,7 @@
 /// The state of the newest snapshot, or nothing yet; a torn end of the files is logged.
 fn recovered_state(recovered: &Recovered, log: &Logger) -> Result<State, String> {
     if recovered.cut > 0 {
-        event!(log, TORN_END, "bytes" => recovered.cut);
+        event!(log, LOG_TRUNCATED, "bytes" => recovered.cut);
     }
     match &recovered.snapshot {
         Some(snapshot) => State::decode(&snapshot.data),
--- a/crates/pond-replica/tests/support/mod.rs
+++ b/crates/pond-replica/tests/support/mod.rs
@@ -62,7 +62,7 @@
         terms: Terms { hold_ms: 1_000, drift_permille: 25, slack_ms: 250, keep_ms: 1_000 },
     };
     let files = Store::open(Box::new(disk)).expect("opens");
-    let (metrics, log) = (Metrics::kept(), pond_log::silent());
+    let (metrics, log) = (Metrics::in_memory(), pond_log::silent());
     let adviser = Arc::new(Nobody);
     let started = Replica::start(settings, files, listener, adviser, Clock::new(), metrics, log);
     let (replica, handle) = started.expect("it starts");
--- a/crates/pond-settings/src/process.rs
+++ b/crates/pond-settings/src/process.rs
@@ -93,7 +93,7 @@
 
 impl Lease {
     /// How long after its last renewal work has surely ended, in milliseconds.
-    pub fn surely_over_ms(&self) -> Span {
+    pub fn expiry_ms(&self) -> Span {
         self.span_ms + self.span_ms * self.drift_permille / 1000 + 1
     }
 }
