--- a/crates/pond-log/src/lib.rs
+++ b/crates/pond-log/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs of numbered events, and metrics.
 //!
-//! Every event has a number, a level and a fixed text in [`events`]; what varies goes into key
-//! and value pairs. `docs/EVENTS.md` is made from the same list and checked against it.
+//! Every event has a number, a level and a fixed text in [`events`]; variable data goes into
+//! key-value pairs. `docs/EVENTS.md` is generated from the same list and checked against it.
 
 pub mod events;
 mod logger;
@@ -12,7 +12,7 @@
 #[doc(hidden)]
 pub use slog;
 
-/// Logs an event of the catalogue with key and value pairs.
+/// Logs an event of the catalogue with key-value pairs.
 #[macro_export]
 macro_rules! event {
     ($log:expr, $event:ident $(, $key:literal => $value:expr)* $(,)?) => {
--- a/crates/pond-log/src/logger.rs
+++ b/crates/pond-log/src/logger.rs
@@ -3,13 +3,13 @@
 use pond_settings::{Log, LogFormat};
 use slog::{Drain, Level, LevelFilter, o};
 
-/// A logger; clones write to the same place.
+/// A logger. Clones write to the same output.
 pub type Logger = slog::Logger;
 
-/// Log lines that may wait to be written; more are dropped and counted.
-const QUEUE: usize = 4096;
+/// Maximum number of queued log lines; further lines are dropped and counted.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Starts the logger of a process. Lines are written by a thread of its own to the standard error.
+/// Starts the logger of a process. A dedicated thread writes the lines to standard error.
 pub fn start(settings: Log) -> Logger {
     let level = if settings.debug { Level::Debug } else { Level::Info };
     match settings.format {
@@ -17,32 +17,32 @@
         LogFormat::Terminal => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
-            let drain = slog_async::Async::new(drain).chan_size(QUEUE).build();
+            let drain = slog_async::Async::new(drain).chan_size(QUEUE_CAPACITY).build();
             slog::Logger::root(LevelFilter::new(drain, level).fuse(), o!())
         }
         LogFormat::Json => {
             let drain = slog_json::Json::default(std::io::stderr()).fuse();
-            let drain = slog_async::Async::new(drain).chan_size(QUEUE).build();
+            let drain = slog_async::Async::new(drain).chan_size(QUEUE_CAPACITY).build();
             slog::Logger::root(LevelFilter::new(drain, level).fuse(), o!())
         }
     }
 }
 
-/// Starts a logger that writes JSON lines to the standard output. A thread of its own writes them;
-/// lines beyond its queue are dropped, and how many is logged.
+/// Starts a logger whose dedicated thread writes JSON lines to standard output. Lines beyond its
+/// queue are dropped, and their number is logged.
 pub fn start_stdout(debug: bool) -> Logger {
     let level = if debug { Level::Debug } else { Level::Info };
     let drain = slog_json::Json::default(std::io::stdout()).fuse();
-    let drain = slog_async::Async::new(drain).chan_size(QUEUE).build();
+    let drain = slog_async::Async::new(drain).chan_size(QUEUE_CAPACITY).build();
     slog::Logger::root(LevelFilter::new(drain, level).fuse(), o!())
 }
 
-/// The name of a process as a pair that all its lines carry.
+/// Returns the process name as a key-value pair for every line of its logger.
 pub fn name(name: &str) -> slog::OwnedKV<impl slog::SendSyncRefUnwindSafeKV + use<>> {
     o!("process" => name.to_owned())
 }
 
-/// A logger that writes nothing.
+/// Creates a logger that discards everything.
 pub fn silent() -> Logger {
     slog::Logger::root(slog::Discard, o!())
 }
--- a/crates/pond-log/src/metrics.rs
+++ b/crates/pond-log/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: to a statsd server, or kept in memory and read as text.
+//! Metrics, sent to a statsd server or kept in memory and read as text.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,42 +9,42 @@
 use hdrhistogram::Histogram;
 use pond_settings::Metrics as Settings;
 
-/// Metrics that may wait to be sent; more are dropped.
-const QUEUE: usize = 4096;
+/// Maximum number of queued metrics; further ones are dropped.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Longest time that a histogram tells apart, in microseconds.
-const LONGEST_US: u64 = 120_000_000;
+/// Largest duration a histogram can represent, in microseconds; longer ones saturate.
+const MAX_DURATION_US: u64 = 120_000_000;
 
-/// Digits that a histogram keeps of a time.
-const DIGITS: u8 = 2;
+/// Significant decimal digits of durations in a histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Quantiles that are told of a histogram.
+/// Quantiles reported for each histogram.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
-/// Names that are kept at most, so that no caller can fill the memory.
-const NAMES: usize = 512;
+/// Maximum number of metric names kept, so that callers cannot exhaust memory.
+const MAX_NAMES: usize = 512;
 
-/// Counts, gauges and times of a process; without settings they go nowhere.
+/// Counters, gauges and durations of a process; discarded unless configured.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     client: Option<Arc<StatsdClient>>,
-    kept: Option<Arc<Mutex<Kept>>>,
+    recorder: Option<Arc<Mutex<Recorder>>>,
 }
 
-/// What is kept in memory.
+/// Metrics kept in memory.
 #[derive(Debug, Default)]
-struct Kept {
+struct Recorder {
     counts: BTreeMap<String, i64>,
     gauges: BTreeMap<String, u64>,
     times: BTreeMap<String, Histogram<u64>>,
 }
 
-impl Kept {
+impl Recorder {
     fn time_us(&mut self, name: &str, us: u64) {
         if !self.times.contains_key(name) {
-            let made = Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
-            // These bounds are valid, so making one does not fail.
-            let (Ok(histogram), true) = (made, self.times.len() < NAMES) else { return };
+            let created = Histogram::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS);
+            // Cannot fail: the bounds are valid constants.
+            let (Ok(histogram), true) = (created, self.times.len() < MAX_NAMES) else { return };
             self.times.insert(name.to_owned(), histogram);
         }
         if let Some(histogram) = self.times.get_mut(name) {
@@ -55,66 +55,66 @@
     fn text(&self) -> String {
         let mut text = String::new();
         for (name, count) in &self.counts {
-            push(&mut text, name, count);
+            push_line(&mut text, name, count);
         }
         for (name, gauge) in &self.gauges {
-            push(&mut text, name, gauge);
+            push_line(&mut text, name, gauge);
         }
         for (name, histogram) in &self.times {
-            push(&mut text, &format!("{name}_us_count"), histogram.len());
+            push_line(&mut text, &format!("{name}_us_count"), histogram.len());
             for quantile in QUANTILES {
                 let value = histogram.value_at_quantile(quantile);
-                push(&mut text, &format!("{name}_us{{quantile=\"{quantile}\"}}"), value);
+                push_line(&mut text, &format!("{name}_us{{quantile=\"{quantile}\"}}"), value);
             }
-            push(&mut text, &format!("{name}_us_max"), histogram.max());
+            push_line(&mut text, &format!("{name}_us_max"), histogram.max());
         }
         text
     }
 }
 
-fn push(text: &mut String, name: &str, value: impl std::fmt::Display) {
-    // Writing to a string does not fail.
+fn push_line(text: &mut String, name: &str, value: impl std::fmt::Display) {
+    // Writing to a string cannot fail.
     let _ = writeln!(text, "{name} {value}");
 }
 
 impl Metrics {
-    /// Metrics to the server of the settings, if there is one, under `pondbay.{role}`.
+    /// Sends metrics to the configured statsd server, if any, under the prefix `pondbay.{role}`.
     ///
     /// # Errors
-    /// What the system says if there is no UDP socket.
+    /// The I/O error if no UDP socket can be opened.
     pub fn start(settings: Option<Settings>, role: &str) -> std::io::Result<Metrics> {
         let Some(settings) = settings else { return Ok(Metrics::default()) };
         let socket = UdpSocket::bind(("0.0.0.0", 0))?;
         socket.set_nonblocking(true)?;
         let sink = UdpMetricSink::from(settings.statsd, socket).map_err(std::io::Error::other)?;
-        let sink = QueuingMetricSink::with_capacity(sink, QUEUE);
+        let sink = QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY);
         let client = StatsdClient::from_sink(&format!("pondbay.{role}"), sink);
-        Ok(Metrics { client: Some(Arc::new(client)), kept: None })
+        Ok(Metrics { client: Some(Arc::new(client)), recorder: None })
     }
 
-    /// Metrics that are kept in memory, for [`Metrics::text`].
+    /// Keeps metrics in memory, to be read with [`Metrics::text`].
     pub fn in_memory() -> Metrics {
-        Metrics { client: None, kept: Some(Arc::default()) }
+        Metrics { client: None, recorder: Some(Arc::default()) }
     }
 
-    /// All that is kept, a line each; times as quantiles in microseconds.
+    /// Renders the metrics in memory, one per line; durations as quantiles in microseconds.
     pub fn text(&self) -> String {
-        self.with_kept(|kept| kept.text()).unwrap_or_default()
+        self.with_memory(|recorder| recorder.text()).unwrap_or_default()
     }
 
-    fn with_kept<T>(&self, act: impl FnOnce(&mut Kept) -> T) -> Option<T> {
-        let kept = self.kept.as_ref()?;
-        Some(act(&mut kept.lock().unwrap_or_else(PoisonError::into_inner)))
+    fn with_memory<T>(&self, operation: impl FnOnce(&mut Recorder) -> T) -> Option<T> {
+        let recorder = self.recorder.as_ref()?;
+        Some(operation(&mut recorder.lock().unwrap_or_else(PoisonError::into_inner)))
     }
 
-    /// Adds to a counter.
+    /// Increments a counter by `count`.
     pub fn count(&self, name: &str, count: i64) {
         if let Some(client) = &self.client {
             let _ = client.count(name, count);
         }
-        self.with_kept(|kept| {
-            if kept.counts.len() < NAMES || kept.counts.contains_key(name) {
-                *kept.counts.entry(name.to_owned()).or_default() += count;
+        self.with_memory(|recorder| {
+            if recorder.counts.len() < MAX_NAMES || recorder.counts.contains_key(name) {
+                *recorder.counts.entry(name.to_owned()).or_default() += count;
             }
         });
     }
@@ -124,14 +124,14 @@
         if let Some(client) = &self.client {
             let _ = client.gauge(name, value);
         }
-        self.with_kept(|kept| kept.gauges.insert(name.to_owned(), value));
+        self.with_memory(|recorder| recorder.gauges.insert(name.to_owned(), value));
     }
 
-    /// Takes in a time in microseconds; sent in milliseconds.
+    /// Records a duration in microseconds; statsd receives it in milliseconds.
     pub fn time_us(&self, name: &str, us: u64) {
         if let Some(client) = &self.client {
             let _ = client.time(name, us / 1000);
         }
-        self.with_kept(|kept| kept.time_us(name, us));
+        self.with_memory(|recorder| recorder.time_us(name, us));
     }
 }
--- a/crates/pond-log/tests/metrics.rs
+++ b/crates/pond-log/tests/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics that are kept in memory.
+//! Metrics kept in memory.
 
 use pond_log::Metrics;
 
 #[test]
-fn kept_metrics_are_read_as_text() {
+fn metrics_in_memory_are_rendered_as_text() {
     let metrics = Metrics::in_memory();
     metrics.count("requests", 2);
     metrics.count("requests", 1);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn names_are_bounded() {
+fn number_of_metric_names_is_bounded() {
     let metrics = Metrics::in_memory();
     for i in 0..2_000 {
         metrics.count(&format!("name{i}"), 1);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn metrics_without_settings_go_nowhere() {
+fn metrics_without_settings_are_discarded() {
     let metrics = Metrics::default();
     metrics.count("requests", 1);
     assert_eq!(metrics.text(), "");
