--- a/crates/pond-control/src/operator/api.rs
+++ b/crates/pond-control/src/operator/api.rs
@@ -227,8 +227,9 @@
 
 fn describe() -> Result<ApiDescription<Api>, Error> {
     let mut api = ApiDescription::new();
-    let failed =
-        |error: dropshot::ApiDescriptionRegisterError| Error::Operator { what: error.to_string() };
+    let failed = |error: dropshot::ApiDescriptionRegisterError| Error::Operator {
+        reason: error.to_string(),
+    };
     api.register(apply_units).map_err(failed)?;
     api.register(set_labels).map_err(failed)?;
     api.register(drain_vms).map_err(failed)?;
@@ -251,12 +252,12 @@
 /// If the API does not fit together.
 pub fn openapi() -> Result<String, Error> {
     let mut bytes = Vec::new();
-    let version = "1.0.0".parse().map_err(|_| Error::Operator { what: "version".to_owned() })?;
+    let version = "1.0.0".parse().map_err(|_| Error::Operator { reason: "version".to_owned() })?;
     describe()?
         .openapi("pondbay operators", version)
         .write(&mut bytes)
-        .map_err(|error| Error::Operator { what: error.to_string() })?;
-    String::from_utf8(bytes).map_err(|error| Error::Operator { what: error.to_string() })
+        .map_err(|error| Error::Operator { reason: error.to_string() })?;
+    String::from_utf8(bytes).map_err(|error| Error::Operator { reason: error.to_string() })
 }
 
 /// Starts the server; it runs until it is closed.
@@ -275,5 +276,5 @@
     ServerBuilder::new(describe()?, api, quiet)
         .config(config)
         .start()
-        .map_err(|error| Error::Operator { what: error.to_string() })
+        .map_err(|error| Error::Operator { reason: error.to_string() })
 }
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -50,11 +50,11 @@
     /// See [`Error`]; nothing is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Control(control) = &settings.role else {
-            return Err(Error::Role { wanted: "control" });
+            return Err(Error::Role { expected: "control" });
         };
         let internal = listen(control.listen.internal)?;
         let tokens = Tokens::new(control.operator_tokens.clone())?;
-        let failed = |error: pond_store::Error| Error::Store { what: error.to_string() };
+        let failed = |error: pond_store::Error| Error::Store { reason: error.to_string() };
         let folder = Folder::open(&control.data_folder).map_err(failed)?;
         let (store, recovered) = Store::open(Box::new(folder)).map_err(failed)?;
         let clock = Clock::new();
@@ -170,7 +170,7 @@
                 }
             }
         })?;
-        ready.recv().unwrap_or(Err(Error::Operator { what: "its thread ended".to_owned() }))
+        ready.recv().unwrap_or(Err(Error::Operator { reason: "its thread ended".to_owned() }))
     }
 
     fn start_platform(
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -28,7 +28,7 @@
     /// See [`Error`]; nothing is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Endpoint(endpoint) = &settings.role else {
-            return Err(Error::Role { wanted: "endpoint" });
+            return Err(Error::Role { expected: "endpoint" });
         };
         let listener = listen(endpoint.internal)?;
         let address = listener.local_addr().unwrap_or(endpoint.internal);
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -35,7 +35,7 @@
     /// See [`Error`]; nothing is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Entry(entry) = &settings.role else {
-            return Err(Error::Role { wanted: "entry" });
+            return Err(Error::Role { expected: "entry" });
         };
         let listener = listen(entry.callers)?;
         let address = listener.local_addr().unwrap_or(entry.callers);
--- a/crates/pond-process/src/error.rs
+++ b/crates/pond-process/src/error.rs
@@ -1,50 +1,50 @@
-//! Why a process cannot run.
+//! Errors of starting and running a process.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// Why a process cannot run.
+/// Reason why a process cannot run.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The settings are for another role.
-    #[snafu(display("the settings are for another role; write 'role: {wanted}'"))]
+    #[snafu(display("the settings are for another role; write 'role: {expected}'"))]
     Role {
-        /// The role that was started.
-        wanted: &'static str,
+        /// Role that was started.
+        expected: &'static str,
     },
-    /// An address could not be listened on.
-    #[snafu(display("cannot listen on {address}: {source}; free it or use another"))]
+    /// A listener could not be bound.
+    #[snafu(display("cannot listen on {address}: {source}; free the address or use another"))]
     Listen {
-        /// The address.
+        /// Address.
         address: String,
-        /// What the system said.
+        /// Cause.
         source: io::Error,
     },
-    /// A file that the settings name cannot be read.
+    /// A file named in the settings cannot be read.
     #[snafu(display("{file}: cannot be read: {source}; give the path of a readable file"))]
     File {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What the system said.
+        /// Cause.
         source: io::Error,
     },
-    /// A thread could not be started.
-    #[snafu(display("a thread could not be started: {source}"))]
+    /// A thread or its runtime could not be started.
+    #[snafu(display("cannot start a thread or runtime: {source}"))]
     Thread {
-        /// What the system said.
+        /// Cause.
         source: io::Error,
     },
-    /// The durable files cannot be used.
-    #[snafu(display("{what}"))]
+    /// The durable storage cannot be used.
+    #[snafu(display("{reason}"))]
     Store {
-        /// Why, and what to do.
-        what: String,
+        /// Cause and remedy.
+        reason: String,
     },
     /// The operators' server did not start.
-    #[snafu(display("the operators' server did not start: {what}"))]
+    #[snafu(display("the operators' server did not start: {reason}"))]
     Operator {
-        /// Why.
-        what: String,
+        /// Cause.
+        reason: String,
     },
 }
--- a/crates/pond-process/src/lib.rs
+++ b/crates/pond-process/src/lib.rs
@@ -1,4 +1,4 @@
-//! What all roles need to start: listeners, threads with runtimes, tokens.
+//! Start-up code shared by all roles: listeners, threads with runtimes, tokens.
 
 mod error;
 mod listen;
--- a/crates/pond-process/src/threads.rs
+++ b/crates/pond-process/src/threads.rs
@@ -1,4 +1,4 @@
-//! Threads, one for each duty, each with a runtime of its own.
+//! Named threads, each with its own async runtime.
 
 use std::thread::{self, JoinHandle};
 
@@ -14,19 +14,19 @@
 }
 
 impl Threads {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new() -> Threads {
         Threads::default()
     }
 
-    /// Runs a duty on a thread of its own until it ends or is cut short.
+    /// Runs a future on a dedicated thread until it completes or is aborted.
     ///
     /// # Errors
-    /// [`Error::Thread`] if the system gives no thread or runtime.
+    /// [`Error::Thread`] if the thread or its runtime cannot be created.
     pub fn spawn<F>(
         &mut self,
         name: &str,
-        duty: impl FnOnce() -> F + Send + 'static,
+        task: impl FnOnce() -> F + Send + 'static,
     ) -> Result<(), Error>
     where
         F: Future<Output = ()>,
@@ -39,7 +39,7 @@
         let run = move || {
             runtime.block_on(async {
                 tokio::select! {
-                    () = duty() => {}
+                    () = task() => {}
                     _ = stopped => {}
                 }
             });
@@ -49,15 +49,15 @@
         Ok(())
     }
 
-    /// Waits until all duties have ended by themselves.
+    /// Waits until all futures have completed.
     pub fn join(self) {
-        // The senders live until the threads have ended, as their drop would cut duties short.
+        // Dropping a sender aborts its future, so each is kept until its thread has ended.
         for (_stop, thread) in self.running {
             let _ = thread.join();
         }
     }
 
-    /// Cuts all duties short and waits for their threads.
+    /// Aborts all futures and waits for their threads.
     pub fn abort(self) {
         let (stops, threads): (Vec<_>, Vec<_>) = self.running.into_iter().unzip();
         drop(stops);
--- a/crates/pond-process/src/token.rs
+++ b/crates/pond-process/src/token.rs
@@ -4,10 +4,10 @@
 
 use crate::Error;
 
-/// The token that the settings name; empty where they name none.
+/// Reads the token from the configured file; empty if none is configured.
 ///
 /// # Errors
-/// [`Error::File`] if it cannot be read.
+/// [`Error::File`] if the file cannot be read.
 pub fn read_token(settings: &Process) -> Result<String, Error> {
     let Some(file) = &settings.token_file else { return Ok(String::new()) };
     let shown = file.display().to_string();
