--- a/crates/pond-command/tests/check.rs
+++ b/crates/pond-command/tests/check.rs
@@ -42,16 +42,28 @@
                 control: [{ name: c, internal: '127.0.0.1:2', operator: '127.0.0.1:3' }]\n";
     assert_eq!(check("good", good), [""; 0]);
     let table = [
-        ("twice", format!("{good}name: f\n"), "6:1: 'name' is there twice"),
-        ("address", good.replace("127.0.0.1:1", "here"), "4:20: 'callers' is 'here', no address"),
+        ("twice", format!("{good}name: f\n"), "6:1: duplicate key 'name'"),
+        (
+            "address",
+            good.replace("127.0.0.1:1", "here"),
+            "4:20: 'callers' is 'here', not an address",
+        ),
         ("missing", good.replace("name: e\n", ""), "1:1: 'name' is missing"),
-        ("list", good.replace("control: [", "control: []\nx: ["), "1:1: 'control' has no item"),
-        ("name", good.replace("name: e", "name: a b"), "2:7: 'a b' is no name"),
+        (
+            "list",
+            good.replace("control: [", "control: []\nx: ["),
+            "1:1: 'control' is an empty list",
+        ),
+        ("name", good.replace("name: e", "name: a b"), "2:7: 'a b' is not a valid name"),
         ("role", good.replace("role: entry", "role: king"), "1:7: 'role' is 'king'"),
-        ("frames", format!("{good}limits: {{ frame_bytes: 65536 }}\n"), "6:9: a whole body would"),
+        (
+            "frames",
+            format!("{good}limits: {{ frame_bytes: 65536 }}\n"),
+            "6:9: a maximum-size body would",
+        ),
         ("yaml", "role: [entry\n".to_owned(), "2:1: "),
         ("empty", String::new(), "1:1: the file is empty"),
-        ("other", "hello: 1\n".to_owned(), "1:1: this is no pondbay file"),
+        ("other", "hello: 1\n".to_owned(), "1:1: this is not a pondbay file"),
         ("alias", "role: &a entry\nname: *a\n".to_owned(), "2:7: aliases are not supported"),
     ];
     for (name, text, expected) in table {
@@ -69,8 +81,11 @@
         )
     };
     let table = [
-        ("    - { key: a, operator: In }\n", "7:7: In does not fit its values"),
-        ("    - { key: a, operator: Exists, values: [b] }\n", "7:7: Exists does not fit"),
+        ("    - { key: a, operator: In }\n", "7:7: operator In does not match its values"),
+        (
+            "    - { key: a, operator: Exists, values: [b] }\n",
+            "7:7: operator Exists does not match",
+        ),
         ("    - { key: a, operator: Near }\n", "7:27: 'operator' is 'Near'"),
         ("    =x\n", "7:5: '=x' is not key=value"),
     ];
--- a/crates/pond-settings/src/error.rs
+++ b/crates/pond-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a file could not be used.
+//! Errors of reading a file.
 
 use std::io;
 
@@ -6,23 +6,23 @@
 
 use crate::{Finding, Findings};
 
-/// Why a file could not be used.
+/// An unreadable or invalid file.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The file could not be read at all.
+    /// The file could not be read.
     #[snafu(display("{file}: cannot be read: {source}; give the path of a readable file"))]
     Read {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What the system said.
+        /// Cause.
         source: io::Error,
     },
-    /// The file was read and is wrong.
+    /// The file is invalid.
     #[snafu(display("{}", render(file, findings)))]
     Bad {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// All that is wrong, in the order of the file.
+        /// All findings, in the order of the file.
         findings: Vec<Finding>,
     },
 }
@@ -37,7 +37,7 @@
         Error::Bad { file, findings }
     }
 
-    /// The findings of a bad file.
+    /// Returns the findings of an invalid file, or none if it could not be read.
     pub fn findings(&self) -> &[Finding] {
         match self {
             Error::Read { .. } => &[],
--- a/crates/pond-settings/src/finding.rs
+++ b/crates/pond-settings/src/finding.rs
@@ -1,36 +1,36 @@
-//! Findings: what is wrong in a file, and where.
+//! Findings: errors in a file with their positions.
 
 use std::cell::RefCell;
 use std::fmt;
 
-/// A place in a file; both counts start at 1.
+/// A position in a file. Lines and columns are counted from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// Line.
     pub line: usize,
     /// Column.
     pub column: usize,
 }
 
-/// One thing that is wrong.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Where.
-    pub place: Place,
-    /// What is wrong.
+    /// Position of the error.
+    pub position: Position,
+    /// Description of the error.
     pub message: String,
-    /// What to write instead.
+    /// Suggested correction.
     pub help: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Place { line, column } = self.place;
+        let Position { line, column } = self.position;
         write!(f, "{line}:{column}: {}; {}", self.message, self.help)
     }
 }
 
-/// All findings of one file, collected while it is read.
+/// Collects the findings of a file while it is read.
 #[derive(Debug)]
 pub struct Findings {
     file: String,
@@ -38,26 +38,26 @@
 }
 
 impl Findings {
-    /// No findings yet for the file of that name.
+    /// Creates an empty collection for the named file.
     pub fn new(file: &str) -> Findings {
         Findings { file: file.to_owned(), list: RefCell::default() }
     }
 
-    /// Adds one.
-    pub fn add(&self, place: Place, message: impl Into<String>, help: impl Into<String>) {
-        let finding = Finding { place, message: message.into(), help: help.into() };
+    /// Adds a finding.
+    pub fn add(&self, position: Position, message: impl Into<String>, help: impl Into<String>) {
+        let finding = Finding { position, message: message.into(), help: help.into() };
         self.list.borrow_mut().push(finding);
     }
 
-    /// Whether nothing is wrong so far.
+    /// Returns whether no finding has been added.
     pub fn is_empty(&self) -> bool {
         self.list.borrow().is_empty()
     }
 
-    /// The file's name and the findings in the order of the file.
+    /// Returns the file name and the findings in the order of the file.
     pub fn into_parts(self) -> (String, Vec<Finding>) {
         let mut list = self.list.into_inner();
-        list.sort_by_key(|finding| finding.place);
+        list.sort_by_key(|finding| finding.position);
         (self.file, list)
     }
 }
--- a/crates/pond-settings/src/lib.rs
+++ b/crates/pond-settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Settings, unit and installation files in YAML.
 //!
-//! A file is read into a tree that keeps the place of every value, then into typed structs.
-//! All that is wrong with it is reported together, each finding with line, column, what is wrong
-//! and what to write instead. Nothing of a bad file is used.
+//! A file is parsed into a tree that keeps the position of every value, then read into typed
+//! structs. All errors are reported together as findings, each with line, column, a message and a
+//! suggested correction. An invalid file is rejected as a whole.
 
 mod error;
 mod finding;
@@ -28,31 +28,31 @@
 
 use pond_proto::Unit;
 
-/// What a file turned out to be.
+/// A parsed file.
 #[derive(Clone, Debug)]
 pub enum File {
-    /// Settings of one process.
+    /// Settings of a process.
     Process(Box<Process>),
-    /// A whole small installation for `pondbay local`.
+    /// An installation for `pondbay local`.
     Installation(Installation),
     /// Units for `pondbay apply`.
     Units(Vec<Unit>),
 }
 
-/// Reads a file of any kind; the kind is told by its first keys.
+/// Reads a file of any kind. The key `role`, `installation` or `units` determines the kind.
 ///
 /// # Errors
-/// [`Error::Read`] if the file cannot be read, [`Error::Bad`] with every finding otherwise.
+/// [`Error::Read`] if the file cannot be read, [`Error::Bad`] with all findings if it is invalid.
 pub fn load(path: &Path) -> Result<File, Error> {
     let name = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|source| Error::read(&name, source))?;
     parse(&name, &text)
 }
 
-/// Reads the text of a file of any kind; `name` goes into the findings.
+/// Parses the text of a file of any kind; `name` is the file name in the findings.
 ///
 /// # Errors
-/// [`Error::Bad`] with every finding.
+/// [`Error::Bad`] with all findings.
 pub fn parse(name: &str, text: &str) -> Result<File, Error> {
     let findings = Findings::new(name);
     let Some(root) = tree::parse(text, &findings) else {
@@ -67,8 +67,8 @@
         File::Units(unit_file::read(&reader))
     } else {
         findings.add(
-            root.place,
-            "this is no pondbay file",
+            root.position,
+            "this is not a pondbay file",
             "start it with 'role:' (settings), 'installation:' (local) or 'units:' (apply)",
         );
         return Err(Error::bad(findings));
--- a/crates/pond-settings/src/process.rs
+++ b/crates/pond-settings/src/process.rs
@@ -1,4 +1,4 @@
-//! Settings of one process.
+//! Settings of a process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,28 +7,28 @@
 
 use crate::Reader;
 
-/// Settings of one process: who it is, where it listens, whom it knows.
+/// Settings of a process: identity, listen addresses and control replicas.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// Its name, unique in the installation.
+    /// Name, unique in the installation.
     pub name: String,
-    /// Its data centre.
+    /// Data centre it runs in.
     pub data_centre: String,
     /// All control replicas.
     pub replicas: Vec<Replica>,
-    /// The part for its role.
+    /// Role and role-specific settings.
     pub role: Role,
-    /// Limits on what it takes in.
+    /// Limits on incoming data and time.
     pub limits: Limits,
-    /// How it logs.
+    /// Log settings.
     pub log: Log,
-    /// Where its metrics go, if anywhere.
+    /// Metrics settings; without them, metrics are discarded.
     pub metrics: Option<Metrics>,
-    /// File with the shared token of internal links, if they ask for one.
+    /// File with the shared token of internal links, if one is required.
     pub token_file: Option<PathBuf>,
 }
 
-/// The role of a process and what belongs to it alone.
+/// Role of a process with its role-specific settings.
 #[derive(Clone, Debug)]
 pub enum Role {
     /// A control replica.
@@ -39,49 +39,49 @@
     Endpoint(EndpointProcess),
 }
 
-/// One control replica as others know it.
+/// Name and addresses of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it takes internal links.
+    /// Listen address for internal links.
     pub internal: SocketAddr,
-    /// Where it takes operators' calls.
+    /// Listen address for operator requests.
     pub operator: SocketAddr,
 }
 
 /// Settings of a control replica.
 #[derive(Clone, Debug)]
 pub struct Control {
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// The one folder for its durable files.
+    /// Directory of the durable files.
     pub data_folder: PathBuf,
-    /// Base address of the platform's VM list.
+    /// Address of the platform's VM list.
     pub platform: SocketAddr,
-    /// How long work may run without renewal.
+    /// Lease timing of workers.
     pub lease: Lease,
-    /// File with the operators' tokens, if they must show one.
+    /// File with the operators' tokens, if operators must authenticate.
     pub operator_tokens: Option<PathBuf>,
 }
 
-/// Addresses that a control replica listens on.
+/// Listen addresses of a control replica.
 #[derive(Clone, Debug)]
 pub struct Listen {
-    /// Internal links.
+    /// Address for internal links.
     pub internal: SocketAddr,
-    /// Operators.
+    /// Address for operator requests.
     pub operator: SocketAddr,
 }
 
-/// Times of leases on workers.
+/// Timing of the leases of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// How long a worker runs a task after the last renewal, in milliseconds.
+    /// Time a worker keeps running a task after the last renewal, in milliseconds.
     pub span_ms: Span,
-    /// How often leases are renewed, in milliseconds.
+    /// Interval between renewals, in milliseconds.
     pub renew_ms: Span,
-    /// How far two clocks may drift apart, in thousandths.
+    /// Maximum relative drift between two clocks, in thousandths.
     pub drift_permille: u64,
 }
 
@@ -92,7 +92,8 @@
 }
 
 impl Lease {
-    /// How long after its last renewal work has surely ended, in milliseconds.
+    /// Returns the time after the last renewal by which work has ended on any clock within the
+    /// drift limit, in milliseconds.
     pub fn expiry_ms(&self) -> Span {
         self.span_ms + self.span_ms * self.drift_permille / 1000 + 1
     }
@@ -101,33 +102,33 @@
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Deadline of requests that state none, in milliseconds.
+    /// Deadline of requests without an explicit one, in milliseconds.
     pub default_deadline_ms: Span,
 }
 
 /// Settings of an endpoint process.
 #[derive(Clone, Debug)]
 pub struct EndpointProcess {
-    /// Where it takes internal links.
+    /// Listen address for internal links.
     pub internal: SocketAddr,
 }
 
-/// Limits on what a process takes in.
+/// Limits on incoming data and time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest frame between processes, in bytes.
+    /// Maximum frame size between processes, in bytes.
     pub frame_bytes: usize,
-    /// Largest body of a request or an answer, in bytes.
+    /// Maximum body size of a request or an answer, in bytes.
     pub body_bytes: usize,
-    /// Connections from callers.
+    /// Maximum number of connections from callers.
     pub connections: usize,
-    /// Time a caller may take for the head or the body of a request, in milliseconds.
+    /// Timeout for receiving the header or the body of a request, in milliseconds.
     pub read_ms: Span,
-    /// Frames that wait on a link in each direction.
+    /// Maximum number of queued frames per link and direction.
     pub link_queue: usize,
-    /// Time that a planned stop may take, in milliseconds.
+    /// Timeout of a planned stop, in milliseconds.
     pub stop_ms: Span,
 }
 
@@ -144,12 +145,12 @@
     }
 }
 
-/// How a process logs.
+/// Log settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Text or JSON.
+    /// Output format.
     pub format: LogFormat,
-    /// Whether debug events are logged too.
+    /// Whether to log debug events.
     pub debug: bool,
 }
 
@@ -159,58 +160,58 @@
     }
 }
 
-/// The format of a log.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Nothing at all.
+    /// No output.
     Silent,
 }
 
-/// Where metrics go.
+/// Metrics settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Metrics {
-    /// Address of a statsd server, over UDP.
+    /// UDP address of a statsd server.
     pub statsd: SocketAddr,
 }
 
-/// The word for a role in a file.
+/// Value of the key `role`.
 #[derive(Clone, Copy)]
-enum RoleWord {
+enum RoleName {
     Control,
     Entry,
     Endpoint,
 }
 
-/// Reads a settings file from its top mapping.
+/// Reads a settings file from its top-level mapping.
 pub(crate) fn read(reader: &Reader<'_>) -> Process {
-    let words = [
-        ("control", RoleWord::Control),
-        ("entry", RoleWord::Entry),
-        ("endpoint", RoleWord::Endpoint),
+    let roles = [
+        ("control", RoleName::Control),
+        ("entry", RoleName::Entry),
+        ("endpoint", RoleName::Endpoint),
     ];
-    let role = match reader.choice("role", &words) {
-        RoleWord::Control => Role::Control(read_control(reader)),
-        RoleWord::Entry => Role::Entry(read_entry(reader)),
-        RoleWord::Endpoint => Role::Endpoint(read_endpoint(reader)),
+    let role = match reader.choice("role", &roles) {
+        RoleName::Control => Role::Control(read_control(reader)),
+        RoleName::Entry => Role::Entry(read_entry(reader)),
+        RoleName::Endpoint => Role::Endpoint(read_endpoint(reader)),
     };
     Process {
         name: reader.name("name"),
         data_centre: reader.name("data_centre"),
         replicas: read_replicas(reader),
         role,
-        limits: reader.map_opt("limits").map(|map| read_limits(&map)).unwrap_or_default(),
-        log: reader.map_opt("log").map(|map| read_log(&map)).unwrap_or_default(),
-        metrics: reader.map_opt("metrics").map(|map| read_metrics(&map)),
-        token_file: reader.text_opt("token_file").map(PathBuf::from),
+        limits: reader.optional_map("limits").map(|map| read_limits(&map)).unwrap_or_default(),
+        log: reader.optional_map("log").map(|map| read_log(&map)).unwrap_or_default(),
+        metrics: reader.optional_map("metrics").map(|map| read_metrics(&map)),
+        token_file: reader.optional_text("token_file").map(PathBuf::from),
     }
 }
 
 fn read_replicas(reader: &Reader<'_>) -> Vec<Replica> {
-    let nodes = reader.list_needed("control");
+    let nodes = reader.required_list("control");
     let replicas = nodes.iter().map(|node| {
         let reader = Reader::new(node, reader.findings());
         let replica = Replica {
@@ -231,13 +232,13 @@
         map.finish();
         listen
     });
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
     Control {
-        listen: listen.unwrap_or(Listen { internal: nowhere, operator: nowhere }),
+        listen: listen.unwrap_or(Listen { internal: placeholder, operator: placeholder }),
         data_folder: PathBuf::from(reader.text("data_folder")),
         platform: reader.address("platform"),
-        lease: reader.map_opt("lease").map(|map| read_lease(&map)).unwrap_or_default(),
-        operator_tokens: reader.text_opt("operator_tokens").map(PathBuf::from),
+        lease: reader.optional_map("lease").map(|map| read_lease(&map)).unwrap_or_default(),
+        operator_tokens: reader.optional_text("operator_tokens").map(PathBuf::from),
     }
 }
 
@@ -249,8 +250,12 @@
         drift_permille: reader.number_or("drift_permille", 0..=500, default.drift_permille),
     };
     if lease.renew_ms * 3 > lease.span_ms {
-        let help = "let span_ms be at least three times renew_ms";
-        reader.findings().add(reader.place(), "a lease would not outlive two lost renewals", help);
+        let help = "set span_ms to at least three times renew_ms";
+        reader.findings().add(
+            reader.position(),
+            "a lease would expire after two lost renewals",
+            help,
+        );
     }
     reader.finish();
     lease
@@ -289,8 +294,12 @@
         stop_ms: reader.number_or("stop_ms", 100..=600_000, default.stop_ms),
     };
     if limits.body_bytes + 65_536 > limits.frame_bytes {
-        let help = "let frame_bytes be at least body_bytes + 65536";
-        reader.findings().add(reader.place(), "a whole body would not fit into a frame", help);
+        let help = "set frame_bytes to at least body_bytes + 65536";
+        reader.findings().add(
+            reader.position(),
+            "a maximum-size body would not fit into a frame",
+            help,
+        );
     }
     reader.finish();
     limits
--- a/crates/pond-settings/src/tree.rs
+++ b/crates/pond-settings/src/tree.rs
@@ -1,26 +1,26 @@
-//! A YAML document as a tree in which every value knows its place.
+//! A YAML document as a tree whose nodes keep their positions.
 
 use saphyr_parser::{Event, Parser, Span};
 
 use crate::Findings;
-use crate::finding::Place;
+use crate::finding::Position;
 
-/// How deep lists and mappings may be nested.
-const DEPTH_LIMIT: usize = 32;
+/// Maximum nesting depth of lists and mappings.
+const MAX_DEPTH: usize = 32;
 
-/// One value with its place.
+/// A value with its position.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it starts.
-    pub place: Place,
-    /// What it is.
+    /// Position where it starts.
+    pub position: Position,
+    /// Value.
     pub value: Value,
 }
 
 /// The value of a node.
 #[derive(Clone, Debug)]
 pub enum Value {
-    /// A scalar as it is written.
+    /// A scalar in its written form.
     Text(String),
     /// A list.
     List(Vec<Node>),
@@ -28,31 +28,31 @@
     Map(Vec<Pair>),
 }
 
-/// One key of a mapping and its value.
+/// A key-value pair of a mapping.
 #[derive(Clone, Debug)]
 pub struct Pair {
-    /// The key.
+    /// Key.
     pub key: String,
-    /// Where the key starts.
-    pub place: Place,
-    /// The value.
+    /// Position where the key starts.
+    pub position: Position,
+    /// Value.
     pub node: Node,
 }
 
-/// Reads the first document of a text.
+/// Parses a text with a single document.
 ///
-/// Duplicate keys, aliases and depth beyond the limit are findings. None if the text is not YAML
-/// or holds no document.
+/// Duplicate keys, aliases, a second document and excessive depth are findings. Returns `None` if
+/// the text is not valid YAML, exceeds the depth or contains no document.
 pub fn parse(text: &str, findings: &Findings) -> Option<Node> {
     let mut builder = Builder::new(findings);
     let mut parser = Parser::new_from_str(text);
     while let Some(event) = parser.next_event() {
         match event {
-            Ok((event, span)) => builder.take(event, span),
+            Ok((event, span)) => builder.handle(event, span),
             Err(error) => {
                 let mark = error.marker();
-                let place = Place { line: mark.line(), column: mark.col() + 1 };
-                findings.add(place, error.info(), "write valid YAML here");
+                let position = Position { line: mark.line(), column: mark.col() + 1 };
+                findings.add(position, error.info(), "write valid YAML here");
                 return None;
             }
         }
@@ -61,21 +61,21 @@
         }
     }
     if builder.root.is_none() {
-        findings.add(Place { line: 1, column: 1 }, "the file is empty", "write a document");
+        findings.add(Position { line: 1, column: 1 }, "the file is empty", "write a document");
     }
     builder.root
 }
 
-/// A list or mapping that is still open.
-enum Open {
-    List { place: Place, items: Vec<Node> },
-    Map { place: Place, pairs: Vec<Pair>, key: Option<(String, Place)> },
+/// A list or mapping whose end has not been parsed yet.
+enum OpenNode {
+    List { position: Position, items: Vec<Node> },
+    Map { position: Position, pairs: Vec<Pair>, key: Option<(String, Position)> },
 }
 
-/// Builds the tree from the parser's events.
+/// Builds the tree from parser events.
 struct Builder<'a> {
     findings: &'a Findings,
-    open: Vec<Open>,
+    open: Vec<OpenNode>,
     root: Option<Node>,
     stopped: bool,
 }
@@ -85,48 +85,58 @@
         Builder { findings, open: Vec::new(), root: None, stopped: false }
     }
 
-    fn take(&mut self, event: Event<'_>, span: Span) {
-        let place = Place { line: span.start.line(), column: span.start.col() + 1 };
+    fn handle(&mut self, event: Event<'_>, span: Span) {
+        let position = Position { line: span.start.line(), column: span.start.col() + 1 };
         match event {
-            Event::Scalar(text, ..) => self.text(text.into_owned(), place),
-            Event::SequenceStart(..) => self.push(Open::List { place, items: Vec::new() }, place),
+            Event::Scalar(text, ..) => self.text(text.into_owned(), position),
+            Event::SequenceStart(..) => {
+                self.push(OpenNode::List { position, items: Vec::new() }, position)
+            }
             Event::MappingStart(..) => {
-                self.push(Open::Map { place, pairs: Vec::new(), key: None }, place);
+                self.push(OpenNode::Map { position, pairs: Vec::new(), key: None }, position);
             }
             Event::SequenceEnd | Event::MappingEnd => self.close(),
             Event::Alias(_) => {
-                self.findings.add(place, "aliases are not supported", "write the value out");
-                self.text(String::new(), place);
+                self.findings.add(position, "aliases are not supported", "repeat the value");
+                self.text(String::new(), position);
             }
             Event::DocumentStart(_) if self.root.is_some() => {
-                self.findings.add(place, "a second document", "keep one document in a file");
+                self.findings.add(
+                    position,
+                    "second document in the file",
+                    "keep one document per file",
+                );
                 self.stopped = true;
             }
             _ => {}
         }
     }
 
-    fn push(&mut self, open: Open, place: Place) {
-        if self.open.len() >= DEPTH_LIMIT {
-            self.findings.add(place, "nested too deep", "use fewer levels");
+    fn push(&mut self, open: OpenNode, position: Position) {
+        if self.open.len() >= MAX_DEPTH {
+            self.findings.add(position, "nested too deeply", "use fewer levels");
             self.stopped = true;
             return;
         }
         self.open.push(open);
     }
 
-    fn text(&mut self, text: String, place: Place) {
-        if let Some(Open::Map { key: key @ None, .. }) = self.open.last_mut() {
-            *key = Some((text, place));
+    fn text(&mut self, text: String, position: Position) {
+        if let Some(OpenNode::Map { key: key @ None, .. }) = self.open.last_mut() {
+            *key = Some((text, position));
             return;
         }
-        self.add(Node { place, value: Value::Text(text) });
+        self.add(Node { position, value: Value::Text(text) });
     }
 
     fn close(&mut self) {
         let node = match self.open.pop() {
-            Some(Open::List { place, items }) => Node { place, value: Value::List(items) },
-            Some(Open::Map { place, pairs, .. }) => Node { place, value: Value::Map(pairs) },
+            Some(OpenNode::List { position, items }) => {
+                Node { position, value: Value::List(items) }
+            }
+            Some(OpenNode::Map { position, pairs, .. }) => {
+                Node { position, value: Value::Map(pairs) }
+            }
             None => return,
         };
         self.add(node);
@@ -135,18 +145,22 @@
     fn add(&mut self, node: Node) {
         match self.open.last_mut() {
             None => self.root = Some(node),
-            Some(Open::List { items, .. }) => items.push(node),
-            Some(Open::Map { pairs, key, .. }) => {
-                let Some((key, place)) = key.take() else {
-                    self.findings.add(node.place, "a key is not a word", "use a plain word as key");
+            Some(OpenNode::List { items, .. }) => items.push(node),
+            Some(OpenNode::Map { pairs, key, .. }) => {
+                let Some((key, position)) = key.take() else {
+                    self.findings.add(
+                        node.position,
+                        "a key must be a scalar",
+                        "use a plain string as key",
+                    );
                     self.stopped = true;
                     return;
                 };
                 if pairs.iter().any(|pair| pair.key == key) {
-                    let message = format!("'{key}' is there twice");
-                    self.findings.add(place, message, "keep one of them");
+                    let message = format!("duplicate key '{key}'");
+                    self.findings.add(position, message, "keep one of them");
                 }
-                pairs.push(Pair { key, place, node });
+                pairs.push(Pair { key, position, node });
             }
         }
     }
--- a/crates/pond-settings/src/unit_file.rs
+++ b/crates/pond-settings/src/unit_file.rs
@@ -7,16 +7,17 @@
 use crate::reader::parsed;
 use crate::{Error, File, Node, Reader};
 
-/// The longest time that a file may state: 31 days, in seconds.
-const SECONDS_LIMIT: u64 = 31 * 24 * 3600;
+/// Maximum duration in a unit file: 31 days, in seconds.
+const MAX_SECONDS: u64 = 31 * 24 * 3600;
 
-/// Requests that may be under way for one service at one entry, where the file is silent.
+/// Default for the maximum number of concurrent requests per service and entry.
 const DEFAULT_CONCURRENCY: u64 = 256;
 
 /// Reads the text of a unit file.
 ///
 /// # Errors
-/// [`Error::Bad`] with every finding, also when the file is of another kind.
+/// [`Error::Read`] or [`Error::Bad`] as [`crate::parse`]; [`Error::Bad`] if the file is of another
+/// kind.
 pub fn parse(name: &str, text: &str) -> Result<Vec<Unit>, Error> {
     match crate::parse(name, text)? {
         File::Units(units) => Ok(units),
@@ -33,11 +34,11 @@
 pub(crate) fn read(reader: &Reader<'_>) -> Vec<Unit> {
     let mut names = BTreeSet::new();
     let mut units = Vec::new();
-    for node in reader.list_needed("units") {
+    for node in reader.required_list("units") {
         let unit = read_unit(node, reader);
         if !names.insert(unit.name.clone()) {
-            let message = format!("unit '{}' is there twice", unit.name);
-            reader.findings().add(node.place, message, "give each unit its own name");
+            let message = format!("duplicate unit '{}'", unit.name);
+            reader.findings().add(node.position, message, "give each unit a unique name");
         }
         units.push(unit);
     }
@@ -49,10 +50,10 @@
     let unit = Unit {
         name: reader.name("name"),
         kind: read_kind(&reader),
-        labels: reader.words("labels").into_iter().collect(),
+        labels: reader.string_map("labels").into_iter().collect(),
         size: reader.map("size").map(|map| read_size(&map)).unwrap_or_default(),
         priority: reader.signed_or("priority", -1000..=1000, 0) as i32,
-        team: reader.text_opt("team").unwrap_or_else(|| "default".to_owned()),
+        team: reader.optional_text("team").unwrap_or_else(|| "default".to_owned()),
         selector: read_selector(&reader, "selector").unwrap_or_default(),
         affinity: read_selector(&reader, "affinity"),
         anti_affinity: read_selector(&reader, "anti_affinity"),
@@ -63,14 +64,14 @@
 }
 
 fn read_kind(reader: &Reader<'_>) -> Kind {
-    let service = reader.map_opt("service");
-    let job = reader.map_opt("job");
+    let service = reader.optional_map("service");
+    let job = reader.optional_map("job");
     match (service, job) {
         (Some(service), None) => Kind::Service(read_service(&service)),
         (None, Some(job)) => Kind::Job(read_job(&job)),
         _ => {
-            let message = "a unit is either a service or a job";
-            reader.findings().add(reader.place(), message, "write one of 'service:' and 'job:'");
+            let message = "a unit must be either a service or a job";
+            reader.findings().add(reader.position(), message, "write one of 'service:' and 'job:'");
             Kind::Job(Job { run_ms: 0, deadline_ms: None, retries: 0 })
         }
     }
@@ -81,7 +82,7 @@
         replicas: reader.number("replicas", 0..=10_000) as u32,
         slots: reader.number_or("slots", 1..=1024, 8) as u32,
         connections: reader.number_or("connections", 1..=4096, 64) as u32,
-        p99_ms: reader.number_opt("p99_ms", 1..=60_000).map(|ms| ms as u32),
+        p99_ms: reader.optional_number("p99_ms", 1..=60_000).map(|ms| ms as u32),
         concurrency: reader.number_or("concurrency", 1..=65_536, DEFAULT_CONCURRENCY) as u32,
         rate: reader.number_or("rate", 0..=1_000_000, 0) as u32,
     };
@@ -90,9 +91,9 @@
 }
 
 fn read_job(reader: &Reader<'_>) -> Job {
-    let deadline = reader.number_opt("deadline_seconds", 1..=SECONDS_LIMIT);
+    let deadline = reader.optional_number("deadline_seconds", 1..=MAX_SECONDS);
     let job = Job {
-        run_ms: reader.number("run_seconds", 1..=SECONDS_LIMIT) * 1000,
+        run_ms: reader.number("run_seconds", 1..=MAX_SECONDS) * 1000,
         deadline_ms: deadline.map(|seconds| seconds * 1000),
         retries: reader.number_or("retries", 0..=100, 3) as u32,
     };
@@ -127,13 +128,13 @@
     let term = Term {
         key: reader.text("key"),
         operator: reader.choice("operator", &operators),
-        values: reader.texts("values"),
+        values: reader.strings("values"),
     };
     reader.finish();
     if term.operator.takes_values() == term.values.is_empty() {
-        let message = format!("{} does not fit its values", term.operator.as_str());
+        let message = format!("operator {} does not match its values", term.operator.as_str());
         let help = "give In and NotIn a list of values, Exists and DoesNotExist none";
-        reader.findings().add(node.place, message, help);
+        reader.findings().add(node.position, message, help);
     }
     term
 }
