--- a/crates/pond-load/src/lib.rs
+++ b/crates/pond-load/src/lib.rs
@@ -1,16 +1,16 @@
-//! A load tool: a fixed schedule of arrivals, latency from the intended start, and a check of every
-//! answer against what endpoints say they ran.
+//! An open-loop load tool: arrivals do not wait for answers, latency counts from the intended start,
+//! and every answer is verified against the record of what endpoints ran.
 
 mod plan;
 mod plot;
 mod report;
 mod run;
-mod tally;
+mod sample;
 mod verify;
 
 pub use plan::{Plan, Target};
 pub use plot::svg;
-pub use report::{Line, Report};
+pub use report::{Quantiles, Report};
 pub use run::run;
-pub use tally::{Asked, Ended, Tally};
-pub use verify::{Broken, check};
+pub use sample::{Outcome, Request, Sample};
+pub use verify::{Violations, check};
--- a/crates/pond-load/src/plan.rs
+++ b/crates/pond-load/src/plan.rs
@@ -1,43 +1,43 @@
-//! What is asked, how often, and of whom.
+//! Description of a load: requests, rate and target.
 
 use std::time::Duration;
 
-/// Whom requests go to.
+/// Recipient of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// Entries, in turn.
+    /// Entries, round-robin.
     Entries(Vec<String>),
-    /// An endpoint itself, over kept connections, for comparison.
+    /// An endpoint directly, over persistent connections, for comparison.
     Endpoint(String),
 }
 
-/// A load.
+/// A load to run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Whom.
+    /// Recipient of the requests.
     pub target: Target,
-    /// Services, asked in turn.
+    /// Requested services, round-robin.
     pub services: Vec<String>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub time: Duration,
-    /// Share of requests that are repeatable.
+    /// Share of repeatable requests, from 0 to 1.
     pub repeatable: f64,
-    /// Share of the others that carry an idempotency key.
+    /// Share of requests with an idempotency key among the others, from 0 to 1.
     pub keyed: f64,
-    /// Deadline of each, in milliseconds.
+    /// Deadline of each request, in milliseconds.
     pub deadline_ms: u64,
-    /// Bytes of each body, at least enough for its first line.
+    /// Minimum body size, in bytes; a longer first line extends the body.
     pub body_bytes: usize,
-    /// Seed of arrivals and kinds.
+    /// Random seed of arrival times and request kinds.
     pub seed: u64,
-    /// First part of every first line, so that runs can be told apart in a record.
+    /// Prefix of the first line of every body, which distinguishes loads in a record.
     pub name: String,
 }
 
 impl Plan {
-    /// A load of repeatable requests for one service.
+    /// Creates a load of repeatable requests for one service.
     pub fn new(target: Target, service: &str, rate: f64, time: Duration) -> Plan {
         Plan {
             target,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// With shares of repeatable requests, and of keys among the others.
+    /// Sets the share of repeatable requests, and of requests with a key among the others.
     pub fn with_shares(mut self, repeatable: f64, keyed: f64) -> Plan {
         (self.repeatable, self.keyed) = (repeatable, keyed);
         self
     }
 
-    /// With another deadline.
+    /// Sets the deadline of each request, in milliseconds.
     pub fn with_deadline_ms(mut self, ms: u64) -> Plan {
         self.deadline_ms = ms;
         self
--- a/crates/pond-load/src/plot.rs
+++ b/crates/pond-load/src/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of latencies over quantiles as SVG.
+//! Latency plots in SVG.
 
 use crate::report::Report;
 
@@ -7,14 +7,14 @@
 const MARGIN: f64 = 60.0;
 const COLOURS: [&str; 6] = ["#1b6ca8", "#c44536", "#2a9d56", "#8e5ea2", "#b8860b", "#444444"];
 
-/// Quantiles on the axis: each is another "nine".
+/// Quantiles marked on the x axis, one per additional "nine".
 const QUANTILES: [(f64, &str); 5] =
     [(0.0, "0"), (0.9, "90 %"), (0.99, "99 %"), (0.999, "99.9 %"), (0.9999, "99.99 %")];
 
-/// Points of each line.
-const POINTS: usize = 200;
+/// Number of points per curve.
+const CURVE_POINTS: usize = 200;
 
-/// A plot of some reports: latency (logarithmic) over quantile (by nines).
+/// Renders a plot with one curve per report: latency (logarithmic) over quantile (in "nines").
 pub fn svg(title: &str, reports: &[Report]) -> String {
     let slowest = reports.iter().map(|report| report.latency.max).max().unwrap_or(1).max(1000);
     let top = (slowest as f64).log10().ceil();
@@ -29,10 +29,10 @@
          fill=\"white\"/>\n<text x=\"{MARGIN}\" y=\"24\" font-size=\"15\">{title}</text>\n"
     );
     for (i, (_, label)) in QUANTILES.iter().enumerate() {
-        let at = x(i as f64);
+        let left = x(i as f64);
         text.push_str(&format!(
-            "<line x1=\"{at}\" y1=\"{MARGIN}\" x2=\"{at}\" y2=\"{}\" stroke=\"#dddddd\"/>\
-             <text x=\"{at}\" y=\"{}\" text-anchor=\"middle\">{label}</text>\n",
+            "<line x1=\"{left}\" y1=\"{MARGIN}\" x2=\"{left}\" y2=\"{}\" stroke=\"#dddddd\"/>\
+             <text x=\"{left}\" y=\"{}\" text-anchor=\"middle\">{label}</text>\n",
             HEIGHT - MARGIN,
             HEIGHT - MARGIN + 18.0
         ));
@@ -50,9 +50,9 @@
     }
     for (i, report) in reports.iter().enumerate() {
         let colour = COLOURS[i % COLOURS.len()];
-        let points: Vec<String> = (0..=POINTS)
-            .map(|point| point as f64 / POINTS as f64 * 4.0)
-            .map(|nines| (x(nines), y(report.at(1.0 - 10f64.powf(-nines)))))
+        let points: Vec<String> = (0..=CURVE_POINTS)
+            .map(|point| point as f64 / CURVE_POINTS as f64 * 4.0)
+            .map(|nines| (x(nines), y(report.latency_at(1.0 - 10f64.powf(-nines)))))
             .map(|(x, y)| format!("{x:.1},{y:.1}"))
             .collect();
         text.push_str(&format!(
--- a/crates/pond-load/src/report.rs
+++ b/crates/pond-load/src/report.rs
@@ -1,86 +1,86 @@
-//! The report of a run.
+//! Summary of a load.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::tally::{Ended, Tally};
+use crate::sample::{Outcome, Sample};
 
-/// Longest latency that the histogram holds, in microseconds.
-const LONGEST_US: u64 = 120_000_000;
+/// Maximum latency of the histogram, in microseconds; longer ones saturate.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// Counts and latencies of a run.
+/// Counts and latencies of a load.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was measured.
+    /// Name of the measurement.
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     pub asked: usize,
-    /// Requests a second that were answered.
+    /// Complete answers per second.
     pub answered_per_s: f64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: usize,
     /// Answers with a failure status.
     pub failed: usize,
     /// Requests that did not run.
     pub not_run: usize,
-    /// Requests whose fate is unknown.
+    /// Requests that may have run.
     pub unknown: usize,
-    /// Requests that nothing listened to, or whose connection broke.
+    /// Requests whose connection was refused, lost or timed out.
     pub lost: usize,
-    /// Wrong answers.
+    /// Answers that were invalid, incomplete or belonged to another request.
     pub wrong: usize,
-    /// Latency of whole answers.
-    pub latency: Line,
+    /// Latency of complete answers.
+    pub latency: Quantiles,
     #[serde(skip)]
     histogram: Histogram<u64>,
 }
 
-/// Quantiles of latency, in microseconds.
+/// Latency quantiles in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Line {
-    /// Half are faster.
+pub struct Quantiles {
+    /// 50th percentile.
     pub p50: u64,
-    /// Nine of ten are faster.
+    /// 90th percentile.
     pub p90: u64,
-    /// 99 of 100 are faster.
+    /// 99th percentile.
     pub p99: u64,
-    /// 999 of 1000 are faster.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// The slowest.
+    /// Maximum.
     pub max: u64,
 }
 
 impl Report {
-    /// The report of a run that took `time`.
-    pub fn new(name: &str, tallies: &[Tally], time: Duration) -> Report {
-        let count = |ended| tallies.iter().filter(|tally| tally.ended == ended).count();
-        let answered: Vec<&Tally> =
-            tallies.iter().filter(|tally| tally.ended == Ended::Answered).collect();
+    /// Summarizes the samples of a load that took `time`.
+    pub fn new(name: &str, samples: &[Sample], time: Duration) -> Report {
+        let count = |outcome| samples.iter().filter(|sample| sample.outcome == outcome).count();
+        let answered: Vec<&Sample> =
+            samples.iter().filter(|sample| sample.outcome == Outcome::Answered).collect();
         let histogram = histogram(&answered);
         Report {
             name: name.to_owned(),
-            asked: tallies.len(),
+            asked: samples.len(),
             answered_per_s: answered.len() as f64 / time.as_secs_f64().max(1e-9),
             answered: answered.len(),
-            failed: count(Ended::Failed),
-            not_run: count(Ended::NotRun),
-            unknown: count(Ended::Unknown),
-            lost: count(Ended::Lost),
-            wrong: count(Ended::Wrong),
-            latency: line(&histogram),
+            failed: count(Outcome::Failed),
+            not_run: count(Outcome::NotRun),
+            unknown: count(Outcome::Unknown),
+            lost: count(Outcome::Lost),
+            wrong: count(Outcome::Wrong),
+            latency: quantiles(&histogram),
             histogram,
         }
     }
 
-    /// The heading of the table's rows.
+    /// Table headings for [`Report::row`].
     pub const HEADINGS: [&'static str; 12] = [
         "run", "asked", "answered", "a second", "not run", "unknown", "lost", "wrong", "p50 ms",
         "p90 ms", "p99 ms", "max ms",
     ];
 
-    /// The report as a row of a table.
+    /// Formats the report as a table row.
     pub fn row(&self) -> Vec<String> {
         let ms = |us: u64| format!("{:.3}", us as f64 / 1000.0);
         vec![
@@ -99,24 +99,24 @@
         ]
     }
 
-    /// Latency in microseconds at a quantile between 0 and 1.
-    pub fn at(&self, quantile: f64) -> u64 {
+    /// Returns the latency at a quantile between 0 and 1, in microseconds.
+    pub fn latency_at(&self, quantile: f64) -> u64 {
         self.histogram.value_at_quantile(quantile)
     }
 }
 
-fn histogram(tallies: &[&Tally]) -> Histogram<u64> {
-    // Three digits, and a range that is always valid.
-    let empty = Histogram::new_with_bounds(1, LONGEST_US, 3);
+fn histogram(samples: &[&Sample]) -> Histogram<u64> {
+    // Three significant digits; the bounds are always valid.
+    let empty = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3);
     let mut histogram = empty.unwrap_or_else(|_| unreachable!("the bounds are constants"));
-    for tally in tallies {
-        histogram.saturating_record(tally.latency.as_micros() as u64);
+    for sample in samples {
+        histogram.saturating_record(sample.latency.as_micros() as u64);
     }
     histogram
 }
 
-fn line(histogram: &Histogram<u64>) -> Line {
-    Line {
+fn quantiles(histogram: &Histogram<u64>) -> Quantiles {
+    Quantiles {
         p50: histogram.value_at_quantile(0.5),
         p90: histogram.value_at_quantile(0.9),
         p99: histogram.value_at_quantile(0.99),
--- a/crates/pond-load/src/run.rs
+++ b/crates/pond-load/src/run.rs
@@ -9,63 +9,67 @@
 use rand::{Rng, SeedableRng};
 
 use crate::plan::{Plan, Target};
-use crate::tally::{Asked, Tally, judge};
+use crate::sample::{Request, Sample, classify};
 
-/// Below this time the pacing thread spins, as a sleep is too coarse.
-const SPIN: Duration = Duration::from_micros(150);
+/// The pacing thread spins for shorter waits, because sleeping is too imprecise.
+const SPIN_THRESHOLD: Duration = Duration::from_micros(150);
 
-/// Extra time that the tool waits for an answer beyond the request's deadline.
-const EXTRA: Duration = Duration::from_secs(5);
+/// Time to wait for an answer beyond the deadline of its request.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Runs a load to its end; every request with what became of it.
+/// Runs a load to its end and returns a sample per request.
 ///
-/// Arrivals are at random times from the plan's seed and do not wait for answers, so that a slow
-/// system cannot slow the load down. Latency counts from the intended start.
+/// Arrival times are random, determined by the plan's seed, and do not wait for answers, so that a
+/// slow system cannot reduce the load. Latency counts from the intended start.
 ///
 /// # Errors
-/// What the system says if there is no runtime.
-pub fn run(plan: &Plan) -> std::io::Result<Vec<Tally>> {
+/// The I/O error if the runtime cannot be created.
+pub fn run(plan: &Plan) -> std::io::Result<Vec<Sample>> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let client = Client::new();
     let plan = Arc::new(plan.clone());
-    let (done, ended) = mpsc::channel();
+    let (sender, samples) = mpsc::channel();
     let mut rng = SmallRng::seed_from_u64(plan.seed);
-    let begun = Instant::now();
+    let load_start = Instant::now();
     let mut start = Duration::ZERO;
     let mut count = 0;
     while start < plan.time {
-        wait_until(begun + start);
-        let asked = asked(&plan, &mut rng, count);
-        let (shared, client, done) = (plan.clone(), client.clone(), done.clone());
+        wait_until(load_start + start);
+        let request = new_request(&plan, &mut rng, count);
+        let (shared, client, sender) = (plan.clone(), client.clone(), sender.clone());
         runtime.spawn(async move {
-            let tally = ask(&shared, &client, asked, count, begun, start).await;
-            let _ = done.send(tally);
+            let sample = send(&shared, &client, request, count, load_start, start).await;
+            let _ = sender.send(sample);
         });
         count += 1;
-        let pause = -rng.random::<f64>().max(1e-12).ln() / plan.rate;
-        start += Duration::from_secs_f64(pause);
+        let interval = -rng.random::<f64>().max(1e-12).ln() / plan.rate;
+        start += Duration::from_secs_f64(interval);
     }
-    drop(done);
-    Ok(ended.into_iter().collect())
+    drop(sender);
+    Ok(samples.into_iter().collect())
 }
 
 fn wait_until(moment: Instant) {
     loop {
-        let left = moment.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = moment.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
-        if left > SPIN { std::thread::sleep(left - SPIN) } else { std::hint::spin_loop() }
+        if remaining > SPIN_THRESHOLD {
+            std::thread::sleep(remaining - SPIN_THRESHOLD)
+        } else {
+            std::hint::spin_loop()
+        }
     }
 }
 
-fn asked(plan: &Plan, rng: &mut SmallRng, count: usize) -> Asked {
+fn new_request(plan: &Plan, rng: &mut SmallRng, count: usize) -> Request {
     let repeatable = rng.random_bool(plan.repeatable);
     let keyed = !repeatable && rng.random_bool(plan.keyed);
     let line = format!("{} {count}", plan.name);
     let crc = crc32c::crc32c(&body(plan, &line));
-    Asked { line, crc, repeatable, keyed }
+    Request { line, crc, repeatable, keyed }
 }
 
 fn body(plan: &Plan, line: &str) -> Vec<u8> {
@@ -74,39 +78,39 @@
     body
 }
 
-async fn ask(
+async fn send(
     plan: &Plan,
     client: &Client,
-    asked: Asked,
+    request: Request,
     count: usize,
-    begun: Instant,
+    load_start: Instant,
     start: Duration,
-) -> Tally {
+) -> Sample {
     let service = &plan.services[count % plan.services.len()];
-    let call = call(plan, &asked, service);
+    let call = call(plan, &request, service);
     let (address, direct) = match &plan.target {
         Target::Entries(entries) => (&entries[count % entries.len()], false),
         Target::Endpoint(address) => (address, true),
     };
-    let patience = Duration::from_millis(plan.deadline_ms) + EXTRA;
-    let result = client.call(address, call, patience).await;
-    let ended = judge(&asked, direct, &result);
-    Tally { asked, ended, latency: begun.elapsed().saturating_sub(start), start }
+    let timeout = Duration::from_millis(plan.deadline_ms) + DEADLINE_MARGIN;
+    let result = client.call(address, call, timeout).await;
+    let outcome = classify(&request, direct, &result);
+    Sample { request, outcome, latency: load_start.elapsed().saturating_sub(start), start }
 }
 
-fn call(plan: &Plan, asked: &Asked, service: &str) -> Call {
+fn call(plan: &Plan, request: &Request, service: &str) -> Call {
     let path = format!("/v1/services/{service}");
-    let mut call = Call::new(Method::POST, &path, body(plan, &asked.line));
-    let mut put = |name: &'static str, value: String| {
+    let mut call = Call::new(Method::POST, &path, body(plan, &request.line));
+    let mut insert = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
             call.headers.insert(HeaderName::from_static(name), value);
         }
     };
-    let repeatable = if asked.repeatable { "yes" } else { "no" };
-    put("pondbay-repeatable", repeatable.to_owned());
-    put("pondbay-deadline-ms", plan.deadline_ms.to_string());
-    if asked.keyed {
-        put("idempotency-key", asked.line.replace(' ', "-"));
+    let repeatable = if request.repeatable { "yes" } else { "no" };
+    insert("pondbay-repeatable", repeatable.to_owned());
+    insert("pondbay-deadline-ms", plan.deadline_ms.to_string());
+    if request.keyed {
+        insert("idempotency-key", request.line.replace(' ', "-"));
     }
     call
 }
--- a/crates/pond-load/src/verify.rs
+++ b/crates/pond-load/src/verify.rs
@@ -1,54 +1,55 @@
-//! Compares what callers were told with what endpoints say they ran.
+//! Verifies the outcomes that callers received against the record of what endpoints ran.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-use crate::tally::{Ended, Tally};
+use crate::sample::{Outcome, Sample};
 
-/// What the record says of one first line.
+/// Runs of one request, identified by the first line of its body.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-pub struct Ran {
-    /// How often it was started.
+pub struct RunCount {
+    /// Number of starts.
     pub started: u32,
-    /// How often it came to its end.
+    /// Number of completed runs.
     pub finished: u32,
 }
 
-/// Counts of broken promises.
+/// Counts of violated guarantees.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Broken {
-    /// Answers that were not to the request, or not whole.
+pub struct Violations {
+    /// Answers that were incomplete or belonged to another request.
     pub wrong: usize,
-    /// Requests that are not repeatable and ran twice.
+    /// Requests that ran more than once although they are not repeatable.
     pub doubly_run: usize,
-    /// Requests that ran though their callers were told that they did not.
+    /// Requests that ran although their callers received the outcome "not run".
     pub not_run_but_ran: usize,
-    /// Requests that were answered though no endpoint ran them.
+    /// Requests that were answered although no endpoint completed them.
     pub answered_but_not_run: usize,
 }
 
-impl Broken {
-    /// How many in all.
+impl Violations {
+    /// Returns the total number of violations.
     pub fn sum(&self) -> usize {
         self.wrong + self.doubly_run + self.not_run_but_ran + self.answered_but_not_run
     }
 }
 
-/// Compares tallies with the record, as `GET /v1/record` gives it in JSON.
+/// Verifies samples against the record, in the JSON format of `GET /v1/record`.
 ///
 /// # Errors
-/// If the record is not what it should be.
-pub fn check(tallies: &[Tally], record: &str) -> Result<Broken, serde_json::Error> {
-    let record: BTreeMap<String, Ran> = serde_json::from_str(record)?;
-    let mut broken = Broken::default();
-    for tally in tallies {
-        let ran = record.get(&tally.asked.line).copied().unwrap_or_default();
-        broken.wrong += usize::from(tally.ended == Ended::Wrong);
-        broken.doubly_run += usize::from(!tally.asked.repeatable && ran.started > 1);
-        broken.not_run_but_ran += usize::from(tally.ended == Ended::NotRun && ran.started > 0);
-        broken.answered_but_not_run +=
-            usize::from(tally.ended == Ended::Answered && ran.finished == 0);
+/// If the record is not valid JSON of that format.
+pub fn check(samples: &[Sample], record: &str) -> Result<Violations, serde_json::Error> {
+    let record: BTreeMap<String, RunCount> = serde_json::from_str(record)?;
+    let mut violations = Violations::default();
+    for sample in samples {
+        let runs = record.get(&sample.request.line).copied().unwrap_or_default();
+        violations.wrong += usize::from(sample.outcome == Outcome::Wrong);
+        violations.doubly_run += usize::from(!sample.request.repeatable && runs.started > 1);
+        violations.not_run_but_ran +=
+            usize::from(sample.outcome == Outcome::NotRun && runs.started > 0);
+        violations.answered_but_not_run +=
+            usize::from(sample.outcome == Outcome::Answered && runs.finished == 0);
     }
-    Ok(broken)
+    Ok(violations)
 }
--- a/crates/pond-local/benches/requests.rs
+++ b/crates/pond-local/benches/requests.rs
@@ -1,21 +1,22 @@
-//! Measures what pondbay adds to a request, against the plain path to the endpoint, in one run.
+//! Measures the overhead of a request through pondbay, compared with direct requests to the
+//! endpoint in the same run.
 //!
-//! `cargo bench -p pond-local --bench requests` writes the tables of docs/MEASUREMENTS.md.
+//! `cargo bench -p pond-local --bench requests` prints the tables of docs/MEASUREMENTS.md.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::time::{Duration, Instant};
 
-use pond_load::{Ended, Plan, Report, Tally, Target, check, run};
+use pond_load::{Outcome, Plan, Report, Sample, Target, check, run};
 use pond_local::{Installation, Options};
 use pond_proto::{Job, Kind, Labels, Selector, Service, Size, Unit};
 use pond_settings::{DataCentre, Installation as File, Lease, Log, LogFormat, VmGroup};
 
 const SERVICE: &str = "till";
-const TIME: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 
-/// An installation of two data centres with `vms` VMs and one service with an endpoint on each.
-fn file(vms: u32, service_us: u64) -> File {
+/// Describes an installation with `vms` VMs and one service with an endpoint on each.
+fn installation_file(vms: u32, service_us: u64) -> File {
     let service = Service {
         replicas: vms,
         slots: 8,
@@ -36,7 +37,7 @@
         anti_affinity: None,
         program: format!("check service_us={service_us}"),
     };
-    // Gives the scheduler something else to look after.
+    // Gives the scheduler other work besides the service.
     let job = Unit {
         name: "job".to_owned(),
         kind: Kind::Job(Job { run_ms: 1000, deadline_ms: None, retries: 0 }),
@@ -62,12 +63,14 @@
     }
 }
 
-/// Starts an installation and waits until all endpoints answer; with an endpoint's own address.
+/// Starts an installation and waits until all endpoints listen. Also returns the address of one
+/// endpoint, for direct requests.
 fn start(file: &File) -> (Installation, String) {
     let options =
         Options { log: Log { format: LogFormat::Silent, debug: false }, ..Options::default() };
-    let running = Installation::start(file, &options, pond_log::silent()).expect("starts");
-    create(&running, file);
+    let running =
+        Installation::start(file, &options, pond_log::silent()).expect("the installation starts");
+    create_units(&running, file);
     let endpoints = || -> Vec<String> {
         let hosts = running.hosts().values();
         hosts
@@ -77,8 +80,8 @@
             })
             .collect()
     };
-    let wanted = file.vms[0].count as usize;
-    while endpoints().len() < wanted {
+    let expected = file.vms[0].count as usize;
+    while endpoints().len() < expected {
         std::thread::sleep(Duration::from_millis(50));
     }
     std::thread::sleep(Duration::from_millis(500));
@@ -86,7 +89,7 @@
     (running, endpoint)
 }
 
-fn create(running: &Installation, file: &File) {
+fn create_units(running: &Installation, file: &File) {
     use pond_http::{Call, Client, HeaderValue, Method};
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -110,8 +113,8 @@
     });
 }
 
-/// Processor time of the threads of each duty so far, in seconds.
-fn cpu() -> BTreeMap<String, f64> {
+/// Returns the processor time used so far by the threads of each name, in seconds.
+fn cpu_seconds() -> BTreeMap<String, f64> {
     let mut times = BTreeMap::new();
     for entry in fs::read_dir("/proc/self/task").into_iter().flatten().flatten() {
         let stat = fs::read_to_string(entry.path().join("stat")).unwrap_or_default();
@@ -124,45 +127,45 @@
     times
 }
 
-fn measure(name: &str, plan: &Plan) -> (Vec<Tally>, Report) {
-    let begun = Instant::now();
-    let tallies = run(plan).expect("runs");
-    let report = Report::new(name, &tallies, begun.elapsed());
+fn measure(name: &str, plan: &Plan) -> (Vec<Sample>, Report) {
+    let started = Instant::now();
+    let samples = run(plan).expect("the load runs");
+    let report = Report::new(name, &samples, started.elapsed());
     println!("| {} |", report.row().join(" | "));
-    (tallies, report)
+    (samples, report)
 }
 
-fn heading() {
+fn print_heading() {
     println!("| {} |", Report::HEADINGS.join(" | "));
     println!("|{}", "---|".repeat(Report::HEADINGS.len()));
 }
 
-fn added() {
+fn measure_overhead() {
     println!("\n### What pondbay adds to a request\n");
     println!("Two entries, ten endpoints that answer at once, everything on one machine.\n");
-    let (running, endpoint) = start(&file(10, 0));
+    let (running, endpoint) = start(&installation_file(10, 0));
     let entries: Vec<String> = running.callers().iter().map(ToString::to_string).collect();
-    heading();
-    let through = |rate| Plan::new(Target::Entries(entries.clone()), SERVICE, rate, TIME);
+    print_heading();
+    let through = |rate| Plan::new(Target::Entries(entries.clone()), SERVICE, rate, RUN_TIME);
     measure("warming up", &through(1000.0));
     for rate in [500.0, 2000.0, 5000.0] {
-        let direct = Plan::new(Target::Endpoint(endpoint.clone()), SERVICE, rate, TIME);
+        let direct = Plan::new(Target::Endpoint(endpoint.clone()), SERVICE, rate, RUN_TIME);
         measure(&format!("direct, {rate:.0}/s"), &direct);
-        let before = cpu();
+        let before = cpu_seconds();
         let (_, report) = measure(&format!("pondbay, {rate:.0}/s"), &through(rate));
         if rate == 5000.0 {
-            tell_cpu(&before, report.answered);
+            print_cpu(&before, report.answered);
         }
     }
-    let once = through(1000.0).with_shares(0.0, 0.0);
-    measure("not repeatable, no key, 1000/s", &once);
+    let unkeyed = through(1000.0).with_shares(0.0, 0.0);
+    measure("not repeatable, no key, 1000/s", &unkeyed);
     let keyed = through(1000.0).with_shares(0.0, 1.0);
     measure("not repeatable, key, 1000/s", &keyed);
     running.stop();
 }
 
-fn tell_cpu(before: &BTreeMap<String, f64>, answered: usize) {
-    let after = cpu();
+fn print_cpu(before: &BTreeMap<String, f64>, answered: usize) {
+    let after = cpu_seconds();
     let spent = |name: &str| {
         let at = |times: &BTreeMap<String, f64>| times.get(name).copied().unwrap_or(0.0);
         at(&after) - at(before)
@@ -173,20 +176,20 @@
         rate(spent("callers") + spent("route")),
         rate(spent("serve"))
     );
-    heading();
+    print_heading();
 }
 
-fn overload() {
+fn measure_overload() {
     println!("\n### Overload\n");
     println!("Two endpoints of 8 slots that take 5 ms; deadline 1 s.\n");
-    let (running, _) = start(&file(2, 5000));
+    let (running, _) = start(&installation_file(2, 5000));
     let entries: Vec<String> = running.callers().iter().map(ToString::to_string).collect();
-    heading();
+    print_heading();
     let plan = |rate| {
-        Plan::new(Target::Entries(entries.clone()), SERVICE, rate, TIME).with_deadline_ms(1000)
+        Plan::new(Target::Entries(entries.clone()), SERVICE, rate, RUN_TIME).with_deadline_ms(1000)
     };
-    let (_, full) = measure("far beyond capacity", &plan(8000.0));
-    let capacity = full.answered_per_s;
+    let (_, saturated) = measure("far beyond capacity", &plan(8000.0));
+    let capacity = saturated.answered_per_s;
     for share in [0.7, 1.0, 3.0] {
         let name = format!("{:.0} % of {capacity:.0}/s", share * 100.0);
         measure(&name, &plan(capacity * share));
@@ -194,15 +197,15 @@
     running.stop();
 }
 
-fn checked() {
+fn measure_with_failures() {
     println!("\n### An endpoint process killed, one slowed, one drained in mid-run\n");
-    let (mut running, _) = start(&file(10, 2000));
+    let (mut running, _) = start(&installation_file(10, 2000));
     let entries: Vec<String> = running.callers().iter().map(ToString::to_string).collect();
-    heading();
+    print_heading();
     let plan = Plan::new(Target::Entries(entries), SERVICE, 2000.0, Duration::from_secs(12))
         .with_shares(0.5, 0.5)
         .with_deadline_ms(2000);
-    let load = std::thread::spawn(move || run(&plan).expect("runs"));
+    let load = std::thread::spawn(move || run(&plan).expect("the load runs"));
     std::thread::sleep(Duration::from_secs(3));
     running.kill_process("endpoint-vm-1");
     std::thread::sleep(Duration::from_secs(2));
@@ -215,23 +218,26 @@
         }
     });
     std::thread::sleep(Duration::from_secs(2));
-    running.restart_process("endpoint-vm-1").expect("starts again");
-    let tallies = load.join().expect("ends");
-    let report = Report::new("2000/s, half repeatable", &tallies, Duration::from_secs(12));
+    running.restart_process("endpoint-vm-1").expect("the process restarts");
+    let samples = load.join().expect("the load thread ends");
+    let report = Report::new("2000/s, half repeatable", &samples, Duration::from_secs(12));
     println!("| {} |", report.row().join(" | "));
-    let record = serde_json::to_string(&running.record().all()).expect("a record");
-    let broken = check(&tallies, &record).expect("the record fits");
-    let lost = tallies.iter().filter(|tally| tally.ended == Ended::Lost).count();
+    let record = serde_json::to_string(&running.record().all()).expect("the record serializes");
+    let violations = check(&samples, &record).expect("the record parses");
+    let lost = samples.iter().filter(|sample| sample.outcome == Outcome::Lost).count();
     println!(
         "\nAgainst the endpoints' record: {} wrong, {} doubly run, {} run though told not run, {} \
          answered though not run, {lost} without an answer.",
-        broken.wrong, broken.doubly_run, broken.not_run_but_ran, broken.answered_but_not_run
+        violations.wrong,
+        violations.doubly_run,
+        violations.not_run_but_ran,
+        violations.answered_but_not_run
     );
     running.stop();
 }
 
 fn main() {
-    added();
-    overload();
-    checked();
+    measure_overhead();
+    measure_overload();
+    measure_with_failures();
 }
--- a/crates/pond-local/src/installation.rs
+++ b/crates/pond-local/src/installation.rs
@@ -1,4 +1,4 @@
-//! A running local installation.
+//! A running local installation with all its processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use pond_settings::{Installation as File, Process as Settings, Role};
 use pond_standin::{Host, LaggingList, Record};
 
-use crate::folder::Folder;
+use crate::folder::DataFolder;
 use crate::plan::{Options, Plan};
 use crate::standins::Standins;
 
@@ -20,16 +20,16 @@
     endpoints: BTreeMap<String, pond_endpoint::Process>,
     standins: Standins,
     log: Logger,
-    _folder: Folder,
+    _folder: DataFolder,
 }
 
 impl Installation {
-    /// Starts everything; units are not created yet.
+    /// Starts the stand-ins and all processes. Creates no units.
     ///
     /// # Errors
-    /// See [`Error`].
+    /// [`Error`] of the folder, stand-in or process that failed to start.
     pub fn start(file: &File, options: &Options, log: Logger) -> Result<Installation, Error> {
-        let folder = Folder::new(options.data_folder.as_deref())?;
+        let folder = DataFolder::new(options.data_folder.as_deref())?;
         let plan = Plan::new(file, options, folder.path())?;
         let standins = Standins::start(&plan, file.list_lag_ms, file.usage_lag_ms)?;
         let mut installation = Installation {
@@ -64,47 +64,47 @@
         Ok(())
     }
 
-    /// The plan that it runs by.
+    /// Returns the plan of the installation.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Where callers connect.
+    /// Returns the addresses for callers, one per entry.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.values().map(pond_entry::Process::address).collect()
     }
 
-    /// Where operators connect.
+    /// Returns the addresses for operators, one per control replica.
     pub fn operators(&self) -> Vec<SocketAddr> {
         self.plan.control[0].replicas.iter().map(|replica| replica.operator).collect()
     }
 
-    /// Where the record of runs can be read.
+    /// Returns the address that serves the record of runs.
     pub fn record_address(&self) -> SocketAddr {
         self.standins.record_address
     }
 
-    /// What endpoints ran.
+    /// Returns the record of what endpoints ran.
     pub fn record(&self) -> &Record {
         &self.standins.record
     }
 
-    /// The platform's list.
+    /// Returns the platform's VM list.
     pub fn list(&self) -> &LaggingList {
         &self.standins.list
     }
 
-    /// The worker of a VM.
+    /// Returns the worker of a VM.
     pub fn host(&self, vm: &str) -> Option<&Host> {
         self.standins.hosts.get(vm)
     }
 
-    /// The workers by VM name.
+    /// Returns the workers by VM name.
     pub fn hosts(&self) -> &BTreeMap<String, Host> {
         &self.standins.hosts
     }
 
-    /// Stops one process as planned; false if there is none of that name.
+    /// Stops a process in an orderly way. Returns false if no process of that name is running.
     pub fn stop_process(&mut self, name: &str) -> bool {
         if let Some(process) = self.control.remove(name) {
             process.stop();
@@ -118,7 +118,8 @@
         true
     }
 
-    /// Ends one process at once, as if it had been killed; false if that cannot be done.
+    /// Ends a control or endpoint process at once, as if it had been killed. Returns false if no such
+    /// process of that name is running.
     pub fn kill_process(&mut self, name: &str) -> bool {
         if let Some(process) = self.endpoints.remove(name) {
             process.kill();
@@ -131,10 +132,10 @@
         false
     }
 
-    /// Starts a stopped process again with the same settings.
+    /// Restarts a stopped process with the same settings. An unknown name has no effect.
     ///
     /// # Errors
-    /// See [`Error`].
+    /// [`Error`] if the process fails to start.
     pub fn restart_process(&mut self, name: &str) -> Result<(), Error> {
         let plan = self.plan.clone();
         let all = plan.control.iter().chain(&plan.endpoints).chain(&plan.entries);
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Stops as planned: entries first, so that no request is cut off, then the rest.
+    /// Stops in an orderly way: entries first, so that no request is cut off, then the rest.
     pub fn stop(self) {
         for entry in self.entries.into_values() {
             entry.stop();
--- a/crates/pond-local/src/lib.rs
+++ b/crates/pond-local/src/lib.rs
@@ -1,7 +1,7 @@
-//! A whole small installation in one process, on loopback.
+//! A small but complete installation in one process, on loopback.
 //!
-//! Each role runs on its own threads with real sockets between them, as it would as a process of
-//! its own. What the platform gives is played by the stand-ins.
+//! Each role runs on its own threads and communicates over real sockets, as separate processes
+//! would. Stand-ins replace the platform.
 
 mod folder;
 mod installation;
--- a/crates/pond-local/src/plan.rs
+++ b/crates/pond-local/src/plan.rs
@@ -1,4 +1,4 @@
-//! Who listens where, and the settings of each process.
+//! Listen addresses and settings of all processes.
 
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -11,14 +11,14 @@
     VmGroup,
 };
 
-/// What a user may choose for a local installation.
+/// User options of a local installation.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The data folder; a temporary one if none is given.
+    /// Data folder; `None` for a temporary one.
     pub data_folder: Option<PathBuf>,
-    /// How the processes log.
+    /// Log settings of all processes.
     pub log: Log,
-    /// The first port for operators; callers' ports start ten higher. Free ports if none is given.
+    /// First port for operators; the ports for callers start ten higher. `None` for any free ports.
     pub first_port: Option<u16>,
 }
 
@@ -31,22 +31,22 @@
     pub entries: Vec<Process>,
     /// Endpoint processes, one for each VM.
     pub endpoints: Vec<Process>,
-    /// The VMs as the platform will list them.
+    /// VMs as listed by the platform.
     pub vms: Vec<Vm>,
-    /// Where the platform's list is.
+    /// Address of the platform's VM list.
     pub list: SocketAddr,
 }
 
-/// How far callers' ports are above operators' ports.
-const CALLERS_ABOVE: u16 = 10;
+/// Offset of the ports for callers from the ports for operators.
+const CALLER_PORT_OFFSET: u16 = 10;
 
-/// The first port that is tried on an installation's own address.
-const FIRST_OWN_PORT: u16 = 10_000;
+/// First port tried on the installation's own loopback address.
+const FIRST_FREE_PORT: u16 = 10_000;
 
-/// Hands out addresses, each once.
+/// Allocates listen addresses, each at most once.
 ///
-/// Each installation has a loopback address of its own, so that its ports are not taken by
-/// another one that starts at the same time.
+/// Each installation uses a random loopback address of its own, so that installations that start
+/// at the same time do not compete for ports.
 #[derive(Debug)]
 struct Ports {
     host: Ipv4Addr,
@@ -57,10 +57,10 @@
     fn new() -> Ports {
         let [a, b, c, _] = rand::random::<[u8; 4]>();
         let host = Ipv4Addr::new(127, a.clamp(1, 254), b, c.clamp(1, 254));
-        Ports { host, next: FIRST_OWN_PORT }
+        Ports { host, next: FIRST_FREE_PORT }
     }
 
-    /// The next address that is free now.
+    /// Returns the next free address.
     fn free(&mut self) -> Result<SocketAddr, Error> {
         loop {
             let address = SocketAddr::from((self.host, self.next));
@@ -75,8 +75,8 @@
         }
     }
 
-    /// An address that users see: a chosen port, or a free one.
-    fn shown(&mut self, port: Option<u16>) -> Result<SocketAddr, Error> {
+    /// Returns an address for users: the chosen port on 127.0.0.1, or a free address.
+    fn user_facing(&mut self, port: Option<u16>) -> Result<SocketAddr, Error> {
         match port {
             None => self.free(),
             Some(port) => Ok(([127, 0, 0, 1], port).into()),
@@ -85,23 +85,23 @@
 }
 
 impl Plan {
-    /// Plans an installation whose durable files are under `folder`.
+    /// Plans an installation that keeps its durable files under `folder`.
     ///
     /// # Errors
-    /// [`Error::Listen`] if there are no free ports.
+    /// [`Error::Listen`] if no port is free.
     pub fn new(
         installation: &Installation,
         options: &Options,
         folder: &Path,
     ) -> Result<Plan, Error> {
         let mut ports = Ports::new();
-        let port = |above: u16, i: u32| options.first_port.map(|first| first + above + i as u16);
-        let centre = |i: usize| {
-            let centres = &installation.data_centres;
-            centres[i % centres.len()].name.clone()
+        let port = |offset: u16, i: u32| options.first_port.map(|first| first + offset + i as u16);
+        let data_centre = |i: usize| {
+            let data_centres = &installation.data_centres;
+            data_centres[i % data_centres.len()].name.clone()
         };
         let entry_addresses: Vec<SocketAddr> = (0..installation.entries)
-            .map(|i| ports.shown(port(CALLERS_ABOVE, i)))
+            .map(|i| ports.user_facing(port(CALLER_PORT_OFFSET, i)))
             .collect::<Result<_, _>>()?;
         let replicas: Vec<Replica> = (0..installation.control)
             .map(|i| replica(&mut ports, i, port(0, i)))
@@ -125,11 +125,11 @@
                 lease: installation.lease,
                 operator_tokens: None,
             });
-            process(replica.name.clone(), centre(i), role)
+            process(replica.name.clone(), data_centre(i), role)
         });
         let entries = entry_addresses.iter().enumerate().map(|(i, address)| {
             let role = Role::Entry(Entry { callers: *address, default_deadline_ms: 10_000 });
-            process(format!("entry-{}", i + 1), centre(i), role)
+            process(format!("entry-{}", i + 1), data_centre(i), role)
         });
         let vms = plan_vms(installation, &mut ports)?;
         let endpoints = vms.iter().map(|vm| {
@@ -150,7 +150,7 @@
 
 fn replica(ports: &mut Ports, i: u32, port: Option<u16>) -> Result<Replica, Error> {
     let name = format!("control-{}", i + 1);
-    Ok(Replica { name, internal: ports.free()?, operator: ports.shown(port)? })
+    Ok(Replica { name, internal: ports.free()?, operator: ports.user_facing(port)? })
 }
 
 fn plan_vms(installation: &Installation, ports: &mut Ports) -> Result<Vec<Vm>, Error> {
@@ -163,7 +163,8 @@
     Ok(vms)
 }
 
-/// One VM. Racks are filled one after the other; the racks go round the data centres.
+/// Plans the VM with index `i` of a group. Racks are filled one after another and assigned to the
+/// data centres round-robin.
 fn plan_vm(
     installation: &Installation,
     group: &VmGroup,
@@ -171,10 +172,10 @@
     ports: &mut Ports,
 ) -> Result<Vm, Error> {
     let rack = i / group.per_rack;
-    let centres = &installation.data_centres;
-    let centre = &centres[rack as usize % centres.len()].name;
+    let data_centres = &installation.data_centres;
+    let data_centre = &data_centres[rack as usize % data_centres.len()].name;
     let mut labels: Labels = group.labels.clone();
-    labels.insert(Vm::DATA_CENTRE.to_owned(), centre.clone());
+    labels.insert(Vm::DATA_CENTRE.to_owned(), data_centre.clone());
     labels.insert(Vm::RACK.to_owned(), format!("{}-rack-{}", group.name, rack + 1));
     Ok(Vm {
         name: format!("{}-{}", group.name, i + 1),
--- a/crates/pond-local/src/record.rs
+++ b/crates/pond-local/src/record.rs
@@ -1,4 +1,4 @@
-//! Serves the record of what endpoints ran, so that a load tool can compare.
+//! Serves the record of what endpoints ran, for verification by a load tool.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -6,21 +6,22 @@
 use pond_http::{Call, Handler, Method, Reply, StatusCode};
 use pond_standin::Record;
 
-/// Answers `GET /v1/record` with the counts of runs by first line, and `DELETE` forgets them.
+/// Answers `GET /v1/record` with the run counts by first line of the request body, and `DELETE`
+/// by clearing them.
 #[derive(Debug)]
 pub struct RecordServer {
     record: Record,
 }
 
 impl RecordServer {
-    /// Serves a record.
+    /// Creates a server of a record.
     pub fn new(record: Record) -> RecordServer {
         RecordServer { record }
     }
 
     fn answer(&self, call: &Call) -> Reply {
         if call.path != "/v1/record" {
-            return Reply::new(StatusCode::NOT_FOUND, "only /v1/record is here\n");
+            return Reply::new(StatusCode::NOT_FOUND, "not found; the only path is /v1/record\n");
         }
         if call.method == Method::DELETE {
             self.record.clear();
--- a/crates/pond-local/src/standins.rs
+++ b/crates/pond-local/src/standins.rs
@@ -1,4 +1,4 @@
-//! The thread of the platform's stand-ins.
+//! Stand-ins for the platform, on a thread of their own.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -15,23 +15,23 @@
 
 /// The running stand-ins.
 pub struct Standins {
-    /// The platform's list.
+    /// The platform's VM list.
     pub list: LaggingList,
     /// The workers by VM name.
     pub hosts: BTreeMap<String, Host>,
-    /// What endpoints ran.
+    /// Record of what endpoints ran.
     pub record: Record,
-    /// Where the record can be read.
+    /// Address that serves the record.
     pub record_address: std::net::SocketAddr,
     stop: Stop,
     threads: Threads,
 }
 
 impl Standins {
-    /// Starts the list, the workers and the record.
+    /// Starts the servers of the list, the workers and the record.
     ///
     /// # Errors
-    /// If an address is taken or a thread cannot be started.
+    /// [`Error`] if an address is in use or a thread cannot be started.
     pub fn start(plan: &Plan, list_lag_ms: u64, usage_lag_ms: u64) -> Result<Standins, Error> {
         let stop = Stop::new();
         let record = Record::new();
@@ -56,7 +56,7 @@
         Ok(Standins { list, hosts, record, record_address, stop, threads })
     }
 
-    /// Ends them all.
+    /// Stops all stand-ins.
     pub fn stop(self) {
         self.stop.stop();
         self.threads.abort();
@@ -75,16 +75,16 @@
     record: Record,
     stop: Stop,
 ) {
-    let take = tokio::net::TcpListener::from_std;
+    let from_std = tokio::net::TcpListener::from_std;
     for (listener, host) in workers {
-        let Ok(listener) = take(listener) else { return };
+        let Ok(listener) = from_std(listener) else { return };
         tokio::spawn(WorkerServer::run(listener, host, stop.clone()));
     }
-    if let Ok(listener) = take(record_listener) {
+    if let Ok(listener) = from_std(record_listener) {
         let server = Arc::new(RecordServer::new(record));
         tokio::spawn(serve(listener, pond_http::Limits::default(), stop.clone(), server));
     }
-    if let Ok(listener) = take(list_listener) {
+    if let Ok(listener) = from_std(list_listener) {
         tokio::spawn(ListServer::run(listener, list, stop.clone()));
     }
     stop.wait().await;
