--- a/crates/pond-command/src/client/mod.rs
+++ b/crates/pond-command/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Asks control replicas over HTTP.
+//! HTTP client of the control replicas.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +10,20 @@
 
 use crate::{Call, Error};
 
-/// Where control is looked for if nothing says otherwise.
+/// Default operator address of control.
 const DEFAULT_CONTROL: &str = "127.0.0.1:7400";
 
-/// How long one replica may take to answer.
-const PATIENCE: Duration = Duration::from_secs(12);
+/// Timeout of a request to one replica.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How long a leader is looked for.
-const SEARCH: Duration = Duration::from_secs(10);
+/// Maximum time to search for a leader.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Wait between rounds of the search.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between rounds of the search.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A client of the operators' API. It finds the leader and resends an order whose answer was lost
-/// under the same identity.
+/// A client of the operators' API. It finds the leader, and resends an order whose answer was lost
+/// with the same request identity.
 #[derive(Debug)]
 pub struct Client {
     runtime: Runtime,
@@ -32,7 +32,7 @@
     token: Option<String>,
 }
 
-/// The body of an error.
+/// Body of an error reply.
 #[derive(Deserialize)]
 struct Problem {
     #[serde(default)]
@@ -41,10 +41,10 @@
 }
 
 impl Client {
-    /// A client for these operator addresses.
+    /// Creates a client for the given operator addresses.
     ///
     /// # Errors
-    /// If the system gives no runtime.
+    /// [`Error::Process`] if the runtime cannot be created.
     pub fn new(addresses: Vec<String>, token: Option<String>) -> Result<Client, Error> {
         let runtime = Builder::new_current_thread()
             .enable_all()
@@ -53,7 +53,7 @@
         Ok(Client { runtime, http: HttpClient::new(), addresses, token })
     }
 
-    /// A client as the flags and the environment say.
+    /// Creates a client from the flags and the environment.
     ///
     /// # Errors
     /// As [`Client::new`].
@@ -66,44 +66,45 @@
         Client::new(addresses, call.value("token").map(str::to_owned).or(environment))
     }
 
-    /// Gets something.
+    /// Sends a `GET` request.
     ///
     /// # Errors
-    /// [`Error::Refused`] or [`Error::NoControl`].
+    /// [`Error::Refused`] or [`Error::ControlUnreachable`].
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        self.ask(Method::GET, path, Vec::new())
+        self.request(Method::GET, path, Vec::new())
     }
 
-    /// Gives an order.
+    /// Sends an order as a `POST` request.
     ///
     /// # Errors
-    /// [`Error::Refused`] or [`Error::NoControl`].
+    /// [`Error::Refused`] or [`Error::ControlUnreachable`].
     pub fn post<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Error> {
-        self.ask(Method::POST, path, serde_json::to_vec(body).unwrap_or_default())
+        self.request(Method::POST, path, serde_json::to_vec(body).unwrap_or_default())
     }
 
-    fn ask<T: DeserializeOwned>(
+    fn request<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<T, Error> {
-        let reply = self.runtime.block_on(self.search(&method, path, &body))?;
+        let reply = self.runtime.block_on(self.find_leader(&method, path, &body))?;
         if !reply.status.is_success() {
-            return Err(refused(&reply));
+            return Err(refusal(&reply));
         }
-        serde_json::from_slice(&reply.body)
-            .map_err(|error| Error::NoControl { what: format!("the answer was no JSON: {error}") })
+        serde_json::from_slice(&reply.body).map_err(|error| Error::ControlUnreachable {
+            reason: format!("the answer is not valid JSON: {error}"),
+        })
     }
 
-    /// Asks replica after replica until one that leads answers.
-    async fn search(&self, method: &Method, path: &str, body: &[u8]) -> Result<Reply, Error> {
-        let begun = Instant::now();
-        let mut last = String::from("no address");
+    /// Sends the request to one replica after another until the leader answers.
+    async fn find_leader(&self, method: &Method, path: &str, body: &[u8]) -> Result<Reply, Error> {
+        let started = Instant::now();
+        let mut last = String::from("no address given");
         loop {
             for address in &self.addresses {
                 let mut hint: Option<String> = None;
-                match self.once(address, method, path, body).await {
+                match self.send(address, method, path, body).await {
                     Ok(reply) if reply.status == StatusCode::SERVICE_UNAVAILABLE => {
                         last = String::from_utf8_lossy(&reply.body).into_owned();
                         hint = reply.header("pondbay-leader").map(str::to_owned);
@@ -112,20 +113,20 @@
                     Err(error) => last = error.to_string(),
                 }
                 if let Some(leader) = &hint
-                    && let Ok(reply) = self.once(leader, method, path, body).await
+                    && let Ok(reply) = self.send(leader, method, path, body).await
                     && reply.status != StatusCode::SERVICE_UNAVAILABLE
                 {
                     return Ok(reply);
                 }
             }
-            if begun.elapsed() >= SEARCH {
-                return Err(Error::NoControl { what: last });
+            if started.elapsed() >= SEARCH_TIMEOUT {
+                return Err(Error::ControlUnreachable { reason: last });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(SEARCH_INTERVAL).await;
         }
     }
 
-    async fn once(
+    async fn send(
         &self,
         address: &str,
         method: &Method,
@@ -139,11 +140,11 @@
         if let Some(Ok(value)) = token.map(|token| HeaderValue::from_str(&token)) {
             call.headers.insert("authorization", value);
         }
-        self.http.call(address, call, PATIENCE).await
+        self.http.call(address, call, REQUEST_TIMEOUT).await
     }
 }
 
-fn refused(reply: &Reply) -> Error {
+fn refusal(reply: &Reply) -> Error {
     let status = reply.status.as_u16();
     match serde_json::from_slice::<Problem>(&reply.body) {
         Ok(problem) => Error::Refused {
@@ -159,10 +160,11 @@
     }
 }
 
-/// Who orders, under which identity, based on what.
+/// Returns the origin of an order from the flags: who sends it, its request identity, and the version
+/// it is based on.
 ///
 /// # Errors
-/// If the flags are wrong.
+/// [`Error::Usage`] if the flags are invalid.
 pub fn origin(call: &Call) -> Result<Origin, Error> {
     let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
     let who = call.value("who").map(str::to_owned).or_else(user);
--- a/crates/pond-command/src/command/apply.rs
+++ b/crates/pond-command/src/command/apply.rs
@@ -6,9 +6,9 @@
 use pond_settings::{File, load};
 
 use crate::client::origin;
-use crate::{Call, Client, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
-/// Creates units.
+/// Creates or replaces units.
 pub struct Apply;
 
 impl Command for Apply {
@@ -21,33 +21,37 @@
     }
 
     fn description(&self) -> &'static str {
-        "Creates the units of a file, or replaces those of the same names. Nothing of a bad file \
-         is applied."
+        "Creates the units of a file, or replaces units with the same names. An invalid file is \
+         rejected as a whole."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![Example::with_control("apply examples/units/nightly.yaml", "Create units", "applied")]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let name = &call.arguments[0];
         let units = match load(Path::new(name))? {
             File::Units(units) => units,
             File::Installation(file) => file.units,
-            File::Process(_) => return Err(call.usage(format!("{name} holds no units"))),
+            File::Process(_) => return Err(call.usage_error(format!("{name} contains no units"))),
         };
         let order = ApplyOrder { origin: origin(call)?, units };
         let accepted = Client::from_call(call)?.post("/v1/units", &order)?;
-        accepted_line(call, &accepted, out)
+        print_accepted(call, &accepted, out)
     }
 }
 
-/// Prints what an order led to.
-pub fn accepted_line(call: &Call, accepted: &Accepted, out: &mut Out<'_>) -> Result<Exit, Error> {
+/// Prints the result of an accepted order.
+pub fn print_accepted(
+    call: &Call,
+    accepted: &Accepted,
+    out: &mut Output<'_>,
+) -> Result<Exit, Error> {
     if call.switch("json") {
         out.json(accepted)?;
     } else {
         out.line(format!("{} (version {})", accepted.what, accepted.version))?;
     }
-    Ok(Exit::WELL)
+    Ok(Exit::SUCCESS)
 }
--- a/crates/pond-command/src/command/check.rs
+++ b/crates/pond-command/src/command/check.rs
@@ -4,9 +4,9 @@
 
 use pond_settings::{File, load};
 
-use crate::{Call, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Command, Error, Example, Exit, Output, Signature};
 
-/// Checks a file.
+/// Validates a file.
 pub struct Check;
 
 impl Command for Check {
@@ -19,28 +19,28 @@
     }
 
     fn description(&self) -> &'static str {
-        "Checks a settings, unit or installation file and reports everything that is wrong with \
-         it, each with line, column and what to write instead. Exit status 2 if anything is."
+        "Validates a settings, unit or installation file and reports all errors, each with line, \
+         column and a suggested correction. Exit status 2 if the file is invalid."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![Example::new(
             "check examples/ledgerline.yaml",
-            "Check an installation",
+            "Validate an installation file",
             "installation ledgerline",
         )]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let name = &call.arguments[0];
-        let what = match load(Path::new(name))? {
+        let summary = match load(Path::new(name))? {
             File::Process(process) => format!("settings of {}", process.name),
             File::Installation(file) => {
                 format!("installation {} with {} units", file.name, file.units.len())
             }
             File::Units(units) => format!("{} units", units.len()),
         };
-        out.line(format!("{name}: {what}: well"))?;
-        Ok(Exit::WELL)
+        out.line(format!("{name}: {summary}: valid"))?;
+        Ok(Exit::SUCCESS)
     }
 }
--- a/crates/pond-command/src/command/describe.rs
+++ b/crates/pond-command/src/command/describe.rs
@@ -4,9 +4,9 @@
 use pond_proto::operator::{ResumeRow, UnitShown};
 
 use super::get::tasks;
-use crate::{Call, Client, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
-/// Shows one unit.
+/// Shows the description of a unit.
 pub struct Describe;
 
 impl Command for Describe {
@@ -19,26 +19,26 @@
     }
 
     fn description(&self) -> &'static str {
-        "Shows a unit as it was described, with its tasks."
+        "Shows the specification of a unit and its tasks."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![Example::with_control("describe counter-query", "Show a service", "selector:")]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let path = format!("/v1/units/{}", call.arguments[0]);
         let shown: UnitShown = Client::from_call(call)?.get(&path)?;
         if call.switch("json") {
-            return out.json(&shown).map(|()| Exit::WELL);
+            return out.json(&shown).map(|()| Exit::SUCCESS);
         }
-        lines(&shown).iter().try_for_each(|line| out.line(line))?;
+        unit_lines(&shown).iter().try_for_each(|line| out.line(line))?;
         tasks(&shown.tasks).lines().iter().try_for_each(|line| out.line(line))?;
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
 
-fn lines(shown: &UnitShown) -> Vec<String> {
+fn unit_lines(shown: &UnitShown) -> Vec<String> {
     let unit = &shown.unit;
     let labels: Vec<String> =
         unit.labels.iter().map(|(key, value)| format!("{key}={value}")).collect();
--- a/crates/pond-command/src/command/explain.rs
+++ b/crates/pond-command/src/command/explain.rs
@@ -2,9 +2,9 @@
 
 use pond_proto::operator::{DecisionRow, UnitShown};
 
-use crate::{Call, Client, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
-/// Explains why a unit runs where it runs, or why it can run nowhere.
+/// Explains the placement of a unit, or why no VM can run it.
 pub struct Explain;
 
 impl Command for Explain {
@@ -17,53 +17,61 @@
     }
 
     fn description(&self) -> &'static str {
-        "Explains why a unit runs where it runs, or why it can run nowhere, from the records of \
-         the decisions on it."
+        "Explains the placement of a unit, or why no VM can run it, from the recorded scheduling \
+         decisions."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![
-            Example::with_control("explain counter-query", "Why does it run there?", "next best"),
-            Example::with_control("explain too-large", "Why can it run nowhere?", "none has"),
+            Example::with_control(
+                "explain counter-query",
+                "Explain the placement of a service",
+                "next best",
+            ),
+            Example::with_control(
+                "explain too-large",
+                "Explain why a unit cannot be placed",
+                "none has",
+            ),
         ]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let path = format!("/v1/units/{}", call.arguments[0]);
         let shown: UnitShown = Client::from_call(call)?.get(&path)?;
         if call.switch("json") {
-            return out.json(&shown.decisions).map(|()| Exit::WELL);
+            return out.json(&shown.decisions).map(|()| Exit::SUCCESS);
         }
         out.line(summary(&shown))?;
         for decision in &shown.decisions {
-            out.line(line(decision))?;
+            out.line(decision_line(decision))?;
             if let Some(next) = &decision.next_best {
                 out.line(format!("      next best: {next}"))?;
             }
         }
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
 
 fn summary(shown: &UnitShown) -> String {
     let name = &shown.row.name;
-    let places: Vec<String> =
+    let placements: Vec<String> =
         shown.tasks.iter().map(|task| format!("{} ({})", task.vm, task.phase)).collect();
-    match (shown.row.standing.as_str(), places.is_empty()) {
-        (standing, false) => format!("{name} is {standing}: {}", places.join(", ")),
-        (standing, true) => format!("{name} is {standing} and runs nowhere now"),
+    match (shown.row.standing.as_str(), placements.is_empty()) {
+        (standing, false) => format!("{name} is {standing}: {}", placements.join(", ")),
+        (standing, true) => format!("{name} is {standing} and has no running task"),
     }
 }
 
-fn line(decision: &DecisionRow) -> String {
-    let time = clock(decision.at.0);
+fn decision_line(decision: &DecisionRow) -> String {
+    let time = time_of_day(decision.at.0);
     let vm = decision.vm.as_ref().map_or(String::new(), |vm| format!(" on {vm}"));
     let task = decision.task.as_ref().map_or(String::new(), |task| format!(" {task}"));
     format!("  {time} {}{task}{vm}: {}", decision.action, decision.why)
 }
 
-/// Hours, minutes, seconds and milliseconds of the day, in UTC.
-pub fn clock(ms: u64) -> String {
+/// Formats a Unix time in milliseconds as the UTC time of day, with milliseconds.
+pub fn time_of_day(ms: u64) -> String {
     let seconds = ms / 1000;
     let (hours, minutes) = (seconds / 3600 % 24, seconds / 60 % 60);
     format!("{hours:02}:{minutes:02}:{:02}.{:03}Z", seconds % 60, ms % 1000)
--- a/crates/pond-command/src/command/get.rs
+++ b/crates/pond-command/src/command/get.rs
@@ -3,7 +3,7 @@
 use pond_proto::operator::{EvacuationRow, TaskRow, UnitRow, VmRow};
 
 use crate::table::Table;
-use crate::{Call, Client, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
 /// Lists units, tasks, VMs or evacuated data centres.
 pub struct Get;
@@ -25,45 +25,45 @@
         vec![
             Example::with_control("get units", "List units", "standing"),
             Example::with_control("get vms", "List VMs", "data-centre="),
-            Example::with_control("get tasks --json", "List tasks for a program", "["),
+            Example::with_control("get tasks --json", "List tasks as JSON", "["),
         ]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let client = Client::from_call(call)?;
         let table = match call.arguments[0].as_str() {
             "units" => {
                 let rows: Vec<UnitRow> = client.get("/v1/units")?;
                 if call.switch("json") {
-                    return out.json(&rows).map(|()| Exit::WELL);
+                    return out.json(&rows).map(|()| Exit::SUCCESS);
                 }
                 units(&rows)
             }
             "tasks" => {
                 let rows: Vec<TaskRow> = client.get("/v1/tasks")?;
                 if call.switch("json") {
-                    return out.json(&rows).map(|()| Exit::WELL);
+                    return out.json(&rows).map(|()| Exit::SUCCESS);
                 }
                 tasks(&rows)
             }
             "vms" => {
                 let rows: Vec<VmRow> = client.get("/v1/vms")?;
                 if call.switch("json") {
-                    return out.json(&rows).map(|()| Exit::WELL);
+                    return out.json(&rows).map(|()| Exit::SUCCESS);
                 }
                 vms(&rows)
             }
             "evacuations" => {
                 let rows: Vec<EvacuationRow> = client.get("/v1/evacuations")?;
                 if call.switch("json") {
-                    return out.json(&rows).map(|()| Exit::WELL);
+                    return out.json(&rows).map(|()| Exit::SUCCESS);
                 }
                 evacuations(&rows)
             }
-            other => return Err(call.usage(format!("there is no list of '{other}'"))),
+            other => return Err(call.usage_error(format!("cannot list '{other}'"))),
         };
         table.lines().iter().try_for_each(|line| out.line(line))?;
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
 
@@ -84,7 +84,7 @@
     table
 }
 
-/// A table of tasks.
+/// Formats tasks as a table.
 pub fn tasks(rows: &[TaskRow]) -> Table {
     let mut table = Table::new(&["task", "unit", "replica", "attempt", "vm", "phase", "resumed"]);
     for row in rows {
--- a/crates/pond-command/src/command/help.rs
+++ b/crates/pond-command/src/command/help.rs
@@ -1,9 +1,9 @@
 //! `pondbay help`.
 
 use crate::table::Table;
-use crate::{Call, Command, Error, Example, Exit, Out, Signature, all, find};
+use crate::{Call, Command, Error, Example, Exit, Output, Signature, all, find};
 
-/// Prints the commands, or one of them.
+/// Prints the help of all commands or of one.
 pub struct Help;
 
 impl Command for Help {
@@ -16,23 +16,23 @@
     }
 
     fn description(&self) -> &'static str {
-        "Prints all commands, or one with its flags and examples."
+        "Lists all commands, or prints the flags and examples of one command."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![
-            Example::new("help", "Show all commands", "explain"),
-            Example::new("help apply", "Show one command", "pondbay apply"),
+            Example::new("help", "List all commands", "explain"),
+            Example::new("help apply", "Show the help of a command", "pondbay apply"),
         ]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         if let Some(name) = call.arguments.first() {
             let command = find(name);
-            let missing = || call.usage(format!("there is no command '{name}'"));
-            return one(command.ok_or_else(missing)?, out);
+            let unknown = || call.usage_error(format!("unknown command '{name}'"));
+            return print_help(command.ok_or_else(unknown)?, out);
         }
-        out.line("pondbay keeps many small services fast while batch work fills the same VMs.\n")?;
+        out.line("pondbay runs many small low-latency services together with batch work on the same VMs.\n")?;
         let mut table = Table::new(&["command", ""]);
         for command in all() {
             let name = format!("{} {}", command.name(), command.signature().arguments);
@@ -40,18 +40,18 @@
         }
         table.lines().into_iter().skip(1).try_for_each(|line| out.line(line))?;
         out.line("\nsee `pondbay help COMMAND` for flags and examples")?;
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
 
 /// Prints the help of one command.
-pub fn one(command: &dyn Command, out: &mut Out<'_>) -> Result<Exit, Error> {
-    page(command).into_iter().try_for_each(|line| out.line(line))?;
-    Ok(Exit::WELL)
+pub fn print_help(command: &dyn Command, out: &mut Output<'_>) -> Result<Exit, Error> {
+    help_lines(command).into_iter().try_for_each(|line| out.line(line))?;
+    Ok(Exit::SUCCESS)
 }
 
-/// The lines of a command's help.
-pub fn page(command: &dyn Command) -> Vec<String> {
+/// Returns the lines of a command's help.
+pub fn help_lines(command: &dyn Command) -> Vec<String> {
     let signature = command.signature();
     let flags = if signature.flags.is_empty() { "" } else { " [FLAGS]" };
     let name = format!("pondbay {} {}", command.name(), signature.arguments);
@@ -61,14 +61,14 @@
         lines.push("\nFlags:".to_owned());
         let mut table = Table::new(&["", "", ""]);
         for flag in &signature.flags {
-            let name = format!("  --{} {}", flag.name, flag.value.unwrap_or(""));
-            table.row(vec![name.trim_end().to_owned(), flag.text.to_owned()]);
+            let name = format!("  --{} {}", flag.name, flag.value_name.unwrap_or(""));
+            table.row(vec![name.trim_end().to_owned(), flag.description.to_owned()]);
         }
         lines.extend(table.lines().into_iter().skip(1));
     }
     lines.push("\nExamples:".to_owned());
     for example in command.examples() {
-        lines.push(format!("  pondbay {}\n      {}", example.line, example.text));
+        lines.push(format!("  pondbay {}\n      {}", example.command_line, example.description));
     }
     lines
 }
--- a/crates/pond-command/src/command/label.rs
+++ b/crates/pond-command/src/command/label.rs
@@ -3,9 +3,9 @@
 use pond_proto::operator::LabelOrder;
 use pond_proto::{Labels, Selector};
 
-use super::apply::accepted_line;
+use super::apply::print_accepted;
 use crate::client::origin;
-use crate::{Call, Client, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
 /// Sets and removes labels.
 pub struct Label;
@@ -33,26 +33,35 @@
         )]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let vms = match call.arguments[0].as_str() {
             "vms" => true,
             "units" => false,
-            other => return Err(call.usage(format!("'{other}' have no labels; use vms or units"))),
+            other => {
+                return Err(
+                    call.usage_error(format!("'{other}' cannot be labelled; use vms or units"))
+                );
+            }
         };
-        let selector = Selector::parse(&call.arguments[1]).map_err(|what| call.usage(what))?;
+        let selector =
+            Selector::parse(&call.arguments[1]).map_err(|reason| call.usage_error(reason))?;
         let mut set = Labels::new();
         let mut unset = Vec::new();
-        for word in &call.arguments[2..] {
-            match (word.split_once('='), word.strip_suffix('-')) {
+        for argument in &call.arguments[2..] {
+            match (argument.split_once('='), argument.strip_suffix('-')) {
                 (Some((key, value)), _) if !key.is_empty() && !value.is_empty() => {
                     set.insert(key.to_owned(), value.to_owned());
                 }
                 (None, Some(key)) if !key.is_empty() => unset.push(key.to_owned()),
-                _ => return Err(call.usage(format!("'{word}' is neither KEY=VALUE nor KEY-"))),
+                _ => {
+                    return Err(
+                        call.usage_error(format!("'{argument}' is neither KEY=VALUE nor KEY-"))
+                    );
+                }
             }
         }
         let order = LabelOrder { origin: origin(call)?, vms, selector, set, unset };
         let accepted = Client::from_call(call)?.post("/v1/labels", &order)?;
-        accepted_line(call, &accepted, out)
+        print_accepted(call, &accepted, out)
     }
 }
--- a/crates/pond-command/src/command/load.rs
+++ b/crates/pond-command/src/command/load.rs
@@ -3,20 +3,21 @@
 use std::time::{Duration, Instant};
 
 use pond_http::{Call as HttpCall, Client, Method};
-use pond_load::{Broken, Plan, Report, Tally, Target, check, run, svg};
+use pond_load::{Plan, Report, Sample, Target, Violations, check, run, svg};
 use serde::Serialize;
 
 use crate::table::Table;
-use crate::{Call, Command, Error, Example, Exit, Flag, Out, Signature};
+use crate::{Call, Command, Error, Example, Exit, Flag, Output, Signature};
 
-/// Puts load on services and checks every answer.
+/// Generates load on services and verifies every answer.
 pub struct Load;
 
-/// What is printed for programs.
+/// Output of `--json`.
 #[derive(Serialize)]
-struct Printed<'a> {
+struct JsonOutput<'a> {
     reports: &'a [Report],
-    broken: Option<Broken>,
+    #[serde(rename = "broken")]
+    violations: Option<Violations>,
 }
 
 impl Command for Load {
@@ -27,35 +28,53 @@
     fn signature(&self) -> Signature {
         Signature::new()
             .with_arguments("SERVICE ...", 1, 64)
-            .with_flag(Flag::value("entry", "ADDRESS", "entries, separated by commas"))
-            .with_flag(Flag::value("direct", "ADDRESS", "compare with this endpoint itself"))
-            .with_flag(Flag::value("record", "ADDRESS", "check against this record of runs"))
-            .with_flag(Flag::value("rate", "N", "requests a second (else 100)"))
-            .with_flag(Flag::value("seconds", "N", "for how long (else 10)"))
-            .with_flag(Flag::value("repeatable", "PERCENT", "repeatable ones (else 50)"))
-            .with_flag(Flag::value("keyed", "PERCENT", "of the others, with a key (else 50)"))
-            .with_flag(Flag::value("deadline", "MS", "deadline of each (else 10000)"))
-            .with_flag(Flag::value("svg", "FILE", "draw latencies into this file"))
-            .with_flag(Flag::switch("json", "print JSON for programs"))
+            .with_flag(Flag::value("entry", "ADDRESS", "entry addresses, separated by commas"))
+            .with_flag(Flag::value(
+                "direct",
+                "ADDRESS",
+                "compare with direct requests to this endpoint",
+            ))
+            .with_flag(Flag::value(
+                "record",
+                "ADDRESS",
+                "verify against the record of runs at this address",
+            ))
+            .with_flag(Flag::value("rate", "N", "requests per second (default 100)"))
+            .with_flag(Flag::value("seconds", "N", "duration in seconds (default 10)"))
+            .with_flag(Flag::value(
+                "repeatable",
+                "PERCENT",
+                "share of repeatable requests (default 50)",
+            ))
+            .with_flag(Flag::value(
+                "keyed",
+                "PERCENT",
+                "share of requests with an idempotency key among the others (default 50)",
+            ))
+            .with_flag(Flag::value("deadline", "MS", "deadline of each request (default 10000)"))
+            .with_flag(Flag::value("svg", "FILE", "write a latency plot to this file"))
+            .with_flag(Flag::switch("json", "print JSON"))
     }
 
     fn description(&self) -> &'static str {
-        "Puts an open-loop load on services through entries: arrivals at random times that wait \
-         for nobody, latency from the intended start. Checks that every answer is whole and to \
-         its own request, and, with --record, that nothing ran that was called not run and \
-         nothing ran twice that must not. Exit status 1 if a promise was broken."
+        "Generates open-loop load on services through entries: arrivals at random times do not \
+         wait for answers, and latency counts from the intended start. Verifies that every answer \
+         is complete and belongs to its request and, with --record, that no request ran that was \
+         reported as not run and no non-repeatable request ran twice. Exit status 1 if a \
+         guarantee was violated."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![Example::new(
             "help load",
-            "See the flags; `pondbay local` prints the addresses",
+            "Show the flags; `pondbay local` prints the addresses",
             "pondbay load",
         )]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
-        let entry = call.value("entry").ok_or_else(|| call.usage("--entry is missing"))?;
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
+        let entry =
+            call.value("entry").ok_or_else(|| call.usage_error("--entry ADDRESS is required"))?;
         let entries = entry.split(',').map(|address| address.trim().to_owned()).collect();
         let plan = plan(call, Target::Entries(entries))?;
         let mut reports = Vec::new();
@@ -63,19 +82,19 @@
             let plan = Plan { target: Target::Endpoint(address.to_owned()), ..plan.clone() };
             reports.push(measure("direct", &plan)?.1);
         }
-        let (tallies, report) = measure("pondbay", &plan)?;
+        let (samples, report) = measure("pondbay", &plan)?;
         reports.push(report);
-        let broken = match call.value("record") {
-            Some(address) => Some(compare(&tallies, address)?),
+        let violations = match call.value("record") {
+            Some(address) => Some(verify(&samples, address)?),
             None => None,
         };
         if let Some(file) = call.value("svg") {
             std::fs::write(file, svg("latency by quantile", &reports))?;
         }
-        print(call, &reports, broken, out)?;
+        print(call, &reports, violations, out)?;
         let wrong: usize = reports.iter().map(|report| report.wrong).sum();
-        let broken = broken.map_or(wrong, |broken| broken.sum().max(wrong));
-        Ok(if broken == 0 { Exit::WELL } else { Exit(1) })
+        let violations = violations.map_or(wrong, |violations| violations.sum().max(wrong));
+        Ok(if violations == 0 { Exit::SUCCESS } else { Exit(1) })
     }
 }
 
@@ -84,7 +103,7 @@
     let percent = |name| {
         let percent = number(name, 50)?;
         if percent > 100 {
-            return Err(call.usage(format!("--{name} is more than 100")));
+            return Err(call.usage_error(format!("--{name} must be at most 100")));
         }
         Ok(percent as f64 / 100.0)
     };
@@ -97,42 +116,48 @@
     Ok(plan)
 }
 
-fn measure(name: &str, plan: &Plan) -> Result<(Vec<Tally>, Report), Error> {
-    let begun = Instant::now();
-    let tallies = run(plan)?;
-    let report = Report::new(name, &tallies, begun.elapsed());
-    Ok((tallies, report))
+fn measure(name: &str, plan: &Plan) -> Result<(Vec<Sample>, Report), Error> {
+    let started = Instant::now();
+    let samples = run(plan)?;
+    let report = Report::new(name, &samples, started.elapsed());
+    Ok((samples, report))
 }
 
-/// Compares tallies with the record at an address.
-pub fn compare(tallies: &[Tally], address: &str) -> Result<Broken, Error> {
+/// Verifies samples against the record at an address.
+///
+/// # Errors
+/// [`Error::Record`] if the record cannot be read.
+pub fn verify(samples: &[Sample], address: &str) -> Result<Violations, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let call = HttpCall::new(Method::GET, "/v1/record", "");
     let client = Client::new().with_answer_bytes(1 << 30);
     let reply = runtime.block_on(client.call(address, call, Duration::from_secs(30)));
-    let failed = |what: String| Error::Record { address: address.to_owned(), what };
+    let failed = |reason: String| Error::Record { address: address.to_owned(), reason };
     let reply = reply.map_err(|error| failed(error.to_string()))?;
     let text = String::from_utf8_lossy(&reply.body);
-    check(tallies, &text).map_err(|error| failed(error.to_string()))
+    check(samples, &text).map_err(|error| failed(error.to_string()))
 }
 
 fn print(
     call: &Call,
     reports: &[Report],
-    broken: Option<Broken>,
-    out: &mut Out<'_>,
+    violations: Option<Violations>,
+    out: &mut Output<'_>,
 ) -> Result<(), Error> {
     if call.switch("json") {
-        return out.json(&Printed { reports, broken });
+        return out.json(&JsonOutput { reports, violations });
     }
     let mut table = Table::new(&Report::HEADINGS);
     reports.iter().for_each(|report| table.row(report.row()));
     table.lines().iter().try_for_each(|line| out.line(line))?;
-    if let Some(broken) = broken {
+    if let Some(violations) = violations {
         out.line(format!(
-            "checked against the record: {} wrong, {} doubly run, {} run though told not run, {} \
-             answered though not run",
-            broken.wrong, broken.doubly_run, broken.not_run_but_ran, broken.answered_but_not_run
+            "checked against the record: {} wrong, {} doubly run, {} run although reported not run, \
+             {} answered although not run",
+            violations.wrong,
+            violations.doubly_run,
+            violations.not_run_but_ran,
+            violations.answered_but_not_run
         ))?;
     }
     Ok(())
--- a/crates/pond-command/src/command/local.rs
+++ b/crates/pond-command/src/command/local.rs
@@ -6,16 +6,16 @@
 use pond_proto::operator::{Accepted, ApplyOrder, Origin};
 use pond_settings::{File, Installation as InstallationFile, Log, LogFormat, load};
 
-use crate::{Call, Client, Command, Error, Example, Exit, Flag, Out, Signature, interrupt};
+use crate::{Call, Client, Command, Error, Example, Exit, Flag, Output, Signature, interrupt};
 
-/// Runs a whole small installation.
+/// Runs a local installation in one process.
 pub struct Local;
 
-/// The first port that is tried unless one is chosen.
-const FIRST_PORT: u16 = 7400;
+/// Default first port.
+const DEFAULT_FIRST_PORT: u16 = 7400;
 
-/// Ports above the first one that may be used.
-const PORTS: u16 = 32;
+/// Number of consecutive ports that must be free to use the default first port.
+const PORT_COUNT: u16 = 32;
 
 impl Command for Local {
     fn name(&self) -> &'static str {
@@ -25,37 +25,45 @@
     fn signature(&self) -> Signature {
         Signature::new()
             .with_arguments("FILE", 1, 1)
-            .with_flag(Flag::value("data", "FOLDER", "keep durable files there (else temporary)"))
-            .with_flag(Flag::value("port", "PORT", "first port (else 7400, or free ones)"))
-            .with_flag(Flag::switch("quiet", "log nothing"))
-            .with_flag(Flag::switch("json", "log JSON"))
-            .with_flag(Flag::switch("once", "stop as soon as everything has started"))
+            .with_flag(Flag::value(
+                "data",
+                "FOLDER",
+                "folder for durable files (default: temporary)",
+            ))
+            .with_flag(Flag::value(
+                "port",
+                "PORT",
+                "first port (default 7400 if available, else any free ports)",
+            ))
+            .with_flag(Flag::switch("quiet", "disable logging"))
+            .with_flag(Flag::switch("json", "log in JSON"))
+            .with_flag(Flag::switch("once", "stop once everything has started"))
     }
 
     fn description(&self) -> &'static str {
-        "Runs a whole small installation on loopback in this process, with stand-ins for the \
-         platform, until Ctrl-C."
+        "Runs a small but complete installation on loopback in this process, with stand-ins for \
+         the platform, until Ctrl-C or SIGTERM."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![Example::new(
             "local --quiet --once --port 0 examples/found-property-matching.yaml",
-            "Start an installation and stop it again",
+            "Start an installation and stop it at once",
             "curl",
         )]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let name = &call.arguments[0];
         let File::Installation(file) = load(Path::new(name))? else {
-            return Err(call.usage(format!("{name} holds no installation")));
+            return Err(call.usage_error(format!("{name} is not an installation file")));
         };
         let options = options(call)?;
         let log = pond_log::start(options.log);
         let installation = Installation::start(&file, &options, log)?;
-        let made = create_units(&file, &installation);
-        tell(&file, &installation, out)?;
-        match made {
+        let created = create_units(&file, &installation);
+        print_addresses(&file, &installation, out)?;
+        match created {
             Ok(accepted) => {
                 out.line(format!("{} (version {})", accepted.what, accepted.version))?
             }
@@ -70,7 +78,7 @@
         out.line("stopping")?;
         installation.stop();
         out.line("stopped")?;
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
 
@@ -82,8 +90,10 @@
     };
     let first_port = match call.number("port")? {
         Some(0) => None,
-        Some(port) => Some(u16::try_from(port).map_err(|_| call.usage("--port is too high"))?),
-        None => ports_free(FIRST_PORT).then_some(FIRST_PORT),
+        Some(port) => Some(
+            u16::try_from(port).map_err(|_| call.usage_error("--port must be at most 65535"))?,
+        ),
+        None => ports_free(DEFAULT_FIRST_PORT).then_some(DEFAULT_FIRST_PORT),
     };
     Ok(Options {
         data_folder: call.value("data").map(PathBuf::from),
@@ -94,20 +104,24 @@
 
 fn ports_free(first: u16) -> bool {
     let free = |port| std::net::TcpListener::bind(("127.0.0.1", port)).is_ok();
-    (first..first + PORTS).all(free)
+    (first..first + PORT_COUNT).all(free)
 }
 
-/// Creates the units of the file through the operators' API, as an operator would.
+/// Creates the units of the file through the operators' API.
 fn create_units(file: &InstallationFile, running: &Installation) -> Result<Accepted, Error> {
     let addresses = running.operators().iter().map(ToString::to_string).collect();
     let client = Client::new(addresses, None)?;
-    // The same identity each time: with a kept data folder the units are created once only.
+    // A fixed request identity: with a persistent data folder, a restart creates no units again.
     let request = format!("local-{}", file.name);
     let origin = Origin { who: "local".to_owned(), request, expect: None };
     client.post("/v1/units", &ApplyOrder { origin, units: file.units.clone() })
 }
 
-fn tell(file: &InstallationFile, running: &Installation, out: &mut Out<'_>) -> Result<(), Error> {
+fn print_addresses(
+    file: &InstallationFile,
+    running: &Installation,
+    out: &mut Output<'_>,
+) -> Result<(), Error> {
     let join = |addresses: Vec<std::net::SocketAddr>| {
         addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
     };
@@ -116,12 +130,12 @@
     out.line(format!("installation {}", file.name))?;
     out.line(format!("  callers:   {}", join(callers.clone())))?;
     out.line(format!("  operators: {operators}"))?;
-    out.line(format!("  record of what ran: http://{}/v1/record", running.record_address()))?;
-    out.line(format!("\nlook at it:\n  pondbay status --control {operators}"))?;
+    out.line(format!("  record of runs: http://{}/v1/record", running.record_address()))?;
+    out.line(format!("\nshow its status:\n  pondbay status --control {operators}"))?;
     let service = file.units.iter().find(|unit| unit.service().is_some());
     if let (Some(service), Some(entry)) = (service, callers.first()) {
         out.line(format!(
-            "ask a service:\n  curl -i --retry 5 -d 'hello' -H 'Pondbay-Repeatable: yes' \
+            "call a service:\n  curl -i --retry 5 -d 'hello' -H 'Pondbay-Repeatable: yes' \
              http://{entry}/v1/services/{}\n",
             service.name
         ))?;
--- a/crates/pond-command/src/command/mod.rs
+++ b/crates/pond-command/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! All commands, one per file.
 
 mod apply;
 mod audit;
@@ -20,7 +20,7 @@
 mod status;
 mod version;
 
-use crate::{Command, Error, Exit, Out};
+use crate::{Command, Error, Exit, Output};
 
 /// All commands, in the order of the help.
 pub const ALL: &[&dyn Command] = &[
@@ -50,7 +50,7 @@
 /// Prints the help of one command.
 ///
 /// # Errors
-/// If it cannot be written.
-pub fn help_for(command: &dyn Command, out: &mut Out<'_>) -> Result<Exit, Error> {
-    help::one(command, out)
+/// [`Error::Write`] if the output cannot be written.
+pub fn help_for(command: &dyn Command, out: &mut Output<'_>) -> Result<Exit, Error> {
+    help::print_help(command, out)
 }
--- a/crates/pond-command/src/command/role.rs
+++ b/crates/pond-command/src/command/role.rs
@@ -6,7 +6,7 @@
 use pond_log::Logger;
 use pond_settings::{File, Process, load};
 
-use crate::{Call, Command, Error, Example, Exit, Flag, Out, Signature, interrupt};
+use crate::{Call, Command, Error, Example, Exit, Flag, Output, Signature, interrupt};
 
 /// Runs a control replica.
 pub struct Control;
@@ -17,22 +17,23 @@
 /// Runs an endpoint process.
 pub struct Endpoint;
 
-/// How often a control process looks whether its files have failed.
-const WATCH: Duration = Duration::from_millis(200);
+/// Interval at which a control process checks whether its durable storage has failed.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 fn signature() -> Signature {
-    Signature::new().with_flag(Flag::value("settings", "FILE", "its settings"))
+    Signature::new().with_flag(Flag::value("settings", "FILE", "settings file"))
 }
 
-/// Reads the settings that a call names, and starts the log.
+/// Reads the settings file of an invocation and starts the logger.
 fn settings(call: &Call) -> Result<(Process, Logger), Error> {
-    let file = call.value("settings").ok_or_else(|| call.usage("--settings FILE is missing"))?;
+    let file =
+        call.value("settings").ok_or_else(|| call.usage_error("--settings FILE is missing"))?;
     match load(Path::new(file))? {
         File::Process(process) => {
             let log = pond_log::start(process.log).new(pond_log::name(&process.name));
             Ok((*process, log))
         }
-        _ => Err(call.usage(format!("{file} holds no settings of a process"))),
+        _ => Err(call.usage_error(format!("{file} is not a settings file of a process"))),
     }
 }
 
@@ -46,7 +47,7 @@
     }
 
     fn description(&self) -> &'static str {
-        "Runs a control replica until Ctrl-C or SIGTERM, then hands over the lead and stops."
+        "Runs a control replica until Ctrl-C or SIGTERM, then hands over leadership and stops."
     }
 
     fn examples(&self) -> Vec<Example> {
@@ -57,19 +58,19 @@
         )]
     }
 
-    fn run(&self, call: &Call, _out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, _out: &mut Output<'_>) -> Result<Exit, Error> {
         let (settings, log) = settings(call)?;
         let process = pond_control::Process::start(&settings, log)?;
-        let (told, interrupted) = std::sync::mpsc::channel();
+        let (sender, interrupted) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
-            let _ = told.send(interrupt::wait());
+            let _ = sender.send(interrupt::wait());
         });
-        while interrupted.recv_timeout(WATCH).is_err() {
+        while interrupted.recv_timeout(HEALTH_CHECK_INTERVAL).is_err() {
             if process.ended() {
                 break;
             }
         }
-        Ok(if process.stop() { Exit::WELL } else { Exit(1) })
+        Ok(if process.stop() { Exit::SUCCESS } else { Exit(1) })
     }
 }
 
@@ -83,7 +84,7 @@
     }
 
     fn description(&self) -> &'static str {
-        "Runs an entry until Ctrl-C or SIGTERM, then finishes the requests that it has and stops."
+        "Runs an entry until Ctrl-C or SIGTERM, then finishes its requests and stops."
     }
 
     fn examples(&self) -> Vec<Example> {
@@ -94,12 +95,12 @@
         )]
     }
 
-    fn run(&self, call: &Call, _out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, _out: &mut Output<'_>) -> Result<Exit, Error> {
         let (settings, log) = settings(call)?;
         let process = pond_entry::Process::start(&settings, log)?;
         interrupt::wait()?;
         process.stop();
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
 
@@ -113,8 +114,8 @@
     }
 
     fn description(&self) -> &'static str {
-        "Runs the process beside the endpoints of a VM until Ctrl-C or SIGTERM, then refuses new \
-         requests, finishes those that it has and stops."
+        "Runs the endpoint process of a VM until Ctrl-C or SIGTERM, then refuses new requests, \
+         finishes accepted ones and stops."
     }
 
     fn examples(&self) -> Vec<Example> {
@@ -125,11 +126,11 @@
         )]
     }
 
-    fn run(&self, call: &Call, _out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, call: &Call, _out: &mut Output<'_>) -> Result<Exit, Error> {
         let (settings, log) = settings(call)?;
         let process = pond_endpoint::Process::start(&settings, log)?;
         interrupt::wait()?;
         process.stop();
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
--- a/crates/pond-command/src/command/status.rs
+++ b/crates/pond-command/src/command/status.rs
@@ -1,8 +1,8 @@
 //! `pondbay status`.
 
-use pond_proto::operator::Status as Shown;
+use pond_proto::operator::Status as InstallationStatus;
 
-use crate::{Call, Client, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
 /// Shows the state of the installation.
 pub struct Status;
@@ -17,49 +17,55 @@
     }
 
     fn description(&self) -> &'static str {
-        "Shows the control replicas, the version of the configuration and in how many processes \
-         it is in force, and a few counts."
+        "Shows the control replicas, the configuration version and the number of processes where \
+         it is in force, and counts of VMs and tasks."
     }
 
     fn examples(&self) -> Vec<Example> {
-        vec![Example::with_control("status", "Look at the installation", "in force")]
+        vec![Example::with_control("status", "Show the status of the installation", "in force")]
     }
 
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
-        let shown: Shown = Client::from_call(call)?.get("/v1/status")?;
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
+        let status: InstallationStatus = Client::from_call(call)?.get("/v1/status")?;
         if call.switch("json") {
-            return out.json(&shown).map(|()| Exit::WELL);
+            return out.json(&status).map(|()| Exit::SUCCESS);
         }
-        lines(&shown).iter().try_for_each(|line| out.line(line))?;
-        Ok(Exit::WELL)
+        status_lines(&status).iter().try_for_each(|line| out.line(line))?;
+        Ok(Exit::SUCCESS)
     }
 }
 
-fn lines(shown: &Shown) -> Vec<String> {
-    let members: Vec<String> = shown
+fn status_lines(status: &InstallationStatus) -> Vec<String> {
+    let members: Vec<String> = status
         .members
         .iter()
         .map(|member| match (member.leads, member.voter) {
-            (true, _) => format!("{} (leads)", member.name),
-            (_, false) => format!("{} (learns)", member.name),
+            (true, _) => format!("{} (leader)", member.name),
+            (_, false) => format!("{} (learner)", member.name),
             _ => member.name.clone(),
         })
         .collect();
     let mut lines = vec![
-        format!("replica:       {}, term {}, commit {}", shown.replica, shown.term, shown.commit),
+        format!(
+            "replica:       {}, term {}, commit {}",
+            status.replica, status.term, status.commit
+        ),
         format!("quorum:        {}", members.join(", ")),
         format!(
             "configuration: version {}, in force at {} of {} processes",
-            shown.version, shown.in_force, shown.told
+            status.version, status.in_force, status.told
         ),
     ];
-    for straggler in &shown.stragglers {
+    for straggler in &status.stragglers {
         let version = straggler.version;
         lines.push(format!("  not yet at:  {} {}: {version}", straggler.role, straggler.name));
     }
-    lines.push(format!("vms:           {} of {} take work", shown.vms_open, shown.vms));
-    lines.push(format!("tasks:         {}, units that lack tasks: {}", shown.tasks, shown.wanting));
-    lines.push(format!("claims kept:   {}", shown.claims));
-    lines.push(format!("state:         checksum {}", shown.checksum));
+    lines.push(format!("vms:           {} of {} accept work", status.vms_open, status.vms));
+    lines.push(format!(
+        "tasks:         {}, units with missing tasks: {}",
+        status.tasks, status.wanting
+    ));
+    lines.push(format!("claims kept:   {}", status.claims));
+    lines.push(format!("state:         checksum {}", status.checksum));
     lines
 }
--- a/crates/pond-command/src/command/version.rs
+++ b/crates/pond-command/src/command/version.rs
@@ -1,6 +1,6 @@
 //! `pondbay version`.
 
-use crate::{Call, Command, Error, Example, Exit, Out, Signature};
+use crate::{Call, Command, Error, Example, Exit, Output, Signature};
 
 /// Prints the version.
 pub struct Version;
@@ -15,15 +15,15 @@
     }
 
     fn description(&self) -> &'static str {
-        "Prints the version of the program."
+        "Prints the program version."
     }
 
     fn examples(&self) -> Vec<Example> {
         vec![Example::new("version", "Show the version", "pondbay ")]
     }
 
-    fn run(&self, _call: &Call, out: &mut Out<'_>) -> Result<Exit, Error> {
+    fn run(&self, _call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         out.line(format!("pondbay {}", env!("CARGO_PKG_VERSION")))?;
-        Ok(Exit::WELL)
+        Ok(Exit::SUCCESS)
     }
 }
--- a/crates/pond-command/src/error.rs
+++ b/crates/pond-command/src/error.rs
@@ -1,73 +1,73 @@
-//! What a command says when it cannot do its work.
+//! Errors of commands.
 
 use snafu::Snafu;
 
-/// What a command says when it cannot do its work.
+/// An error of a command.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{message}\nsee `pondbay help {command}`"))]
     Usage {
-        /// The command.
+        /// Name of the command.
         command: String,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
-    /// A file is wrong.
+    /// A file is unreadable or invalid.
     #[snafu(display("{source}"))]
     File {
-        /// All that is wrong with it.
+        /// Cause, with all findings.
         source: pond_settings::Error,
     },
     /// A process could not be started.
     #[snafu(display("{source}"))]
     Process {
-        /// Why.
+        /// Cause.
         source: pond_process::Error,
     },
-    /// A process could not run on the platform.
+    /// A platform process could not run.
     #[snafu(display("{source}"))]
     Platform {
-        /// Why.
+        /// Cause.
         source: pond_adapter::Error,
     },
-    /// Control refused.
+    /// Control refused the request.
     #[snafu(display("refused ({code}): {message}"))]
     Refused {
         /// HTTP status.
         status: u16,
-        /// Which rule.
+        /// Error code.
         code: String,
-        /// In words.
+        /// Explanation.
         message: String,
     },
-    /// No control replica could be asked.
+    /// No leading control replica answered.
     #[snafu(display(
-        "no control replica answered: {what}\ngive its operator address with --control or in \
+        "no control replica answered: {reason}\ngive its operator address with --control or in \
          PONDBAY_CONTROL"
     ))]
-    NoControl {
-        /// What was tried.
-        what: String,
+    ControlUnreachable {
+        /// Last failure.
+        reason: String,
     },
     /// The record of runs could not be read.
-    #[snafu(display("{address}: the record of runs cannot be read: {what}"))]
+    #[snafu(display("{address}: the record of runs cannot be read: {reason}"))]
     Record {
-        /// Where.
+        /// Address of the record.
         address: String,
-        /// Why.
-        what: String,
+        /// Cause.
+        reason: String,
     },
     /// Output could not be written.
-    #[snafu(display("cannot write: {source}"))]
+    #[snafu(display("cannot write output: {source}"))]
     Write {
-        /// What the system said.
+        /// Cause.
         source: std::io::Error,
     },
 }
 
 impl Error {
-    /// The exit status that goes with it: 2 for what the user must change, 1 for the rest.
+    /// Returns the exit status: 2 for errors in the user's input, 1 otherwise.
     pub fn status(&self) -> i32 {
         match self {
             Error::Usage { .. } | Error::File { .. } => 2,
--- a/crates/pond-command/src/interrupt.rs
+++ b/crates/pond-command/src/interrupt.rs
@@ -4,10 +4,10 @@
 use tokio::runtime::Builder;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Waits until the process is asked to stop.
+/// Blocks until the process receives SIGINT or SIGTERM.
 ///
 /// # Errors
-/// If the system does not let signals be waited for.
+/// [`Error::Thread`] if the runtime or a signal handler cannot be set up.
 pub fn wait() -> Result<(), Error> {
     let failed = |source| Error::Thread { source };
     let runtime = Builder::new_current_thread().enable_all().build().map_err(failed)?;
--- a/crates/pond-command/src/lib.rs
+++ b/crates/pond-command/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line: one command a file, all behind the [`Command`] trait.
+//! The command line: one file per command, all behind the [`Command`] trait.
 
 mod call;
 mod client;
@@ -9,29 +9,29 @@
 mod signature;
 mod table;
 
-pub use call::{Call, Exit, Out};
+pub use call::{Call, Exit, Output};
 pub use client::Client;
 pub use error::Error;
 pub use registry::{all, find, run};
 pub use signature::{Example, Flag, Signature};
 
-/// One command of the command line. Help and docs are made from it.
+/// A command. Help and documentation are generated from it.
 pub trait Command: Sync {
-    /// Its name.
+    /// Returns its name.
     fn name(&self) -> &'static str;
 
-    /// Its arguments and flags.
+    /// Returns its arguments and flags.
     fn signature(&self) -> Signature;
 
-    /// What it does, in a sentence or two.
+    /// Returns a short description, in full sentences.
     fn description(&self) -> &'static str;
 
-    /// Lines that work; they run as tests.
+    /// Returns example command lines. They run as tests.
     fn examples(&self) -> Vec<Example>;
 
-    /// Runs it.
+    /// Runs the command.
     ///
     /// # Errors
-    /// What is wrong and what to do.
-    fn run(&self, call: &Call, out: &mut Out<'_>) -> Result<Exit, Error>;
+    /// [`Error`], whose message states the cause and usually a remedy.
+    fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error>;
 }
--- a/crates/pond-command/src/registry.rs
+++ b/crates/pond-command/src/registry.rs
@@ -1,24 +1,25 @@
-//! All commands.
+//! Finds and runs commands.
 
 use crate::command;
-use crate::{Call, Command, Error, Exit, Out};
+use crate::{Call, Command, Error, Exit, Output};
 
-/// All commands, in the order of the help.
+/// Returns all commands, in the order of the help.
 pub fn all() -> &'static [&'static dyn Command] {
     command::ALL
 }
 
-/// The command of that name.
+/// Returns the command with the given name.
 pub fn find(name: &str) -> Option<&'static dyn Command> {
     all().iter().find(|command| command.name() == name).copied()
 }
 
-/// Runs the command line `words`, without the program's name.
+/// Runs a command line; `args` excludes the program name.
 ///
 /// # Errors
-/// What the command says.
-pub fn run(words: &[String], out: &mut Out<'_>) -> Result<Exit, Error> {
-    let (name, rest) = match words.split_first() {
+/// [`Error::Usage`] if there is no such command or its arguments are invalid, or the error of the
+/// command.
+pub fn run(args: &[String], out: &mut Output<'_>) -> Result<Exit, Error> {
+    let (name, rest) = match args.split_first() {
         None => ("help", &[][..]),
         Some((name, rest)) => (name.as_str(), rest),
     };
@@ -28,12 +29,12 @@
         other => other,
     };
     let Some(command) = find(name) else {
-        let message = format!("there is no command '{name}'");
+        let message = format!("unknown command '{name}'");
         return Err(Error::Usage { command: String::new(), message });
     };
-    if rest.iter().any(|word| word == "--help") {
+    if rest.iter().any(|arg| arg == "--help") {
         return command::help_for(command, out);
     }
-    let call = Call::read(command, rest)?;
+    let call = Call::parse(command, rest)?;
     command.run(&call, out)
 }
--- a/crates/pond-command/src/signature.rs
+++ b/crates/pond-command/src/signature.rs
@@ -1,113 +1,121 @@
-//! What a command takes.
+//! Arguments, flags and examples of a command.
 
 /// A flag of a command.
 #[derive(Clone, Copy, Debug)]
 pub struct Flag {
-    /// Its name after `--`.
+    /// Name after `--`.
     pub name: &'static str,
-    /// What its value is called; none for a flag without value.
-    pub value: Option<&'static str>,
-    /// What it does.
-    pub text: &'static str,
+    /// Name of the value in the help; `None` for a flag without value.
+    pub value_name: Option<&'static str>,
+    /// Description.
+    pub description: &'static str,
 }
 
 impl Flag {
-    /// A flag without value.
-    pub const fn switch(name: &'static str, text: &'static str) -> Flag {
-        Flag { name, value: None, text }
+    /// Creates a flag without value.
+    pub const fn switch(name: &'static str, description: &'static str) -> Flag {
+        Flag { name, value_name: None, description }
     }
 
-    /// A flag with a value.
-    pub const fn value(name: &'static str, value: &'static str, text: &'static str) -> Flag {
-        Flag { name, value: Some(value), text }
+    /// Creates a flag with a value.
+    pub const fn value(
+        name: &'static str,
+        value_name: &'static str,
+        description: &'static str,
+    ) -> Flag {
+        Flag { name, value_name: Some(value_name), description }
     }
 }
 
 /// The arguments and flags of a command.
 #[derive(Clone, Debug, Default)]
 pub struct Signature {
-    /// The arguments, as they stand in the help.
+    /// Arguments as shown in the help.
     pub arguments: &'static str,
-    /// How many arguments there must be at least.
-    pub least: usize,
-    /// How many there may be at most.
-    pub most: usize,
-    /// The flags.
+    /// Minimum number of arguments.
+    pub min_arguments: usize,
+    /// Maximum number of arguments.
+    pub max_arguments: usize,
+    /// Flags.
     pub flags: Vec<Flag>,
 }
 
 impl Signature {
-    /// No arguments and no flags.
+    /// Creates a signature without arguments and flags.
     pub fn new() -> Signature {
         Signature::default()
     }
 
-    /// With arguments, between `least` and `most` of them.
-    pub fn with_arguments(mut self, text: &'static str, least: usize, most: usize) -> Signature {
-        (self.arguments, self.least, self.most) = (text, least, most);
+    /// Sets the arguments, with their minimum and maximum number.
+    pub fn with_arguments(mut self, text: &'static str, min: usize, max: usize) -> Signature {
+        (self.arguments, self.min_arguments, self.max_arguments) = (text, min, max);
         self
     }
 
-    /// With a flag.
+    /// Adds a flag.
     pub fn with_flag(mut self, flag: Flag) -> Signature {
         self.flags.push(flag);
         self
     }
 
-    /// With the flags of commands that ask control.
+    /// Adds the flags of commands that send requests to control.
     pub fn with_control_flags(self) -> Signature {
         self.with_flag(Flag::value(
             "control",
             "ADDRESS",
             "operator addresses of control replicas, separated by commas \
-             (else PONDBAY_CONTROL, else 127.0.0.1:7400)",
+             (default: PONDBAY_CONTROL, else 127.0.0.1:7400)",
         ))
-        .with_flag(Flag::value("token", "TOKEN", "the operator's token (else PONDBAY_TOKEN)"))
-        .with_flag(Flag::switch("json", "print JSON for programs"))
+        .with_flag(Flag::value("token", "TOKEN", "operator token (default: PONDBAY_TOKEN)"))
+        .with_flag(Flag::switch("json", "print JSON"))
     }
 
-    /// With the flags of commands that change something.
+    /// Adds the flags of commands that send orders.
     pub fn with_order_flags(self) -> Signature {
         self.with_control_flags()
-            .with_flag(Flag::value("who", "NAME", "who orders it (else USER)"))
+            .with_flag(Flag::value("who", "NAME", "name of the operator (default: USER)"))
             .with_flag(Flag::value(
                 "request",
                 "ID",
-                "identity of the order; a resend with the same one gets the first result",
+                "identity of the order; resending it with the same identity returns the first result",
             ))
             .with_flag(Flag::value(
                 "expect",
                 "VERSION",
-                "refuse the order if another one was accepted after this version",
+                "refuse the order if another order was accepted after this version",
             ))
     }
 }
 
-/// A line that works.
+/// An example of a command, which also runs as a test.
 #[derive(Clone, Copy, Debug)]
 pub struct Example {
-    /// The line after `pondbay`.
-    pub line: &'static str,
-    /// What it shows.
-    pub text: &'static str,
-    /// A part of what it prints.
-    pub prints: &'static str,
-    /// Whether it needs a running installation, namely `examples/found-property-matching.yaml`.
+    /// Command line without the program name.
+    pub command_line: &'static str,
+    /// Description.
+    pub description: &'static str,
+    /// Text that the output contains.
+    pub expected_output: &'static str,
+    /// Whether it needs a running installation of `examples/found-property-matching.yaml`.
     pub needs_control: bool,
 }
 
 impl Example {
-    /// An example that runs by itself.
-    pub const fn new(line: &'static str, text: &'static str, prints: &'static str) -> Example {
-        Example { line, text, prints, needs_control: false }
+    /// Creates an example that needs no running installation.
+    pub const fn new(
+        command_line: &'static str,
+        description: &'static str,
+        expected_output: &'static str,
+    ) -> Example {
+        Example { command_line, description, expected_output, needs_control: false }
     }
 
-    /// An example that needs a running installation.
+    /// Creates an example that needs a running installation.
     pub const fn with_control(
-        line: &'static str,
-        text: &'static str,
-        prints: &'static str,
+        command_line: &'static str,
+        description: &'static str,
+        expected_output: &'static str,
     ) -> Example {
-        Example { line, text, prints, needs_control: true }
+        Example { command_line, description, expected_output, needs_control: true }
     }
 }
--- a/crates/pond-command/src/table.rs
+++ b/crates/pond-command/src/table.rs
@@ -1,13 +1,13 @@
-//! Tables for people.
+//! Plain-text tables.
 
-/// Rows of texts under headings.
+/// A table with headings.
 #[derive(Clone, Debug)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with headings.
+    /// Creates a table with headings.
     pub fn new(headings: &[&str]) -> Table {
         Table { rows: vec![headings.iter().map(|h| (*h).to_owned()).collect()] }
     }
@@ -17,7 +17,7 @@
         self.rows.push(cells);
     }
 
-    /// The lines, columns in line.
+    /// Returns the lines, with aligned columns.
     pub fn lines(&self) -> Vec<String> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column: usize| {
--- a/crates/pond-command/tests/contracts.rs
+++ b/crates/pond-command/tests/contracts.rs
@@ -1,4 +1,4 @@
-//! The operators' contract as a table, over HTTP.
+//! Checks the operators' HTTP contract with a table of requests.
 
 mod support;
 
@@ -27,8 +27,8 @@
     }
 
     fn send(&self, call: Call) -> Reply {
-        let patience = Duration::from_secs(20);
-        self.runtime.block_on(self.client.call(&self.address, call, patience)).expect("an answer")
+        let timeout = Duration::from_secs(20);
+        self.runtime.block_on(self.client.call(&self.address, call, timeout)).expect("an answer")
     }
 }
 
@@ -51,17 +51,18 @@
 }
 
 #[test]
-fn operators_are_answered_as_the_contract_says() {
+fn operator_requests_are_answered_according_to_the_contract() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("one");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let mut operator = Operator { runtime, client: Client::new(), address: String::new() };
-    // The leader is the one that answers a read; the others name it.
+    // Only the leader answers a read; the other replicas name it in a header.
     let mut hints = Vec::new();
     for address in running.installation.operators() {
-        let asked = Operator { address: address.to_string(), ..operator };
-        let reply = asked.get("/v1/units");
-        operator = asked;
+        let replica = Operator { address: address.to_string(), ..operator };
+        let reply = replica.get("/v1/units");
+        operator = replica;
         if reply.status.is_success() {
             hints.push(address.to_string());
         } else {
@@ -76,20 +77,20 @@
     let first = operator.post("/v1/labels", &label("same", "yes", None));
     assert_eq!(first.status.as_u16(), 200);
     let resent = operator.post("/v1/labels", &label("same", "yes", None));
-    assert_eq!(resent.body, first.body, "a resend gets the first result");
+    assert_eq!(resent.body, first.body, "a resent order returns the first result");
     let version: Value = serde_json::from_slice(&first.body).expect("JSON");
     let version = version["version"].as_u64().expect("a version");
-    let of_now = operator.post("/v1/labels", &label("a", "no", Some(version)));
-    assert_eq!(of_now.status.as_u16(), 200);
+    let current = operator.post("/v1/labels", &label("a", "no", Some(version)));
+    assert_eq!(current.status.as_u16(), 200);
 
     let cancel = json!({"origin": origin("b"), "names": ["nothing"]});
     let drain = json!({"origin": origin("c"), "drained": true,
         "selector": {"terms": [{"key": "rack", "operator": "In", "values": ["none"]}]}});
-    let nobody = json!({"origin": {"who": "", "request": "d"}, "teams": {}});
+    let anonymous = json!({"origin": {"who": "", "request": "d"}, "teams": {}});
     let evacuate = json!({"origin": origin("g"), "data_centre": "nowhere", "evacuated": true});
     let table: [(&str, &str, Value, u16, &str); 7] = [
         (
-            "another order under a known identity",
+            "another order with a used identity",
             "/v1/labels",
             label("same", "no", None),
             409,
@@ -102,11 +103,11 @@
             409,
             "conflict",
         ),
-        ("a unit that is not there", "/v1/cancellations", cancel, 404, "no-match"),
-        ("VMs that are not there", "/v1/drains", drain, 404, "no-match"),
-        ("a data centre that is not there", "/v1/evacuations", evacuate, 404, "no-match"),
-        ("an order of nobody", "/v1/quotas", nobody, 400, "origin"),
-        ("no order at all", "/v1/quotas", json!({"teams": 3}), 400, ""),
+        ("an unknown unit", "/v1/cancellations", cancel, 404, "no-match"),
+        ("unknown VMs", "/v1/drains", drain, 404, "no-match"),
+        ("an unknown data centre", "/v1/evacuations", evacuate, 404, "no-match"),
+        ("an order without operator", "/v1/quotas", anonymous, 400, "origin"),
+        ("a body that is not an order", "/v1/quotas", json!({"teams": 3}), 400, ""),
     ];
     for (name, path, body, status, expected) in table {
         let reply = operator.post(path, &body);
--- a/crates/pond-command/tests/examples.rs
+++ b/crates/pond-command/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples of every command run and print what they say.
+//! Runs the examples of every command and checks their output.
 
 mod support;
 
@@ -7,11 +7,15 @@
 
 #[test]
 fn examples_that_need_no_installation_run() {
-    for command_ in all() {
-        for example in command_.examples().iter().filter(|example| !example.needs_control) {
-            let (result, printed) = command(example.line);
-            assert!(result.is_ok(), "'{}': {result:?}", example.line);
-            assert!(printed.contains(example.prints), "'{}' printed:\n{printed}", example.line);
+    for each in all() {
+        for example in each.examples().iter().filter(|example| !example.needs_control) {
+            let (result, printed) = command(example.command_line);
+            assert!(result.is_ok(), "'{}': {result:?}", example.command_line);
+            assert!(
+                printed.contains(example.expected_output),
+                "'{}' printed:\n{printed}",
+                example.command_line
+            );
         }
     }
 }
@@ -21,11 +25,15 @@
     let running = start(&example("found-property-matching.yaml"));
     running.wait_for("explain counter-query", "next best");
     running.wait_for("explain too-large", "none has");
-    for command_ in all() {
-        for example in command_.examples().iter().filter(|example| example.needs_control) {
-            let (result, printed) = running.command(example.line);
-            assert!(result.is_ok(), "'{}': {result:?}", example.line);
-            assert!(printed.contains(example.prints), "'{}' printed:\n{printed}", example.line);
+    for each in all() {
+        for example in each.examples().iter().filter(|example| example.needs_control) {
+            let (result, printed) = running.command(example.command_line);
+            assert!(result.is_ok(), "'{}': {result:?}", example.command_line);
+            assert!(
+                printed.contains(example.expected_output),
+                "'{}' printed:\n{printed}",
+                example.command_line
+            );
         }
     }
     running.installation.stop();
--- a/crates/pond-command/tests/local.rs
+++ b/crates/pond-command/tests/local.rs
@@ -1,4 +1,4 @@
-//! A whole installation: requests, jobs, and stops under load.
+//! Tests a complete local installation: requests, jobs, and stops under load.
 
 mod support;
 
@@ -18,7 +18,7 @@
         .expect("a runtime")
 }
 
-async fn ask(client: &Client, entry: &str, service: &str, body: &str) -> Result<Reply, Error> {
+async fn send(client: &Client, entry: &str, service: &str, body: &str) -> Result<Reply, Error> {
     let path = format!("/v1/services/{service}");
     let call = Call::new(Method::POST, &path, body.to_owned());
     client.call(entry, call, Duration::from_secs(20)).await
@@ -29,25 +29,25 @@
 }
 
 #[test]
-fn a_request_is_answered_and_jobs_run_to_their_end() {
+fn requests_are_answered_and_jobs_complete() {
     let running = start(&example("found-property-matching.yaml"));
     running.wait_for("status", "in force at 12 of 12");
     running.wait_for("get units", "10/10");
     let entry = running.installation.callers()[0].to_string();
-    let reply = runtime().block_on(ask(&Client::new(), &entry, "counter-query", "passport 7"));
+    let reply = runtime().block_on(send(&Client::new(), &entry, "counter-query", "passport 7"));
     let reply = reply.expect("an answer");
     assert_eq!(outcome(&reply), "answered");
     assert!(String::from_utf8_lossy(&reply.body).starts_with("answer to passport 7\n"));
     let (_, explained) = running.command("explain confirm-reports");
     assert!(explained.contains("VMs can take it"), "{explained}");
     running.wait_for("describe confirm-reports", "standing:      done");
-    // The job that fits nowhere is explained and has blocked nothing.
+    // The job that fits on no VM is explained and did not block the others.
     running.wait_for("explain too-large", "none has 2 accelerators there, the largest has 0");
     running.installation.stop();
 }
 
 #[test]
-fn bad_requests_are_told_that_they_did_not_run() {
+fn invalid_requests_are_answered_as_not_run() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
     let entry = running.installation.callers()[0].to_string();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_resend_with_the_same_key_gets_the_same_answer_and_runs_once() {
+fn resent_request_with_the_same_key_runs_once_and_gets_the_same_answer() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
     let entries = running.installation.callers();
@@ -102,7 +102,7 @@
     running.installation.stop();
 }
 
-/// Callers that ask all the time until they are told to stop.
+/// Callers that send requests continuously until stopped.
 struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU32>,
@@ -132,10 +132,10 @@
                 while !stop.load(Ordering::Relaxed) {
                     number += 1;
                     let body = format!("caller {caller} request {number}");
-                    let reply = match ask(&client, &entry, service, &body).await {
+                    let reply = match send(&client, &entry, service, &body).await {
                         Ok(reply) => reply,
                         Err(error) if error.not_sent() => {
-                            // The entry was stopped: nothing listens any more.
+                            // The entry has stopped, so nothing listens on its address.
                             tokio::time::sleep(Duration::from_millis(5)).await;
                             continue;
                         }
@@ -168,13 +168,13 @@
         self.answered.load(Ordering::Relaxed)
     }
 
-    fn more(&self, count: u32) {
+    fn wait_for_answers(&self, count: u32) {
         let before = self.answered();
         until("more answers", || self.answered() >= before + count);
     }
 
-    /// Ends the load; requests that ended in no honest way.
-    fn end(self) -> u32 {
+    /// Stops the load and returns the number of requests with a lost, unknown or wrong answer.
+    fn stop(self) -> u32 {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             self.runtime.block_on(task).expect("a caller ends");
@@ -188,36 +188,36 @@
 }
 
 #[test]
-fn a_stop_under_load_cuts_off_no_request() {
+fn stop_under_load_cuts_off_no_request() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
     let load = Load::start(addresses(&running), "checkout");
-    load.more(500);
+    load.wait_for_answers(500);
     running.installation.stop();
-    assert_eq!(load.end(), 0);
+    assert_eq!(load.stop(), 0);
 }
 
 #[test]
-fn a_rolling_restart_of_every_process_loses_no_request() {
+fn rolling_restart_loses_no_request() {
     let mut running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
-    // Entries stay: their callers would be sent to another one by the platform's balancer.
+    // Entries are not restarted: on the platform, a load balancer would redirect their callers.
     let load = Load::start(addresses(&running), "checkout");
-    load.more(200);
+    load.wait_for_answers(200);
     let plan = running.installation.plan().clone();
     for settings in plan.endpoints.iter().chain(&plan.control) {
         assert!(running.installation.stop_process(&settings.name));
-        load.more(20);
-        running.installation.restart_process(&settings.name).expect("it starts again");
+        load.wait_for_answers(20);
+        running.installation.restart_process(&settings.name).expect("the process restarts");
         running.wait_for("status", "in force at 12 of 12");
-        load.more(20);
+        load.wait_for_answers(20);
     }
-    assert_eq!(load.end(), 0);
+    assert_eq!(load.stop(), 0);
     running.installation.stop();
 }
 
 #[test]
-fn killing_any_control_replica_under_load_loses_nothing_accepted() {
+fn killing_a_control_replica_under_load_loses_no_accepted_order() {
     let mut running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
     let load = Load::start(addresses(&running), "checkout");
@@ -228,21 +228,21 @@
             assert!(result.is_ok(), "{result:?} {printed}");
             assert!(running.installation.kill_process(replica));
             running.wait_for("get vms", &format!("test={value}"));
-            running.installation.restart_process(replica).expect("it starts again");
-            load.more(20);
+            running.installation.restart_process(replica).expect("the process restarts");
+            load.wait_for_answers(20);
         }
     }
     running.wait_for("get units", "10/10");
-    assert_eq!(load.end(), 0);
+    assert_eq!(load.stop(), 0);
     running.installation.stop();
 }
 
 #[test]
-fn a_drained_rack_is_emptied_without_losing_a_request() {
+fn draining_a_rack_loses_no_request() {
     let running = start(&example("found-property-matching.yaml"));
     running.wait_for("get units", "10/10");
     let load = Load::start(addresses(&running), "counter-query");
-    load.more(200);
+    load.wait_for_answers(200);
     let (result, printed) = running.command("drain rack=matching-rack-1");
     assert!(result.is_ok(), "{result:?} {printed}");
     until("no task is left in the rack", || {
@@ -250,13 +250,13 @@
         !["matching-1 ", "matching-2 ", "matching-3 "].iter().any(|vm| tasks.contains(vm))
     });
     running.wait_for("get units", "10/10");
-    load.more(100);
-    assert_eq!(load.end(), 0);
+    load.wait_for_answers(100);
+    assert_eq!(load.stop(), 0);
     running.installation.stop();
 }
 
 #[test]
-fn an_evacuated_data_centre_gets_nothing_until_it_is_taken_back() {
+fn evacuated_data_centre_is_marked_until_readmitted() {
     let running = start(&example("found-property-matching.yaml"));
     running.wait_for("get units", "10/10");
     let (_, vms) = running.command("get vms --json");
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn no_worker_is_ever_given_more_than_it_has() {
+fn no_worker_is_overcommitted() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("describe rebuild-schedules-a", "standing:      done");
     for (name, host) in running.installation.hosts() {
--- a/crates/pond-command/tests/support/mod.rs
+++ b/crates/pond-command/tests/support/mod.rs
@@ -1,18 +1,18 @@
-//! A running installation for tests, and commands against it.
+//! Starts an installation for tests and runs commands against it.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use pond_command::{Client, Exit, Out, run};
+use pond_command::{Client, Exit, Output, run};
 use pond_local::{Installation, Options};
 use pond_proto::operator::{Accepted, ApplyOrder, Origin};
 use pond_settings::{File, Installation as InstallationFile, Log, LogFormat, load};
 
-/// How long a condition is waited for before a test gives up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time to wait for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The folder of the repository.
+/// Returns the root folder of the repository.
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
@@ -23,11 +23,11 @@
     pub client: Client,
 }
 
-/// Reads an example installation, with its lags made short.
+/// Reads an example installation and shortens its delays.
 pub fn example(name: &str) -> InstallationFile {
     let path = root().join("examples").join(name);
     let File::Installation(mut file) = load(&path).expect("loads") else {
-        panic!("{name} holds no installation")
+        panic!("{name} is not an installation file")
     };
     file.list_lag_ms = 100;
     file.usage_lag_ms = 500;
@@ -50,7 +50,7 @@
 }
 
 impl Running {
-    /// The operators' addresses as the flag of a command.
+    /// Returns the operator addresses as the value of `--control`.
     pub fn control(&self) -> String {
         let addresses: Vec<String> =
             self.installation.operators().iter().map(ToString::to_string).collect();
@@ -62,34 +62,37 @@
         command(&format!("{line} --control {}", self.control()))
     }
 
-    /// Waits until a command's output holds a text.
+    /// Waits until the output of a command contains a text, and returns the output.
     pub fn wait_for(&self, line: &str, text: &str) -> String {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let (_, printed) = self.command(line);
             if printed.contains(text) {
                 return printed;
             }
-            assert!(begun.elapsed() < PATIENCE, "'{line}' never printed '{text}':\n{printed}");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "'{line}' never printed '{text}':\n{printed}"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 }
 
-/// Runs a command line in the folder of the repository.
+/// Runs a command line in the root folder of the repository. Returns its result and its output.
 pub fn command(line: &str) -> (Result<Exit, String>, String) {
     std::env::set_current_dir(root()).expect("the repository is there");
-    let words: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
+    let args: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
     let mut printed = Vec::new();
-    let result = run(&words, &mut Out::new(&mut printed)).map_err(|error| error.to_string());
+    let result = run(&args, &mut Output::new(&mut printed)).map_err(|error| error.to_string());
     (result, String::from_utf8_lossy(&printed).into_owned())
 }
 
 /// Waits until a condition holds.
 pub fn until(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE, "it never came to this: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting until: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
