--- a/crates/pond-command/src/client/mod.rs
+++ b/crates/pond-command/src/client/mod.rs
@@ -160,8 +160,8 @@
     }
 }
 
-/// Returns the origin of an order from the flags: who sends it, its request identity, and the version
-/// it is based on.
+/// Returns the origin of an order from the flags: its sender, its request identity, and the
+/// version it is based on.
 ///
 /// # Errors
 /// [`Error::Usage`] if the flags are invalid.
--- a/crates/pond-command/src/command/help.rs
+++ b/crates/pond-command/src/command/help.rs
@@ -32,7 +32,7 @@
             let unknown = || call.usage_error(format!("unknown command '{name}'"));
             return print_help(command.ok_or_else(unknown)?, out);
         }
-        out.line("pondbay runs many small low-latency services together with batch work on the same VMs.\n")?;
+        out.line("pondbay runs low-latency services and batch work on the same VMs.\n")?;
         let mut table = Table::new(&["command", ""]);
         for command in all() {
             let name = format!("{} {}", command.name(), command.signature().arguments);
--- a/crates/pond-command/src/command/label.rs
+++ b/crates/pond-command/src/command/label.rs
@@ -37,27 +37,19 @@
         let vms = match call.arguments[0].as_str() {
             "vms" => true,
             "units" => false,
-            other => {
-                return Err(
-                    call.usage_error(format!("'{other}' cannot be labelled; use vms or units"))
-                );
-            }
+            other => return Err(call.usage_error(format!("use vms or units, not '{other}'"))),
         };
         let selector =
             Selector::parse(&call.arguments[1]).map_err(|reason| call.usage_error(reason))?;
         let mut set = Labels::new();
         let mut unset = Vec::new();
-        for argument in &call.arguments[2..] {
-            match (argument.split_once('='), argument.strip_suffix('-')) {
+        for arg in &call.arguments[2..] {
+            match (arg.split_once('='), arg.strip_suffix('-')) {
                 (Some((key, value)), _) if !key.is_empty() && !value.is_empty() => {
                     set.insert(key.to_owned(), value.to_owned());
                 }
                 (None, Some(key)) if !key.is_empty() => unset.push(key.to_owned()),
-                _ => {
-                    return Err(
-                        call.usage_error(format!("'{argument}' is neither KEY=VALUE nor KEY-"))
-                    );
-                }
+                _ => return Err(call.usage_error(format!("'{arg}' must be KEY=VALUE or KEY-"))),
             }
         }
         let order = LabelOrder { origin: origin(call)?, vms, selector, set, unset };
--- a/crates/pond-command/src/command/load.rs
+++ b/crates/pond-command/src/command/load.rs
@@ -152,8 +152,8 @@
     table.lines().iter().try_for_each(|line| out.line(line))?;
     if let Some(violations) = violations {
         out.line(format!(
-            "checked against the record: {} wrong, {} doubly run, {} run although reported not run, \
-             {} answered although not run",
+            "checked against the record: {} wrong, {} doubly run, {} run although reported not \
+             run, {} answered although not run",
             violations.wrong,
             violations.doubly_run,
             violations.not_run_but_ran,
--- a/crates/pond-command/src/signature.rs
+++ b/crates/pond-command/src/signature.rs
@@ -77,7 +77,7 @@
             .with_flag(Flag::value(
                 "request",
                 "ID",
-                "identity of the order; resending it with the same identity returns the first result",
+                "identity of the order; a resend with the same identity returns the first result",
             ))
             .with_flag(Flag::value(
                 "expect",
--- a/crates/pond-load/src/lib.rs
+++ b/crates/pond-load/src/lib.rs
@@ -1,5 +1,5 @@
-//! An open-loop load tool: arrivals do not wait for answers, latency counts from the intended start,
-//! and every answer is verified against the record of what endpoints ran.
+//! An open-loop load tool: arrivals do not wait for answers, latency counts from the intended
+//! start, and every answer is verified against the record of what endpoints ran.
 
 mod plan;
 mod plot;
--- a/crates/pond-local/src/installation.rs
+++ b/crates/pond-local/src/installation.rs
@@ -118,8 +118,8 @@
         true
     }
 
-    /// Ends a control or endpoint process at once, as if it had been killed. Returns false if no such
-    /// process of that name is running.
+    /// Ends a control or endpoint process at once, as if it had been killed. Returns false if no
+    /// such process of that name is running.
     pub fn kill_process(&mut self, name: &str) -> bool {
         if let Some(process) = self.endpoints.remove(name) {
             process.kill();
--- a/crates/pond-log/src/events.rs
+++ b/crates/pond-log/src/events.rs
@@ -169,7 +169,7 @@
     ADVICE_FAILED = 618, Warning, "adviser did not answer which workers may run a step",
         "check the adviser; the request is repeated";
     JOB_WAITING = 620, Info, "tasks of a job cannot be placed",
-        "see which obstacle counts most workers: `resting` means unhealthy workers, `no_room` a full pool";
+        "find the obstacle with most workers: `resting` means unhealthy workers, `no_room` a full pool";
     RUN_FORCED = 621, Info, "task expected to interfere has reached its wait limit and is started",
         "nothing: its agent throttles it if necessary";
     RUN_ABSENT = 622, Warning, "run assigned to a worker is missing from the worker's lists",
