--- a/crates/pond-command/src/client/mod.rs
+++ b/crates/pond-command/src/client/mod.rs
@@ -88,7 +88,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<T, Error> {
-        let reply = self.runtime.block_on(self.find_leader(&method, path, &body))?;
+        let reply = self.runtime.block_on(self.send_to_leader(&method, path, &body))?;
         if !reply.status.is_success() {
             return Err(refusal(&reply));
         }
@@ -98,7 +98,12 @@
     }
 
     /// Sends the request to one replica after another until the leader answers.
-    async fn find_leader(&self, method: &Method, path: &str, body: &[u8]) -> Result<Reply, Error> {
+    async fn send_to_leader(
+        &self,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Result<Reply, Error> {
         let started = Instant::now();
         let mut last = String::from("no address given");
         loop {
--- a/crates/pond-command/src/command/local.rs
+++ b/crates/pond-command/src/command/local.rs
@@ -109,7 +109,7 @@
 
 /// Creates the units of the file through the operators' API.
 fn create_units(file: &InstallationFile, running: &Installation) -> Result<Accepted, Error> {
-    let addresses = running.operators().iter().map(ToString::to_string).collect();
+    let addresses = running.operator_addresses().iter().map(ToString::to_string).collect();
     let client = Client::new(addresses, None)?;
     // A fixed request identity: with a persistent data folder, a restart creates no units again.
     let request = format!("local-{}", file.name);
@@ -125,8 +125,8 @@
     let join = |addresses: Vec<std::net::SocketAddr>| {
         addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
     };
-    let callers = running.callers();
-    let operators = join(running.operators());
+    let callers = running.caller_addresses();
+    let operators = join(running.operator_addresses());
     out.line(format!("installation {}", file.name))?;
     out.line(format!("  callers:   {}", join(callers.clone())))?;
     out.line(format!("  operators: {operators}"))?;
--- a/crates/pond-command/src/command/role.rs
+++ b/crates/pond-command/src/command/role.rs
@@ -30,7 +30,7 @@
         call.value("settings").ok_or_else(|| call.usage_error("--settings FILE is missing"))?;
     match load(Path::new(file))? {
         File::Process(process) => {
-            let log = pond_log::start(process.log).new(pond_log::name(&process.name));
+            let log = pond_log::start(process.log).new(pond_log::process_name(&process.name));
             Ok((*process, log))
         }
         _ => Err(call.usage_error(format!("{file} is not a settings file of a process"))),
--- a/crates/pond-command/tests/check.rs
+++ b/crates/pond-command/tests/check.rs
@@ -40,7 +40,7 @@
 fn errors_have_their_position() {
     let valid = "role: entry\nname: e\ndata_centre: dc\nlisten: { callers: '127.0.0.1:1' }\n\
                 control: [{ name: c, internal: '127.0.0.1:2', operator: '127.0.0.1:3' }]\n";
-    assert_eq!(check("good", valid), [""; 0]);
+    assert_eq!(check("valid", valid), [""; 0]);
     let table = [
         ("twice", format!("{valid}name: f\n"), "6:1: duplicate key 'name'"),
         (
--- a/crates/pond-command/tests/contracts.rs
+++ b/crates/pond-command/tests/contracts.rs
@@ -59,7 +59,7 @@
     let mut operator = Operator { runtime, client: Client::new(), address: String::new() };
     // Only the leader answers a read; the other replicas name it in a header.
     let mut hints = Vec::new();
-    for address in running.installation.operators() {
+    for address in running.installation.operator_addresses() {
         let replica = Operator { address: address.to_string(), ..operator };
         let reply = replica.get("/v1/units");
         operator = replica;
--- a/crates/pond-command/tests/local.rs
+++ b/crates/pond-command/tests/local.rs
@@ -33,7 +33,7 @@
     let running = start(&example("found-property-matching.yaml"));
     running.wait_for("status", "in force at 12 of 12");
     running.wait_for("get units", "10/10");
-    let entry = running.installation.callers()[0].to_string();
+    let entry = running.installation.caller_addresses()[0].to_string();
     let reply = runtime().block_on(send(&Client::new(), &entry, "counter-query", "passport 7"));
     let reply = reply.expect("an answer");
     assert_eq!(outcome(&reply), "answered");
@@ -50,7 +50,7 @@
 fn invalid_requests_are_answered_as_not_run() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
-    let entry = running.installation.callers()[0].to_string();
+    let entry = running.installation.caller_addresses()[0].to_string();
     let client = Client::new();
     let table: [(&str, &str, &str, u16); 6] = [
         ("/v1/services/checkout", "pondbay-repeatable", "perhaps", 400),
@@ -81,7 +81,7 @@
 fn resent_request_with_the_same_key_runs_once_and_gets_the_same_answer() {
     let running = start(&example("ledgerline.yaml"));
     running.wait_for("get units", "10/10");
-    let entries = running.installation.callers();
+    let entries = running.installation.caller_addresses();
     let runtime = runtime();
     let client = Client::new();
     let send = |entry: usize, body: &str| {
@@ -184,7 +184,7 @@
 }
 
 fn addresses(running: &support::Running) -> Vec<String> {
-    running.installation.callers().iter().map(ToString::to_string).collect()
+    running.installation.caller_addresses().iter().map(ToString::to_string).collect()
 }
 
 #[test]
--- a/crates/pond-command/tests/support/mod.rs
+++ b/crates/pond-command/tests/support/mod.rs
@@ -39,7 +39,7 @@
     let log = Log { format: LogFormat::Silent, debug: false };
     let options = Options { log, ..Options::default() };
     let installation = Installation::start(file, &options, pond_log::silent()).expect("it starts");
-    let addresses = installation.operators().iter().map(ToString::to_string).collect();
+    let addresses = installation.operator_addresses().iter().map(ToString::to_string).collect();
     let client = Client::new(addresses, None).expect("a client");
     let running = Running { installation, client };
     let request = "test-start".to_owned();
@@ -53,7 +53,7 @@
     /// Returns the operator addresses as the value of `--control`.
     pub fn control(&self) -> String {
         let addresses: Vec<String> =
-            self.installation.operators().iter().map(ToString::to_string).collect();
+            self.installation.operator_addresses().iter().map(ToString::to_string).collect();
         addresses.join(",")
     }
 
--- a/crates/pond-load/src/plan.rs
+++ b/crates/pond-load/src/plan.rs
@@ -21,7 +21,7 @@
     /// Requests per second.
     pub rate: f64,
     /// Duration of the load.
-    pub time: Duration,
+    pub duration: Duration,
     /// Share of repeatable requests, from 0 to 1.
     pub repeatable: f64,
     /// Share of requests with an idempotency key among the others, from 0 to 1.
@@ -38,12 +38,12 @@
 
 impl Plan {
     /// Creates a load of repeatable requests for one service.
-    pub fn new(target: Target, service: &str, rate: f64, time: Duration) -> Plan {
+    pub fn new(target: Target, service: &str, rate: f64, duration: Duration) -> Plan {
         Plan {
             target,
             services: vec![service.to_owned()],
             rate,
-            time,
+            duration,
             repeatable: 1.0,
             keyed: 0.0,
             deadline_ms: 10_000,
--- a/crates/pond-load/src/plot.rs
+++ b/crates/pond-load/src/plot.rs
@@ -29,10 +29,10 @@
          fill=\"white\"/>\n<text x=\"{MARGIN}\" y=\"24\" font-size=\"15\">{title}</text>\n"
     );
     for (i, (_, label)) in QUANTILES.iter().enumerate() {
-        let left = x(i as f64);
+        let tick_x = x(i as f64);
         text.push_str(&format!(
-            "<line x1=\"{left}\" y1=\"{MARGIN}\" x2=\"{left}\" y2=\"{}\" stroke=\"#dddddd\"/>\
-             <text x=\"{left}\" y=\"{}\" text-anchor=\"middle\">{label}</text>\n",
+            "<line x1=\"{tick_x}\" y1=\"{MARGIN}\" x2=\"{tick_x}\" y2=\"{}\" stroke=\"#dddddd\"/>\
+             <text x=\"{tick_x}\" y=\"{}\" text-anchor=\"middle\">{label}</text>\n",
             HEIGHT - MARGIN,
             HEIGHT - MARGIN + 18.0
         ));
--- a/crates/pond-load/src/report.rs
+++ b/crates/pond-load/src/report.rs
@@ -53,8 +53,8 @@
 }
 
 impl Report {
-    /// Summarizes the samples of a load that took `time`.
-    pub fn new(name: &str, samples: &[Sample], time: Duration) -> Report {
+    /// Summarizes the samples of a load that took `duration`.
+    pub fn new(name: &str, samples: &[Sample], duration: Duration) -> Report {
         let count = |outcome| samples.iter().filter(|sample| sample.outcome == outcome).count();
         let answered: Vec<&Sample> =
             samples.iter().filter(|sample| sample.outcome == Outcome::Answered).collect();
@@ -62,7 +62,7 @@
         Report {
             name: name.to_owned(),
             asked: samples.len(),
-            answered_per_s: answered.len() as f64 / time.as_secs_f64().max(1e-9),
+            answered_per_s: answered.len() as f64 / duration.as_secs_f64().max(1e-9),
             answered: answered.len(),
             failed: count(Outcome::Failed),
             not_run: count(Outcome::NotRun),
--- a/crates/pond-load/src/run.rs
+++ b/crates/pond-load/src/run.rs
@@ -34,7 +34,7 @@
     let load_start = Instant::now();
     let mut start = Duration::ZERO;
     let mut count = 0;
-    while start < plan.time {
+    while start < plan.duration {
         wait_until(load_start + start);
         let request = new_request(&plan, &mut rng, count);
         let (shared, client, sender) = (plan.clone(), client.clone(), sender.clone());
--- a/crates/pond-local/benches/requests.rs
+++ b/crates/pond-local/benches/requests.rs
@@ -99,7 +99,7 @@
     let client = Client::new();
     runtime.block_on(async {
         loop {
-            for address in running.operators() {
+            for address in running.operator_addresses() {
                 let mut call = Call::new(Method::POST, "/v1/units", body.to_string());
                 let json = HeaderValue::from_static("application/json");
                 call.headers.insert("content-type", json);
@@ -144,7 +144,7 @@
     println!("\n### What pondbay adds to a request\n");
     println!("Two entries, ten endpoints that answer at once, everything on one machine.\n");
     let (running, endpoint) = start(&installation_file(10, 0));
-    let entries: Vec<String> = running.callers().iter().map(ToString::to_string).collect();
+    let entries: Vec<String> = running.caller_addresses().iter().map(ToString::to_string).collect();
     print_heading();
     let through = |rate| Plan::new(Target::Entries(entries.clone()), SERVICE, rate, RUN_TIME);
     measure("warming up", &through(1000.0));
@@ -183,7 +183,7 @@
     println!("\n### Overload\n");
     println!("Two endpoints of 8 slots that take 5 ms; deadline 1 s.\n");
     let (running, _) = start(&installation_file(2, 5000));
-    let entries: Vec<String> = running.callers().iter().map(ToString::to_string).collect();
+    let entries: Vec<String> = running.caller_addresses().iter().map(ToString::to_string).collect();
     print_heading();
     let plan = |rate| {
         Plan::new(Target::Entries(entries.clone()), SERVICE, rate, RUN_TIME).with_deadline_ms(1000)
@@ -200,7 +200,7 @@
 fn measure_with_failures() {
     println!("\n### An endpoint process killed, one slowed, one drained in mid-run\n");
     let (mut running, _) = start(&installation_file(10, 2000));
-    let entries: Vec<String> = running.callers().iter().map(ToString::to_string).collect();
+    let entries: Vec<String> = running.caller_addresses().iter().map(ToString::to_string).collect();
     print_heading();
     let plan = Plan::new(Target::Entries(entries), SERVICE, 2000.0, Duration::from_secs(12))
         .with_shares(0.5, 0.5)
@@ -212,7 +212,7 @@
     if let Some(host) = running.host("vm-2") {
         host.slow_down(1000);
     }
-    running.list().change(|vm| {
+    running.vm_list().change(|vm| {
         if vm.name == "vm-3" {
             vm.presence = pond_proto::Presence::Leaving;
         }
@@ -226,8 +226,8 @@
     let violations = check(&samples, &record).expect("the record parses");
     let lost = samples.iter().filter(|sample| sample.outcome == Outcome::Lost).count();
     println!(
-        "\nAgainst the endpoints' record: {} wrong, {} doubly run, {} run though told not run, {} \
-         answered though not run, {lost} without an answer.",
+        "\nAgainst the endpoints' record: {} wrong, {} doubly run, {} run although reported not \
+         run, {} answered although not run, {lost} without an answer.",
         violations.wrong,
         violations.doubly_run,
         violations.not_run_but_ran,
--- a/crates/pond-local/src/installation.rs
+++ b/crates/pond-local/src/installation.rs
@@ -48,7 +48,7 @@
     }
 
     fn start_process(&mut self, settings: &Settings) -> Result<(), Error> {
-        let log = self.log.new(pond_log::name(&settings.name));
+        let log = self.log.new(pond_log::process_name(&settings.name));
         let name = settings.name.clone();
         match &settings.role {
             Role::Control(_) => {
@@ -70,12 +70,12 @@
     }
 
     /// Returns the addresses for callers, one per entry.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.entries.values().map(pond_entry::Process::address).collect()
     }
 
     /// Returns the addresses for operators, one per control replica.
-    pub fn operators(&self) -> Vec<SocketAddr> {
+    pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         self.plan.control[0].replicas.iter().map(|replica| replica.operator).collect()
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Returns the platform's VM list.
-    pub fn list(&self) -> &LaggingList {
+    pub fn vm_list(&self) -> &LaggingList {
         &self.standins.list
     }
 
--- a/crates/pond-local/src/plan.rs
+++ b/crates/pond-local/src/plan.rs
@@ -34,7 +34,7 @@
     /// VMs as listed by the platform.
     pub vms: Vec<Vm>,
     /// Address of the platform's VM list.
-    pub list: SocketAddr,
+    pub list_address: SocketAddr,
 }
 
 /// Offset of the ports for callers from the ports for operators.
@@ -106,7 +106,7 @@
         let replicas: Vec<Replica> = (0..installation.control)
             .map(|i| replica(&mut ports, i, port(0, i)))
             .collect::<Result<_, _>>()?;
-        let list = ports.free()?;
+        let list_address = ports.free()?;
         let process = |name: String, data_centre: String, role: Role| Process {
             name,
             data_centre,
@@ -121,7 +121,7 @@
             let role = Role::Control(Control {
                 listen: Listen { internal: replica.internal, operator: replica.operator },
                 data_folder: folder.join(&replica.name),
-                platform: list,
+                platform: list_address,
                 lease: installation.lease,
                 operator_tokens: None,
             });
@@ -143,7 +143,7 @@
             entries: entries.collect(),
             endpoints: endpoints.collect(),
             vms: vms.clone(),
-            list,
+            list_address,
         })
     }
 }
--- a/crates/pond-local/src/standins.rs
+++ b/crates/pond-local/src/standins.rs
@@ -43,9 +43,9 @@
             listeners.push((listen_worker(vm)?, host.clone()));
             hosts.insert(vm.name.clone(), host);
         }
-        let list_listener = listen(plan.list)?;
-        let record_listener = listen((plan.list.ip(), 0).into())?;
-        let record_address = record_listener.local_addr().unwrap_or(plan.list);
+        let list_listener = listen(plan.list_address)?;
+        let record_listener = listen((plan.list_address.ip(), 0).into())?;
+        let record_address = record_listener.local_addr().unwrap_or(plan.list_address);
         let mut threads = Threads::new();
         let (thread_list, thread_stop, thread_record) =
             (list.clone(), stop.clone(), record.clone());
--- a/crates/pond-log/src/events.rs
+++ b/crates/pond-log/src/events.rs
@@ -177,7 +177,7 @@
     TASK_SUSPECTED = 623, Warning, "worker was lost with a task that may have caused the loss",
         "nothing: the task is isolated until it has survived; check the task if this persists";
     TASK_GIVEN_UP = 624, Error,
-        "task is given up because its workers are repeatedly lost; its job has failed",
+        "task is given up because workers were lost with it; its job has failed",
         "check the task's program; 623 names the workers lost with it";
     TASK_CLEARED = 625, Info, "task suspected of causing worker losses has survived", "nothing";
     END_DROPPED = 626, Warning,
--- a/crates/pond-log/src/lib.rs
+++ b/crates/pond-log/src/lib.rs
@@ -7,7 +7,7 @@
 mod logger;
 mod metrics;
 
-pub use logger::{Logger, name, silent, start, start_stdout};
+pub use logger::{Logger, process_name, silent, start, start_stdout};
 pub use metrics::Metrics;
 #[doc(hidden)]
 pub use slog;
--- a/crates/pond-log/src/logger.rs
+++ b/crates/pond-log/src/logger.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns the process name as a key-value pair for every line of its logger.
-pub fn name(name: &str) -> slog::OwnedKV<impl slog::SendSyncRefUnwindSafeKV + use<>> {
+pub fn process_name(name: &str) -> slog::OwnedKV<impl slog::SendSyncRefUnwindSafeKV + use<>> {
     o!("process" => name.to_owned())
 }
 
--- a/crates/pond-settings/src/error.rs
+++ b/crates/pond-settings/src/error.rs
@@ -19,7 +19,7 @@
     },
     /// The file is invalid.
     #[snafu(display("{}", render(file, findings)))]
-    Bad {
+    Invalid {
         /// Name of the file.
         file: String,
         /// All findings, in the order of the file.
@@ -32,16 +32,16 @@
         Error::Read { file: file.to_owned(), source }
     }
 
-    pub(crate) fn bad(findings: Findings) -> Error {
+    pub(crate) fn invalid(findings: Findings) -> Error {
         let (file, findings) = findings.into_parts();
-        Error::Bad { file, findings }
+        Error::Invalid { file, findings }
     }
 
     /// Returns the findings of an invalid file, or none if it could not be read.
     pub fn findings(&self) -> &[Finding] {
         match self {
             Error::Read { .. } => &[],
-            Error::Bad { findings, .. } => findings,
+            Error::Invalid { findings, .. } => findings,
         }
     }
 }
--- a/crates/pond-settings/src/lib.rs
+++ b/crates/pond-settings/src/lib.rs
@@ -42,7 +42,7 @@
 /// Reads a file of any kind. The key `role`, `installation` or `units` determines the kind.
 ///
 /// # Errors
-/// [`Error::Read`] if the file cannot be read, [`Error::Bad`] with all findings if it is invalid.
+/// [`Error::Read`] if the file cannot be read, [`Error::Invalid`] with all findings if it is invalid.
 pub fn load(path: &Path) -> Result<File, Error> {
     let name = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|source| Error::read(&name, source))?;
@@ -52,11 +52,11 @@
 /// Parses the text of a file of any kind; `name` is the file name in the findings.
 ///
 /// # Errors
-/// [`Error::Bad`] with all findings.
+/// [`Error::Invalid`] with all findings.
 pub fn parse(name: &str, text: &str) -> Result<File, Error> {
     let findings = Findings::new(name);
     let Some(root) = tree::parse(text, &findings) else {
-        return Err(Error::bad(findings));
+        return Err(Error::invalid(findings));
     };
     let reader = Reader::new(&root, &findings);
     let file = if reader.has("role") {
@@ -71,8 +71,8 @@
             "this is not a pondbay file",
             "start it with 'role:' (settings), 'installation:' (local) or 'units:' (apply)",
         );
-        return Err(Error::bad(findings));
+        return Err(Error::invalid(findings));
     };
     reader.finish();
-    if findings.is_empty() { Ok(file) } else { Err(Error::bad(findings)) }
+    if findings.is_empty() { Ok(file) } else { Err(Error::invalid(findings)) }
 }
--- a/crates/pond-settings/src/unit_file.rs
+++ b/crates/pond-settings/src/unit_file.rs
@@ -16,7 +16,7 @@
 /// Reads the text of a unit file.
 ///
 /// # Errors
-/// [`Error::Read`] or [`Error::Bad`] as [`crate::parse`]; [`Error::Bad`] if the file is of another
+/// [`Error::Read`] or [`Error::Invalid`] as [`crate::parse`]; [`Error::Invalid`] if the file is of another
 /// kind.
 pub fn parse(name: &str, text: &str) -> Result<Vec<Unit>, Error> {
     match crate::parse(name, text)? {
@@ -25,7 +25,7 @@
             let findings = crate::Findings::new(name);
             let help = "start it with 'units:'";
             findings.add(Default::default(), "this is not a unit file", help);
-            Err(Error::bad(findings))
+            Err(Error::invalid(findings))
         }
     }
 }
