--- a/crates/pond-settings/src/unit_file.rs
+++ b/crates/pond-settings/src/unit_file.rs
@@ -13,11 +13,10 @@
 /// Default for the maximum number of concurrent requests per service and entry.
 const DEFAULT_CONCURRENCY: u64 = 256;
 
-/// Reads the text of a unit file.
+/// Parses the text of a unit file.
 ///
 /// # Errors
-/// [`Error::Read`] or [`Error::Invalid`] as [`crate::parse`]; [`Error::Invalid`] if the file is of another
-/// kind.
+/// [`Error::Invalid`] with all findings, also if the file is of another kind.
 pub fn parse(name: &str, text: &str) -> Result<Vec<Unit>, Error> {
     match crate::parse(name, text)? {
         File::Units(units) => Ok(units),
