--- a/crates/pond-local/src/record.rs
+++ b/crates/pond-local/src/record.rs
@@ -21,7 +21,7 @@
 
     fn answer(&self, call: &Call) -> Reply {
         if call.path != "/v1/record" {
-            return Reply::new(StatusCode::NOT_FOUND, "not found; the only path is /v1/record\n");
+            return Reply::new(StatusCode::NOT_FOUND, "only /v1/record is here\n");
         }
         if call.method == Method::DELETE {
             self.record.clear();
