--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -50,11 +50,11 @@
     /// See [`Error`]; no thread is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Control(control) = &settings.role else {
-            return Err(Error::Role { wanted: "control" });
+            return Err(Error::Role { expected: "control" });
         };
         let internal = listen(control.listen.internal)?;
         let tokens = Tokens::new(control.operator_tokens.clone())?;
-        let failed = |error: pond_store::Error| Error::Store { what: error.to_string() };
+        let failed = |error: pond_store::Error| Error::Store { reason: error.to_string() };
         let folder = Folder::open(&control.data_folder).map_err(failed)?;
         let (store, recovered) = Store::open(Box::new(folder)).map_err(failed)?;
         let clock = Clock::new();
@@ -77,7 +77,7 @@
             orders,
             times: Times {
                 lease_ms: lease.span_ms,
-                lease_expiry_ms: lease.surely_over_ms(),
+                lease_expiry_ms: lease.expiry_ms(),
                 renew_ms: lease.renew_ms,
                 drain_ms: MAX_DRAIN_MS,
                 grace_ms: STOP_GRACE_MS,
@@ -170,7 +170,7 @@
                 }
             }
         })?;
-        ready.recv().unwrap_or(Err(Error::Operator { what: "its thread ended".to_owned() }))
+        ready.recv().unwrap_or(Err(Error::Operator { reason: "its thread ended".to_owned() }))
     }
 
     fn start_platform(
@@ -193,7 +193,7 @@
         if let Some(thread) = self.decider.take() {
             let _ = thread.join();
         }
-        self.threads.cut_short();
+        self.threads.abort();
     }
 
     /// Stops the process as planned: hands leadership over, then ends all threads. Returns whether
@@ -201,7 +201,7 @@
     pub fn stop(mut self) -> bool {
         let _ = self.input_sender.send(Input::Stop);
         let succeeded = self.decider.take().is_some_and(|thread| thread.join().unwrap_or(false));
-        self.threads.cut_short();
+        self.threads.abort();
         event!(self.log, STOPPED);
         succeeded
     }
--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -114,7 +114,7 @@
             },
         );
         if recovered.truncated_bytes > 0 {
-            event!(parts.log, TORN_END, "bytes" => recovered.truncated_bytes);
+            event!(parts.log, LOG_TRUNCATED, "bytes" => recovered.truncated_bytes);
         }
         let state = match &recovered.snapshot {
             Some(snapshot) => State::decode(&snapshot.data).map_err(|error| error.to_string())?,
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -28,7 +28,7 @@
     /// See [`Error`]. No thread is left running.
     pub fn start(settings: &Settings, log: Logger) -> Result<Process, Error> {
         let SettingsRole::Endpoint(endpoint) = &settings.role else {
-            return Err(Error::Role { wanted: "endpoint" });
+            return Err(Error::Role { expected: "endpoint" });
         };
         let listener = listen(endpoint.internal)?;
         let address = listener.local_addr().unwrap_or(endpoint.internal);
@@ -74,6 +74,6 @@
 
     /// Ends at once, as if the process had been killed.
     pub fn kill(self) {
-        self.threads.cut_short();
+        self.threads.abort();
     }
 }
--- a/crates/pond-replica/src/audit.rs
+++ b/crates/pond-replica/src/audit.rs
@@ -39,7 +39,7 @@
                 obstacles,
             } => {
                 let count = |obstacle| obstacles.count(obstacle);
-                event!(self.log, JOB_WAITS, "job" => format!("{job:016x}"), "step" => step,
+                event!(self.log, JOB_WAITING, "job" => format!("{job:016x}"), "step" => step,
                     "tasks" => tasks, "placed" => placed, "since_ms" => waited_ms, "still_ms" => starved_ms, "image" => image,
                     "elsewhere" => count(Obstacle::Unsuitable),
                     "evacuated" => count(Obstacle::Evacuated),
@@ -51,7 +51,7 @@
                     "no_ticket" => count(Obstacle::NoTicket), "harm" => count(Obstacle::Interference));
             }
             Decision::Forced { run, worker, starved_ms } => {
-                event!(self.log, RUN_TRIED, "run" => run.to_string(), "worker" => worker,
+                event!(self.log, RUN_FORCED, "run" => run.to_string(), "worker" => worker,
                     "still_ms" => starved_ms);
             }
             Decision::Absent {
@@ -69,7 +69,7 @@
                     "told" => known_to_agent, "stops" => stopping, "orders" => orders);
             }
             Decision::Unhealthy { worker, backoff_ms } => {
-                event!(self.log, WORKER_SICK, "worker" => worker, "for_ms" => backoff_ms);
+                event!(self.log, WORKER_UNHEALTHY, "worker" => worker, "for_ms" => backoff_ms);
             }
         }
     }
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -286,7 +286,7 @@
 /// Returns the state of the newest snapshot, or an empty state. Logs a truncated end of the log files.
 fn recovered_state(recovered: &Recovered, log: &Logger) -> Result<State, String> {
     if recovered.truncated_bytes > 0 {
-        event!(log, TORN_END, "bytes" => recovered.truncated_bytes);
+        event!(log, LOG_TRUNCATED, "bytes" => recovered.truncated_bytes);
     }
     match &recovered.snapshot {
         Some(snapshot) => State::decode(&snapshot.data),
--- a/crates/pond-replica/tests/support/mod.rs
+++ b/crates/pond-replica/tests/support/mod.rs
@@ -67,7 +67,7 @@
         },
     };
     let files = Store::open(Box::new(disk)).expect("opens");
-    let (metrics, log) = (Metrics::kept(), pond_log::silent());
+    let (metrics, log) = (Metrics::in_memory(), pond_log::silent());
     let adviser = Arc::new(NoAdviser);
     let started = Replica::start(settings, files, listener, adviser, Clock::new(), metrics, log);
     let (replica, handle) = started.expect("it starts");
