--- a/crates/pond-control/benches/capacity.rs
+++ b/crates/pond-control/benches/capacity.rs
@@ -173,7 +173,7 @@
         endpoint: None,
     };
     let tasks = state.tasks_on(vm).map(status).collect();
-    Answer::Lease(LeaseAnswer { stamp: Stamp { life: 1, ms: now }, tasks })
+    Answer::Lease(LeaseAnswer { stamp: Stamp { incarnation: 1, ms: now }, tasks })
 }
 
 fn usage(state: &State, vm: VmKey, now: u64) -> Vec<Measured> {
@@ -224,7 +224,7 @@
     let state = fleet(100);
     let vm = VmKey(0);
     let tasks: Vec<_> = state.tasks_on(vm).map(|task| task.key).collect();
-    let stamp = Stamp { life: u64::MAX / 3, ms: 1_000_000_000 };
+    let stamp = Stamp { incarnation: u64::MAX / 3, ms: 1_000_000_000 };
     let json = |value: &dyn Fn() -> serde_json::Result<String>| value().map_or(0, |t| t.len());
     let order = pond_platform::Lease { term: 12, stamp: Some(stamp), lease_ms: 10_000, tasks };
     let Answer::Lease(answer) = lease(&state, vm, 1_000_000_000) else { return };
--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -13,7 +13,7 @@
 
 use pond_control::Process;
 use pond_http::{Call, Client, Method};
-use pond_link::{EventKind, LinkKey, Terms, dial};
+use pond_link::{Config, EventKind, LinkKey, dial};
 use pond_proto::Life;
 use pond_proto::operator::{Origin, QuotaOrder, Status};
 use pond_proto::quorum::{Entry, Kind};
@@ -233,9 +233,10 @@
     let (events, mut happened) = mpsc::channel(65_536);
     let mut key = 0;
     for node in 0..NODES {
-        let terms = Terms::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
+        let terms =
+            Config::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
         let terms = terms.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
-        let terms = Arc::new(terms.with_times(pond_follow::BEAT, pond_follow::SILENCE));
+        let terms = Arc::new(terms.with_heartbeat(pond_follow::BEAT, pond_follow::SILENCE));
         for replica in &replicas {
             tokio::spawn(dial(replica.internal, LinkKey(key), terms.clone(), events.clone()));
             key += 1;
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -5,7 +5,7 @@
 use std::thread::{self, JoinHandle};
 
 use crossbeam_channel::{Sender, bounded};
-use pond_link::{LinkKey, Terms};
+use pond_link::{Config, LinkKey};
 use pond_log::{Logger, event};
 use pond_platform::{HttpPlatform, Platform};
 use pond_process::{Error, Threads, listen, read_token};
@@ -125,10 +125,10 @@
         let token = read_token(settings)?;
         let limits = settings.limits;
         let terms =
-            Terms::new(Role::Control, &settings.name, &settings.data_centre, Life::random())
+            Config::new(Role::Control, &settings.name, &settings.data_centre, Life::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_address(&address.unwrap_or_default())
-                .with_times(pond_follow::BEAT, pond_follow::SILENCE)
+                .with_heartbeat(pond_follow::BEAT, pond_follow::SILENCE)
                 .with_token(&token);
         let terms = Arc::new(terms);
         // One link for each pair: the replica whose name comes first dials.
--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -47,7 +47,7 @@
             Some((_, name)) => {
                 event!(self.parts.log, LINK_DOWN, "peer" => name, "why" => error.to_string());
             }
-            None if link.accepted() => {
+            None if link.is_accepted() => {
                 event!(self.parts.log, LINK_REFUSED, "why" => error.to_string());
             }
             None => {}
--- a/crates/pond-control/tests/leases.rs
+++ b/crates/pond-control/tests/leases.rs
@@ -258,7 +258,7 @@
         for place in &mut self.places {
             place.worker.tick(Millis(self.now * place.rate / 1000));
             let mut taken = Size::default();
-            for held in place.worker.tasks().values().filter(|held| held.runs()) {
+            for held in place.worker.tasks().values().filter(|held| held.is_active()) {
                 *running.entry(held.start.unit.clone()).or_default() += 1;
                 taken = taken.plus(held.start.size);
             }
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pond_link::Terms;
+use pond_link::Config;
 use pond_log::{Logger, event};
 use pond_process::{Error, Threads, listen, read_token};
 use pond_proto::Life;
@@ -34,7 +34,7 @@
         let address = listener.local_addr().unwrap_or(endpoint.internal);
         let limits = settings.limits;
         let terms =
-            Terms::new(Role::Endpoint, &settings.name, &settings.data_centre, Life::random())
+            Config::new(Role::Endpoint, &settings.name, &settings.data_centre, Life::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_address(&address.to_string())
                 .with_token(&read_token(settings)?);
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -7,7 +7,7 @@
 use pond_clock::Clock;
 use pond_follow::{Control, Told};
 use pond_http::{Call, Client, HeaderMap, HeaderName, HeaderValue, Method};
-use pond_link::{Event, EventKind, LinkKey, Sender, Terms, accept};
+use pond_link::{Config, Event, EventKind, LinkKey, Sender, accept};
 use pond_log::{Logger, event};
 use pond_proto::Micros;
 use pond_proto::wire::{Body, OfferId};
@@ -35,7 +35,7 @@
     /// All control replicas.
     pub replicas: Vec<Replica>,
     /// Who this process is.
-    pub terms: Terms,
+    pub terms: Config,
     /// Tells it to stop as planned.
     pub stop: oneshot::Receiver<()>,
     /// Longest time for a planned stop.
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pond_http::{Limits, Stop, serve};
-use pond_link::Terms;
+use pond_link::Config;
 use pond_log::{Logger, Metrics, event};
 use pond_process::{Error, Threads, listen, read_token};
 use pond_proto::Life;
@@ -40,7 +40,7 @@
         let listener = listen(entry.callers)?;
         let address = listener.local_addr().unwrap_or(entry.callers);
         let limits = settings.limits;
-        let terms = Terms::new(Role::Entry, &settings.name, &settings.data_centre, Life::random())
+        let terms = Config::new(Role::Entry, &settings.name, &settings.data_centre, Life::random())
             .with_limits(limits.frame_bytes, limits.link_queue)
             .with_token(&read_token(settings)?);
         let metrics =
@@ -86,7 +86,7 @@
     fn start_router(
         &mut self,
         settings: &Settings,
-        terms: Terms,
+        terms: Config,
         asked: mpsc::Receiver<Asked>,
         metrics: Metrics,
     ) -> Result<(), Error> {
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -6,7 +6,7 @@
 
 use pond_clock::Clock;
 use pond_follow::{Control, Told};
-use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
+use pond_link::{Config, Event, EventKind, LinkKey, Sender, dial};
 use pond_log::{Logger, Metrics, event};
 use pond_proto::wire::{Body, Content, FateAsk, OfferId, RequestId};
 use pond_proto::{Micros, Span};
@@ -45,7 +45,7 @@
     /// All control replicas.
     pub replicas: Vec<Replica>,
     /// Who this process is.
-    pub terms: Terms,
+    pub terms: Config,
     /// Requests from the callers' thread; its end means that the entry stops.
     pub asked: mpsc::Receiver<Asked>,
     /// The logger.
@@ -66,7 +66,7 @@
     router: Router,
     control: Control,
     links: BTreeMap<LinkKey, ProcessLink>,
-    terms: Arc<Terms>,
+    terms: Arc<Config>,
     events: mpsc::Sender<Event>,
     waiting: HashMap<RequestId, oneshot::Sender<(RequestId, Finish)>>,
     next_number: u64,
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
+use pond_link::{Config, Event, EventKind, LinkKey, Sender, dial};
 use pond_log::{Logger, event};
 use pond_proto::view::Delta;
 use pond_proto::wire::{Body, ClaimTell, ViewAck};
@@ -55,11 +55,11 @@
     /// Starts to dial all replicas on the current runtime.
     pub fn start(
         replicas: &[Replica],
-        terms: &Arc<Terms>,
+        terms: &Arc<Config>,
         events: &mpsc::Sender<Event>,
         log: Logger,
     ) -> Control {
-        let calm = terms.as_ref().clone().with_times(BEAT, SILENCE);
+        let calm = terms.as_ref().clone().with_heartbeat(BEAT, SILENCE);
         let terms = Arc::new(calm);
         let mut peers = BTreeMap::new();
         for (i, replica) in replicas.iter().enumerate() {
--- a/crates/pond-link/src/accept.rs
+++ b/crates/pond-link/src/accept.rs
@@ -7,12 +7,12 @@
 use tokio::sync::{Semaphore, mpsc};
 
 use crate::event::{Event, EventKind, LinkKey};
-use crate::{Error, Terms, pump};
+use crate::{Config, Error, pump};
 
 /// Accepts links until the receiver of the events is gone or the task is ended.
 ///
 /// Beyond [`Terms::links`] open links, new connections are closed at once.
-pub async fn accept(listener: TcpListener, terms: Arc<Terms>, events: mpsc::Sender<Event>) {
+pub async fn accept(listener: TcpListener, terms: Arc<Config>, events: mpsc::Sender<Event>) {
     let room = Arc::new(Semaphore::new(terms.links));
     let keys = AtomicU64::new(LinkKey::FIRST_ACCEPTED);
     while !events.is_closed() {
@@ -34,7 +34,7 @@
     }
 }
 
-async fn serve(stream: TcpStream, link: LinkKey, terms: Arc<Terms>, events: mpsc::Sender<Event>) {
+async fn serve(stream: TcpStream, link: LinkKey, terms: Arc<Config>, events: mpsc::Sender<Event>) {
     match pump::shake_hands(stream, &terms).await {
         Ok((wire, hello)) => pump::run(wire, hello, link, terms, events).await,
         Err(error) => {
--- a/crates/pond-link/src/dial.rs
+++ b/crates/pond-link/src/dial.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::event::{Event, EventKind, LinkKey};
-use crate::{Error, Terms, pump};
+use crate::{Config, Error, pump};
 
 /// The first wait before a link is tried again.
 const FIRST_WAIT: Duration = Duration::from_millis(50);
@@ -25,7 +25,7 @@
 pub async fn dial(
     address: SocketAddr,
     link: LinkKey,
-    terms: Arc<Terms>,
+    terms: Arc<Config>,
     events: mpsc::Sender<Event>,
 ) {
     let mut wait = FIRST_WAIT;
@@ -51,7 +51,7 @@
 
 async fn connect(
     address: SocketAddr,
-    terms: &Terms,
+    terms: &Config,
 ) -> Result<(pump::Wire, pond_proto::wire::Hello), Error> {
     let silent = |_| Error::Silent { ms: terms.silence.as_millis() };
     let stream = timeout(terms.silence, TcpStream::connect(address)).await.map_err(silent)??;
--- a/crates/pond-link/src/event.rs
+++ b/crates/pond-link/src/event.rs
@@ -16,7 +16,7 @@
     pub(crate) const FIRST_ACCEPTED: u64 = 1 << 32;
 
     /// Whether the other end dialled.
-    pub fn accepted(self) -> bool {
+    pub fn is_accepted(self) -> bool {
         self.0 >= LinkKey::FIRST_ACCEPTED
     }
 }
--- a/crates/pond-link/src/lib.rs
+++ b/crates/pond-link/src/lib.rs
@@ -16,4 +16,4 @@
 pub use dial::dial;
 pub use error::Error;
 pub use event::{Event, EventKind, LinkKey, Sender};
-pub use terms::Terms;
+pub use terms::Config;
--- a/crates/pond-link/src/pump.rs
+++ b/crates/pond-link/src/pump.rs
@@ -12,7 +12,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use crate::event::{Event, EventKind, LinkKey, Sender};
-use crate::{Error, Terms};
+use crate::{Config, Error};
 
 /// A connection that carries frames.
 pub type Wire = Framed<TcpStream, LengthDelimitedCodec>;
@@ -21,7 +21,7 @@
 const FLUSH_FRAMES: usize = 64;
 
 /// Sends the own hello and checks the other end's.
-pub async fn shake_hands(stream: TcpStream, terms: &Terms) -> Result<(Wire, Hello), Error> {
+pub async fn shake_hands(stream: TcpStream, terms: &Config) -> Result<(Wire, Hello), Error> {
     stream.set_nodelay(true)?;
     let codec = LengthDelimitedCodec::builder().max_frame_length(terms.frame_bytes).new_codec();
     let mut wire = Framed::new(stream, codec);
@@ -45,7 +45,7 @@
     wire: Wire,
     hello: Hello,
     link: LinkKey,
-    terms: Arc<Terms>,
+    terms: Arc<Config>,
     events: mpsc::Sender<Event>,
 ) {
     let address = match wire.get_ref().peer_addr() {
@@ -72,7 +72,7 @@
 async fn write_frames(
     mut sink: futures::stream::SplitSink<Wire, Bytes>,
     mut waiting: mpsc::Receiver<Body>,
-    terms: &Terms,
+    terms: &Config,
 ) -> Error {
     let mut batch = Vec::with_capacity(FLUSH_FRAMES);
     loop {
@@ -97,7 +97,7 @@
 async fn read_frames(
     mut stream: futures::stream::SplitStream<Wire>,
     link: LinkKey,
-    terms: &Terms,
+    terms: &Config,
     events: &mpsc::Sender<Event>,
 ) -> Error {
     let silence = tokio::time::sleep(terms.silence);
--- a/crates/pond-link/src/terms.rs
+++ b/crates/pond-link/src/terms.rs
@@ -7,7 +7,7 @@
 
 /// Who this process is and how its links are limited.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct Config {
     /// The hello that it sends.
     pub hello: Hello,
     /// Largest frame, in bytes.
@@ -22,9 +22,9 @@
     pub links: usize,
 }
 
-impl Terms {
+impl Config {
     /// Terms with default limits.
-    pub fn new(role: Role, name: &str, data_centre: &str, life: Life) -> Terms {
+    pub fn new(role: Role, name: &str, data_centre: &str, life: Life) -> Config {
         let hello = Hello {
             version: VERSION,
             role: role as i32,
@@ -34,7 +34,7 @@
             token: String::new(),
             address: String::new(),
         };
-        Terms {
+        Config {
             hello,
             frame_bytes: 4 << 20,
             queue: 1024,
@@ -45,26 +45,26 @@
     }
 
     /// Sets the limits of frames and queues.
-    pub fn with_limits(mut self, frame_bytes: usize, queue: usize) -> Terms {
+    pub fn with_limits(mut self, frame_bytes: usize, queue: usize) -> Config {
         self.frame_bytes = frame_bytes;
         self.queue = queue;
         self
     }
 
     /// States where this process takes internal links.
-    pub fn with_address(mut self, address: &str) -> Terms {
+    pub fn with_address(mut self, address: &str) -> Config {
         self.hello.address = address.to_owned();
         self
     }
 
     /// Sets how often heartbeats go out, and after what silence a link is lost.
-    pub fn with_times(mut self, beat: Duration, silence: Duration) -> Terms {
+    pub fn with_heartbeat(mut self, beat: Duration, silence: Duration) -> Config {
         (self.beat, self.silence) = (beat, silence);
         self
     }
 
     /// Sets the token that both ends must know.
-    pub fn with_token(mut self, token: &str) -> Terms {
+    pub fn with_token(mut self, token: &str) -> Config {
         self.hello.token = token.to_owned();
         self
     }
--- a/crates/pond-link/tests/hostile.rs
+++ b/crates/pond-link/tests/hostile.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pond_link::{Error, Event, EventKind, Terms, accept};
+use pond_link::{Config, Error, Event, EventKind, accept};
 use pond_proto::Life;
 use pond_proto::wire::{Beat, Body, Frame, Hello, Role, VERSION};
 use prost::Message;
@@ -12,11 +12,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-fn terms() -> Terms {
-    Terms::new(Role::Endpoint, "endpoint", "here", Life(1))
+fn terms() -> Config {
+    Config::new(Role::Endpoint, "endpoint", "here", Life(1))
         .with_limits(4096, 16)
         .with_token("secret")
-        .with_times(Duration::from_millis(50), Duration::from_millis(300))
+        .with_heartbeat(Duration::from_millis(50), Duration::from_millis(300))
 }
 
 fn hello() -> Hello {
@@ -30,7 +30,7 @@
     }
 }
 
-async fn listen(terms: Terms) -> (SocketAddr, mpsc::Receiver<Event>) {
+async fn listen(terms: Config) -> (SocketAddr, mpsc::Receiver<Event>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
     let (events, happened) = mpsc::channel(64);
@@ -97,7 +97,7 @@
 
 #[tokio::test]
 async fn links_beyond_the_limit_are_closed_at_once() {
-    let (address, mut happened) = listen(Terms { links: 2, ..terms() }).await;
+    let (address, mut happened) = listen(Config { links: 2, ..terms() }).await;
     let mut streams = Vec::new();
     for _ in 0..3 {
         let mut stream = TcpStream::connect(address).await.expect("connects");
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pond_link::{Error, Event, EventKind, LinkKey, Sender, Terms, accept, dial};
+use pond_link::{Config, Error, Event, EventKind, LinkKey, Sender, accept, dial};
 use pond_proto::Life;
 use pond_proto::wire::{Beat, Body, Role};
 use pond_test::{SwallowProxy, Swallowed};
@@ -76,8 +76,8 @@
     }
 }
 
-fn terms(role: Role, life: u64) -> Arc<Terms> {
-    Arc::new(Terms::new(role, "name", "here", Life(life)).with_times(BEAT, SILENCE))
+fn terms(role: Role, life: u64) -> Arc<Config> {
+    Arc::new(Config::new(role, "name", "here", Life(life)).with_heartbeat(BEAT, SILENCE))
 }
 
 /// A dialled link through a proxy, and its two ends: the dialling and the listening one.
--- a/crates/pond-platform/src/contract.rs
+++ b/crates/pond-platform/src/contract.rs
@@ -123,7 +123,7 @@
 
     async fn foreign_stamp(&self) -> Result<(), String> {
         let stamp = self.stamp().await?;
-        let foreign = Stamp { life: stamp.life ^ 1, ms: stamp.ms };
+        let foreign = Stamp { incarnation: stamp.incarnation ^ 1, ms: stamp.ms };
         let result = self.try_start(self.task(0), self.order(foreign, LONG_MS)).await;
         refused(result, RefusalCode::StaleStamp)
     }
--- a/crates/pond-platform/src/message.rs
+++ b/crates/pond-platform/src/message.rs
@@ -17,7 +17,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// Drawn at random when the worker started.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The worker's clock in milliseconds, with any zero.
     pub ms: u64,
 }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use pond_link::{Event, EventKind, LinkKey, Sender, Terms};
+use pond_link::{Config, Event, EventKind, LinkKey, Sender};
 use pond_log::{Logger, event};
 use pond_proto::quorum::{Body as Letter, Letter as QuorumLetter, Present};
 use pond_proto::wire::{Body, Role as WireRole};
@@ -39,7 +39,7 @@
     dialled: BTreeMap<String, Peer>,
     /// Addresses by the identity of the disk.
     addresses: BTreeMap<u64, String>,
-    terms: Arc<Terms>,
+    terms: Arc<Config>,
     events: mpsc::Sender<Event>,
     log: Logger,
 }
@@ -53,10 +53,10 @@
         log: Logger,
     ) -> Peers {
         let own = settings.internal.to_string();
-        let terms = Terms::new(WireRole::Control, &own, &settings.data_centre, Life::random())
+        let terms = Config::new(WireRole::Control, &own, &settings.data_centre, Life::random())
             .with_limits(FRAME_BYTES, LINK_QUEUE)
             .with_address(&own)
-            .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
+            .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let terms = Arc::new(terms);
         tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
         let (dialled, addresses) = (BTreeMap::new(), BTreeMap::new());
@@ -119,7 +119,7 @@
         let now = self.now();
         let link = event.link;
         match event.kind {
-            EventKind::Up { hello, sender, .. } if link.accepted() => {
+            EventKind::Up { hello, sender, .. } if link.is_accepted() => {
                 if hello.role() == WireRole::Control && !hello.address.is_empty() {
                     self.peers.learn(&[hello.address]);
                 }
@@ -144,7 +144,7 @@
     }
 
     fn link_down(&mut self, now: Millis, link: LinkKey, error: &pond_link::Error) {
-        if link.accepted() {
+        if link.is_accepted() {
             let presented = self.guests.remove(&link).and_then(|guest| guest.presented);
             // The other end may have noticed the loss first and have presented itself on a newer
             // link; if that were forgotten, it would never be added, as it does so once a link.
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -65,12 +65,12 @@
 }
 
 impl Newcomer {
-    fn terms(address: SocketAddr) -> Arc<pond_link::Terms> {
-        let terms = pond_link::Terms::new(Role::Control, "newcomer", "here", Life(NEWCOMER));
+    fn terms(address: SocketAddr) -> Arc<pond_link::Config> {
+        let terms = pond_link::Config::new(Role::Control, "newcomer", "here", Life(NEWCOMER));
         Arc::new(
             terms
                 .with_address(&address.to_string())
-                .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
+                .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
         )
     }
 
--- a/crates/pond-standin/src/server.rs
+++ b/crates/pond-standin/src/server.rs
@@ -37,9 +37,9 @@
 impl Host {
     /// A host that runs nothing.
     pub fn new(size: Size, usage_lag_ms: u64, record: Record) -> Host {
-        let life = rand::random();
+        let incarnation = rand::random();
         Host {
-            worker: Arc::new(Mutex::new(Worker::new(life, size, usage_lag_ms))),
+            worker: Arc::new(Mutex::new(Worker::new(incarnation, size, usage_lag_ms))),
             endpoints: Arc::default(),
             slowdown: Arc::new(AtomicU64::new(100)),
             extra: Arc::new(AtomicU64::new(100)),
@@ -66,7 +66,7 @@
             let running: Vec<TaskKey> = worker
                 .tasks()
                 .iter()
-                .filter(|(_, held)| held.runs())
+                .filter(|(_, held)| held.is_active())
                 .map(|(task, _)| *task)
                 .collect();
             (worker.slowdown(), running)
--- a/crates/pond-standin/src/worker.rs
+++ b/crates/pond-standin/src/worker.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether it still takes room.
-    pub fn runs(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         !matches!(self.state, TaskState::Ended(_))
     }
 
@@ -57,7 +57,7 @@
 /// A worker: its tasks, their leases and their measurements.
 #[derive(Debug)]
 pub struct Worker {
-    life: u64,
+    incarnation: u64,
     size: Size,
     term: u64,
     tasks: BTreeMap<TaskKey, Held>,
@@ -71,9 +71,9 @@
 
 impl Worker {
     /// A worker that runs nothing.
-    pub fn new(life: u64, size: Size, usage_lag_ms: Span) -> Worker {
+    pub fn new(incarnation: u64, size: Size, usage_lag_ms: Span) -> Worker {
         Worker {
-            life,
+            incarnation,
             size,
             term: 0,
             tasks: BTreeMap::new(),
@@ -92,7 +92,7 @@
 
     /// How much slower services are than on an undisturbed VM.
     pub fn slowdown(&self) -> f64 {
-        let running = self.tasks.values().filter(|held| held.runs());
+        let running = self.tasks.values().filter(|held| held.is_active());
         1.0 + running.map(|held| held.program.noise * f64::from(held.share) / 100.0).sum::<f64>()
     }
 
@@ -124,7 +124,7 @@
             return;
         }
         let slowdown = self.slowdown();
-        let running = self.tasks.iter().filter(|(_, held)| held.runs());
+        let running = self.tasks.iter().filter(|(_, held)| held.is_active());
         let reports = running.map(|(task, held)| report(*task, held, slowdown)).collect();
         self.history.push((self.now, reports));
         if self.history.len() > HISTORY {
@@ -143,7 +143,7 @@
     }
 
     fn stamp(&self) -> Stamp {
-        Stamp { life: self.life, ms: self.now.0 }
+        Stamp { incarnation: self.incarnation, ms: self.now.0 }
     }
 
     fn check_term(&mut self, term: u64) -> Result<(), Refusal> {
@@ -158,7 +158,7 @@
     /// The end of a lease, if it is not over already.
     fn lease_end(&self, stamp: Stamp, lease_ms: u64) -> Result<Millis, Refusal> {
         let end = Millis(stamp.ms) + lease_ms;
-        if stamp.life != self.life || stamp.ms > self.now.0 || end <= self.now {
+        if stamp.incarnation != self.incarnation || stamp.ms > self.now.0 || end <= self.now {
             let message = "the stamp is too old or from another life".to_owned();
             return Err(Refusal { code: RefusalCode::StaleStamp, message });
         }
@@ -231,7 +231,7 @@
     pub fn checkpoint(&mut self, task: TaskKey, term: u64) -> Result<TaskStatus, Refusal> {
         self.check_term(term)?;
         let held = self.held(task)?;
-        if held.runs() {
+        if held.is_active() {
             held.checkpoint = Some(held.progress_ms as u64);
         }
         Ok(held.status(task))
@@ -270,7 +270,7 @@
     }
 
     fn taken(&self) -> Size {
-        let running = self.tasks.values().filter(|held| held.runs());
+        let running = self.tasks.values().filter(|held| held.is_active());
         running.fold(Size::default(), |sum, held| sum.plus(held.start.size))
     }
 }
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
+use pond_link::{Config, Event, EventKind, LinkKey, Sender, dial};
 use pond_log::{Logger, event};
 use pond_proto::Millis;
 use pond_proto::fleet::Lead;
@@ -48,7 +48,7 @@
     search: Search,
     /// Links that are open or being opened.
     links: BTreeMap<LinkKey, Link>,
-    terms: Arc<Terms>,
+    terms: Arc<Config>,
     events: mpsc::Sender<Event>,
     log: Logger,
 }
@@ -63,12 +63,12 @@
     /// Starts to search for the leader on the current runtime.
     pub fn start(
         addresses: Vec<String>,
-        terms: Terms,
+        terms: Config,
         events: mpsc::Sender<Event>,
         log: Logger,
         now: Millis,
     ) -> Uplink {
-        let terms = Arc::new(terms.with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
+        let terms = Arc::new(terms.with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
         let search = Search::new(addresses, terms.hello.life, now);
         let mut uplink = Uplink { search, links: BTreeMap::new(), terms, events, log };
         uplink.execute();
