--- a/crates/pond-http/tests/stalled.rs
+++ b/crates/pond-http/tests/stalled.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use pond_http::{Call, Client, Handler, Limits, Method, Reply, StatusCode, Stop, serve};
-use pond_test::{SwallowProxy, Swallowed};
+use pond_test::{Blackhole, BlackholeProxy};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
@@ -70,9 +70,9 @@
 
 #[tokio::test]
 async fn callers_that_fall_silent_after_an_answer_lose_their_places() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let (address, _, _) = server().await;
-        let proxy = SwallowProxy::start(address).await;
+        let proxy = BlackholeProxy::start(address).await;
         let mut silent = Vec::new();
         for _ in 0..PLACES {
             let mut stream = ask(proxy.address(), "/").await;
@@ -80,7 +80,7 @@
             stream.read_exact(&mut answer).await.expect("an answer");
             silent.push(stream);
         }
-        proxy.swallow(swallowed);
+        proxy.drop_bytes(swallowed);
         is_served(address).await;
     }
 }
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -6,7 +6,7 @@
 use pond_link::{Config, Error, Event, EventKind, LinkKey, Sender, accept, dial};
 use pond_proto::Life;
 use pond_proto::wire::{Beat, Body, Role};
-use pond_test::{SwallowProxy, Swallowed};
+use pond_test::{Blackhole, BlackholeProxy};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -81,9 +81,9 @@
 }
 
 /// A dialled link through a proxy, and its two ends: the dialling and the listening one.
-async fn link() -> (SwallowProxy, End, End) {
+async fn link() -> (BlackholeProxy, End, End) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
-    let proxy = SwallowProxy::start(listener.local_addr().expect("an address")).await;
+    let proxy = BlackholeProxy::start(listener.local_addr().expect("an address")).await;
     let (events, accepted) = mpsc::channel(64);
     tokio::spawn(accept(listener, terms(Role::Control, 1), events));
     let (events, dialled) = mpsc::channel(64);
@@ -95,13 +95,13 @@
 }
 
 /// A link whose bytes get lost is replaced, and what is sent again arrives.
-async fn is_replaced(swallowed: Swallowed) {
+async fn is_replaced(swallowed: Blackhole) {
     let (proxy, mut near, mut far) = link().await;
     near.say(1);
     far.say(2);
     far.hear(1).await;
     near.hear(2).await;
-    proxy.swallow(swallowed);
+    proxy.drop_bytes(swallowed);
     // One of the two at least gets lost.
     near.say(3);
     far.say(4);
@@ -113,29 +113,29 @@
     far.say(4);
     far.hear(3).await;
     near.hear(4).await;
-    assert_eq!(proxy.taken(), 2, "{swallowed:?}");
+    assert_eq!(proxy.accepted(), 2, "{swallowed:?}");
 }
 
 #[tokio::test]
 async fn link_whose_dialler_is_not_heard_is_replaced() {
-    is_replaced(Swallowed::Asked).await;
+    is_replaced(Blackhole::FromClient).await;
 }
 
 #[tokio::test]
 async fn link_whose_listener_is_not_heard_is_replaced() {
-    is_replaced(Swallowed::Answered).await;
+    is_replaced(Blackhole::FromServer).await;
 }
 
 #[tokio::test]
 async fn link_on_which_neither_is_heard_is_replaced() {
-    is_replaced(Swallowed::Both).await;
+    is_replaced(Blackhole::Both).await;
 }
 
 #[tokio::test]
 async fn frames_in_both_queues_do_not_keep_a_silent_link() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let (proxy, mut near, mut far) = link().await;
-        proxy.swallow(swallowed);
+        proxy.drop_bytes(swallowed);
         let talkers: Vec<_> = [&near, &far].map(talk).into();
         tokio::join!(near.replace(), far.replace());
         for talker in talkers {
--- a/crates/pond-quorum/tests/schedule.rs
+++ b/crates/pond-quorum/tests/schedule.rs
@@ -7,8 +7,8 @@
 
 fn check(mut cluster: Cluster, load_ms: u64) {
     cluster.run_under_load(load_ms);
-    cluster.settle();
-    assert_eq!(cluster.wrong, None);
+    cluster.heal_and_check();
+    assert_eq!(cluster.violation, None);
 }
 
 /// A cluster of three that has a leader and some accepted values.
@@ -52,24 +52,24 @@
 
     #[test]
     fn full_disks_beside_everything_else_lose_nothing(seed in any::<u64>()) {
-        check(Cluster::new(3, seed, Faults { full: 50, ..Faults::all() }), 3000);
+        check(Cluster::new(3, seed, Faults { disk_full: 50, ..Faults::all() }), 3000);
     }
 
     #[test]
     fn full_disks_alone_lose_nothing(seed in any::<u64>()) {
-        let faults = Faults { full: 400, snapshot_every: 20, ..Faults::none() };
+        let faults = Faults { disk_full: 400, snapshot_every: 20, ..Faults::none() };
         check(Cluster::new(3, seed, faults), 3000);
     }
 
     #[test]
     fn full_disks_and_crashes_lose_nothing(seed in any::<u64>()) {
-        let faults = Faults { full: 400, crash: 200, snapshot_every: 20, ..Faults::none() };
+        let faults = Faults { disk_full: 400, crash: 200, snapshot_every: 20, ..Faults::none() };
         check(Cluster::new(5, seed, faults), 3000);
     }
 
     #[test]
     fn cuts_alone_lose_nothing(seed in any::<u64>()) {
-        let faults = Faults { cut: 1000, drift: 40, ..Faults::none() };
+        let faults = Faults { partition: 1000, drift: 40, ..Faults::none() };
         check(Cluster::new(3, seed, faults), 3000);
     }
 
@@ -78,7 +78,7 @@
         let mut cluster = Cluster::new(3, seed, Faults::all());
         cluster.run_under_load(1000);
         let accepted = cluster.run_until_accepted(60_000, 1..15);
-        prop_assert!(accepted, "nothing is accepted: {:?}", cluster.wrong);
+        prop_assert!(accepted, "nothing is accepted: {:?}", cluster.violation);
         cluster.lose_power(lost, 9);
         cluster.run_under_load(2000);
         if let Some(leader) = cluster.leader() {
@@ -89,8 +89,8 @@
             cluster.input(leader, Input::Add(member));
         }
         cluster.run_under_load(500);
-        cluster.settle();
-        prop_assert_eq!(cluster.wrong.clone(), None);
+        cluster.heal_and_check();
+        prop_assert_eq!(cluster.violation.clone(), None);
     }
 
     #[test]
@@ -109,8 +109,8 @@
             cluster.input(leader, Input::Add(member));
         }
         cluster.run_under_load(1000);
-        cluster.settle();
-        prop_assert_eq!(cluster.wrong.clone(), None);
+        cluster.heal_and_check();
+        prop_assert_eq!(cluster.violation.clone(), None);
     }
 }
 
@@ -118,16 +118,16 @@
 fn another_replica_leads_while_the_leaders_disk_is_full_and_all_agree_once_it_has_room() {
     for seed in 1..=50 {
         let (mut cluster, leader) = settled_under(seed);
-        cluster.fill(leader, 5_000);
+        cluster.fill_disk(leader, 5_000);
         cluster.propose(leader);
         cluster.run(600);
         let next = cluster.leader().expect("another leader");
         assert_ne!(next, leader, "seed {seed}");
         cluster.propose(next);
         cluster.run(100);
-        assert!(cluster.accepted() >= 11, "seed {seed}: {:?}", cluster.wrong);
-        cluster.settle();
-        assert_eq!(cluster.wrong, None, "seed {seed}");
+        assert!(cluster.accepted() >= 11, "seed {seed}: {:?}", cluster.violation);
+        cluster.heal_and_check();
+        assert_eq!(cluster.violation, None, "seed {seed}");
     }
 }
 
@@ -138,7 +138,7 @@
         cluster.run(1500);
         let former = cluster.leader().expect("a leader");
         let follower = (1..=5).find(|id| *id != former).expect("a follower");
-        cluster.fill(follower, 6_000);
+        cluster.fill_disk(follower, 6_000);
         cluster.crash(former, 5_000);
         // Elections may be split a few times.
         cluster.run(2_000);
@@ -151,8 +151,8 @@
         }
         assert_eq!(cluster.core(leader).map(|core| core.term()), term, "seed {seed}");
         assert_eq!(cluster.accepted(), before + 20, "seed {seed}");
-        cluster.settle();
-        assert_eq!(cluster.wrong, None, "seed {seed}");
+        cluster.heal_and_check();
+        assert_eq!(cluster.violation, None, "seed {seed}");
     }
 }
 
@@ -161,7 +161,7 @@
     let (mut cluster, leader) = settled();
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     cluster.isolate(others[0], 1_000_000);
-    cluster.cut(leader, others[1], 5);
+    cluster.partition(leader, others[1], 5);
     cluster.propose(leader);
     cluster.run(2000);
     assert_eq!((cluster.accepted(), cluster.leader()), (11, Some(leader)));
@@ -174,12 +174,12 @@
         let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
         // Acceptance hangs on one follower, which is killed between writing and syncing.
         cluster.isolate(others[0], 1_000_000);
-        cluster.kill_writing(others[1]);
+        cluster.kill_before_sync(others[1]);
         let accepted = cluster.run_until_accepted(2000, 5000..5001);
-        assert!(accepted, "seed {seed}: {:?}", cluster.wrong);
+        assert!(accepted, "seed {seed}: {:?}", cluster.violation);
         cluster.lose_power(leader, 9);
-        cluster.settle();
-        assert_eq!(cluster.wrong, None);
+        cluster.heal_and_check();
+        assert_eq!(cluster.violation, None);
     }
 }
 
@@ -189,8 +189,8 @@
     let noticed = (0..40).any(|seed| {
         let mut cluster = Cluster::new(3, seed, faults);
         cluster.run_under_load(4000);
-        cluster.settle();
-        cluster.wrong.is_some()
+        cluster.heal_and_check();
+        cluster.violation.is_some()
     });
     assert!(noticed, "lost writes went unnoticed");
 }
@@ -207,10 +207,10 @@
     // It has asked for pre-votes all the time and not raised its term.
     cluster.run(20_000);
     assert!(cluster.core(old).expect("old").term() <= term);
-    cluster.settle();
+    cluster.heal_and_check();
     assert_eq!(cluster.leader(), Some(new));
     assert_eq!(cluster.core(new).expect("new").term(), term);
-    assert_eq!(cluster.wrong, None);
+    assert_eq!(cluster.violation, None);
 }
 
 #[test]
@@ -220,7 +220,7 @@
     cluster.run(100);
     let new = cluster.leader().expect("another leader");
     assert_ne!(new, old);
-    assert_eq!(cluster.wrong, None);
+    assert_eq!(cluster.violation, None);
 }
 
 #[test]
@@ -232,8 +232,8 @@
     cluster.crash(late, 2000);
     (0..300).for_each(|_| cluster.propose(leader));
     cluster.run(1500);
-    cluster.settle();
-    assert_eq!(cluster.wrong, None);
+    cluster.heal_and_check();
+    assert_eq!(cluster.violation, None);
     assert_eq!(cluster.values(late), cluster.values(leader));
 }
 
@@ -252,7 +252,7 @@
     cluster.propose(leader);
     cluster.run(500);
     assert_eq!(cluster.accepted(), 11);
-    assert_eq!(cluster.wrong, None);
+    assert_eq!(cluster.violation, None);
 }
 
 #[test]
@@ -262,7 +262,7 @@
     let older = cluster.copy_disk(follower).expect("a disk");
     (0..10).for_each(|_| cluster.propose(leader));
     cluster.run(100);
-    cluster.put_disk(follower, older);
+    cluster.replace_disk(follower, older);
     let acknowledged = cluster.core(leader).expect("leader").acknowledged(follower);
     let has = cluster.core(follower).expect("follower").last_index();
     assert!(Some(has) < acknowledged, "{has} of {acknowledged:?}");
@@ -271,7 +271,7 @@
     assert!(!cluster.core(leader).expect("leader").members().votes(follower));
     cluster.propose(leader);
     cluster.run(200);
-    assert_eq!((cluster.accepted(), cluster.wrong.clone()), (21, None));
+    assert_eq!((cluster.accepted(), cluster.violation.clone()), (21, None));
 }
 
 #[test]
@@ -299,6 +299,6 @@
     // Under this seed a follower that already held the entries behind a snapshot was sent it.
     let mut cluster = Cluster::new(3, 11_796_050_243_170_844_279, Faults::all());
     cluster.run_under_load(3000);
-    cluster.settle();
-    assert_eq!(cluster.wrong, None);
+    cluster.heal_and_check();
+    assert_eq!(cluster.violation, None);
 }
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -12,7 +12,7 @@
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
 use pond_store::Memory;
-use pond_test::{SwallowProxy, Swallowed};
+use pond_test::{Blackhole, BlackholeProxy};
 use pond_uplink::{HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -29,13 +29,13 @@
 
 /// Replicas, each behind a proxy before its listener. On links to a replica its followers and the
 /// leader send their messages.
-async fn fleet() -> (Vec<SwallowProxy>, Vec<Handle>) {
+async fn fleet() -> (Vec<BlackholeProxy>, Vec<Handle>) {
     let (listeners, addresses) = listeners().await;
     let mut proxies = Vec::new();
     for address in addresses {
-        proxies.push(SwallowProxy::start(address).await);
+        proxies.push(BlackholeProxy::start(address).await);
     }
-    let seeds: Vec<SocketAddr> = proxies.iter().map(SwallowProxy::address).collect();
+    let seeds: Vec<SocketAddr> = proxies.iter().map(BlackholeProxy::address).collect();
     let started = seeds.iter().zip(listeners);
     let handles =
         started.map(|(own, listener)| start(*own, &seeds, listener, Memory::new())).collect();
@@ -44,15 +44,15 @@
 
 #[tokio::test]
 async fn quorum_whose_links_all_fall_silent_has_a_leader_again() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let (proxies, handles) = fleet().await;
         leader(&handles).await;
-        let taken: Vec<usize> = proxies.iter().map(SwallowProxy::taken).collect();
-        proxies.iter().for_each(|proxy| proxy.swallow(swallowed));
+        let taken: Vec<usize> = proxies.iter().map(BlackholeProxy::accepted).collect();
+        proxies.iter().for_each(|proxy| proxy.drop_bytes(swallowed));
         sleep(NOTICED).await;
         leader(&handles).await;
         for (proxy, taken) in proxies.iter().zip(taken) {
-            assert!(proxy.taken() > taken, "{swallowed:?}: nobody dialled again");
+            assert!(proxy.accepted() > taken, "{swallowed:?}: nobody dialled again");
         }
     }
 }
@@ -74,7 +74,7 @@
         )
     }
 
-    fn start(address: SocketAddr, proxies: &[SwallowProxy]) -> Newcomer {
+    fn start(address: SocketAddr, proxies: &[BlackholeProxy]) -> Newcomer {
         let (events, dialled) = mpsc::channel(64);
         for (i, proxy) in proxies.iter().enumerate() {
             let (terms, events) = (Newcomer::terms(address), events.clone());
@@ -130,7 +130,7 @@
     leader(&handles).await;
     let mut proxies = Vec::new();
     for address in &seeds {
-        proxies.push(SwallowProxy::start(*address).await);
+        proxies.push(BlackholeProxy::start(*address).await);
     }
     // It cannot be reached before it accepts, so it is not added before.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
@@ -138,7 +138,7 @@
     let mut newcomer = Newcomer::start(address, &proxies);
     newcomer.present().await;
     // It hears nothing, so it dials again before the replicas hear nothing of it.
-    proxies.iter().for_each(|proxy| proxy.swallow(Swallowed::Answered));
+    proxies.iter().for_each(|proxy| proxy.drop_bytes(Blackhole::FromServer));
     newcomer.present().await;
     sleep(NOTICED).await;
     timeout(BOUND, becomes_member(listener, address)).await.expect("it is added in time");
--- a/crates/pond-route/benches/policies.rs
+++ b/crates/pond-route/benches/policies.rs
@@ -5,7 +5,7 @@
 
 use pond_proto::Outcome;
 use pond_route::{PolicyKind, Tuning};
-use pond_test::{Behaviour, Path};
+use pond_test::{Behaviour, RequestPath};
 
 const ENTRIES: usize = 3;
 const ENDPOINTS: usize = 10;
@@ -65,21 +65,22 @@
 }
 
 fn run(case: &Case, name: &str, tuning: Tuning) {
-    let mut path = Path::new(ENTRIES, ENDPOINTS, SLOTS, tuning, 11).with_delay(case.delay_us);
-    (0..ENDPOINTS).for_each(|i| path.behave(i, Behaviour::Serve(SERVICE_US)));
-    path.behave(0, case.first);
-    path.load(CAPACITY * case.load, RUN_US / 4, true, 1000);
+    let mut path =
+        RequestPath::new(ENTRIES, ENDPOINTS, SLOTS, tuning, 11).with_delay(case.delay_us);
+    (0..ENDPOINTS).for_each(|i| path.set_behaviour(i, Behaviour::Serve(SERVICE_US)));
+    path.set_behaviour(0, case.first);
+    path.run_load(CAPACITY * case.load, RUN_US / 4, true, 1000);
     let since = path.now();
-    path.load(CAPACITY * case.load, RUN_US, true, 1000);
+    path.run_load(CAPACITY * case.load, RUN_US, true, 1000);
     path.run_for(200_000);
     let latencies = path.latencies(since);
     let at = |quantile: f64| {
         let place = (latencies.len() as f64 * quantile) as usize;
         latencies.get(place).copied().unwrap_or(0) as f64 / 1000.0
     };
-    let asked = path.told.values().filter(|told| told.asked >= since);
+    let asked = path.replies.values().filter(|reply| reply.requested_at >= since);
     let bad = asked
-        .filter(|told| match &told.finish {
+        .filter(|reply| match &reply.finish {
             pond_route::Finish::Answered(answer) => answer.status >= 500,
             other => other.outcome() != Outcome::Answered,
         })
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -3,24 +3,24 @@
 use pond_proto::wire::{Answer, Body, Offer, OfferId, Refusal, RequestId};
 use pond_proto::{Micros, Outcome, view};
 use pond_route::{Admission, AdmissionOutput, Finish, NotRun, Tuning};
-use pond_test::{Behaviour, Path, cases};
+use pond_test::{Behaviour, RequestPath, cases};
 use proptest::prelude::*;
 
 const MS: u64 = 1000;
 
-fn path(entries: usize, endpoints: usize) -> Path {
-    Path::new(entries, endpoints, 8, Tuning::default(), 7)
+fn path(entries: usize, endpoints: usize) -> RequestPath {
+    RequestPath::new(entries, endpoints, 8, Tuning::default(), 7)
 }
 
-fn body_of(path: &Path, id: RequestId) -> Vec<u8> {
-    match &path.told[&id].finish {
+fn body_of(path: &RequestPath, id: RequestId) -> Vec<u8> {
+    match &path.replies[&id].finish {
         Finish::Answered(answer) => answer.body.clone(),
         other => panic!("{other:?}"),
     }
 }
 
-fn reason(path: &Path, id: RequestId) -> NotRun {
-    match path.told[&id].finish {
+fn reason(path: &RequestPath, id: RequestId) -> NotRun {
+    match path.replies[&id].finish {
         Finish::NotRun(reason) => reason,
         ref other => panic!("{other:?}"),
     }
@@ -30,24 +30,24 @@
 struct Case {
     name: &'static str,
     /// Applied before the request.
-    before: fn(&mut Path),
+    before: fn(&mut RequestPath),
     /// Applied 2 ms after it.
-    after: fn(&mut Path),
+    after: fn(&mut RequestPath),
     outcome: Outcome,
     runs: u32,
 }
 
 const SLOW: Behaviour = Behaviour::Exactly(20 * MS);
 
-fn slow(path: &mut Path) {
-    path.behave(0, SLOW);
+fn slow(path: &mut RequestPath) {
+    path.set_behaviour(0, SLOW);
 }
 
 /// All slots of the one endpoint are taken, so that the request waits in its queue.
-fn taken(path: &mut Path) {
-    path.behave(0, Behaviour::Exactly(40 * MS));
+fn taken(path: &mut RequestPath) {
+    path.set_behaviour(0, Behaviour::Exactly(40 * MS));
     for _ in 0..8 {
-        path.ask(1, true, "", 1000);
+        path.request(1, true, "", 1000);
     }
     path.run_for(500);
 }
@@ -57,28 +57,28 @@
     Case {
         name: "the link is lost and made again while it runs",
         before: slow,
-        after: |path| path.cut(0, 0, 5 * MS),
+        after: |path| path.cut_link(0, 0, 5 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
     Case {
         name: "the link is lost while it runs and made again after it has ended",
         before: slow,
-        after: |path| path.cut(0, 0, 60 * MS),
+        after: |path| path.cut_link(0, 0, 60 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
     Case {
         name: "the link is lost for longer than the caller waits",
         before: slow,
-        after: |path| path.cut(0, 0, 5000 * MS),
+        after: |path| path.cut_link(0, 0, 5000 * MS),
         outcome: Outcome::Unknown,
         runs: 1,
     },
     Case {
         name: "only the entry notices the loss of the link",
         before: slow,
-        after: |path| path.cut_at_entry(0, 0, 5 * MS),
+        after: |path| path.cut_link_at_entry(0, 0, 5 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
@@ -91,28 +91,28 @@
     },
     Case {
         name: "the endpoint breaks the answer off",
-        before: |path| path.behave(0, Behaviour::Break(3 * MS)),
+        before: |path| path.set_behaviour(0, Behaviour::Break(3 * MS)),
         after: |_| {},
         outcome: Outcome::Unknown,
         runs: 1,
     },
     Case {
         name: "the endpoint fails",
-        before: |path| path.behave(0, Behaviour::Fail(3 * MS)),
+        before: |path| path.set_behaviour(0, Behaviour::Fail(3 * MS)),
         after: |_| {},
         outcome: Outcome::Answered,
         runs: 1,
     },
     Case {
         name: "the endpoint never answers",
-        before: |path| path.behave(0, Behaviour::Silent),
+        before: |path| path.set_behaviour(0, Behaviour::Silent),
         after: |_| {},
         outcome: Outcome::Unknown,
         runs: 1,
     },
     Case {
         name: "the endpoint cannot be connected to",
-        before: |path| path.behave(0, Behaviour::Unreachable),
+        before: |path| path.set_behaviour(0, Behaviour::Unreachable),
         after: |_| {},
         outcome: Outcome::NotRun,
         runs: 0,
@@ -120,7 +120,7 @@
     Case {
         name: "its link dies while it waits in the queue, and the endpoint stays busy",
         before: taken,
-        after: |path| path.cut(0, 0, 3 * MS),
+        after: |path| path.cut_link(0, 0, 3 * MS),
         outcome: Outcome::Answered,
         runs: 1,
     },
@@ -152,7 +152,7 @@
     for case in CASES {
         let mut path = path(2, 1);
         (case.before)(&mut path);
-        let id = path.ask(0, false, "", 300);
+        let id = path.request(0, false, "", 300);
         path.run_for(2 * MS);
         (case.after)(&mut path);
         path.run_for(1000 * MS);
@@ -165,7 +165,7 @@
 #[test]
 fn every_caller_gets_the_answer_to_its_own_request() {
     let mut path = path(2, 3);
-    let ids: Vec<RequestId> = (0..60).map(|i| path.ask(i % 2, true, "", 1000)).collect();
+    let ids: Vec<RequestId> = (0..60).map(|i| path.request(i % 2, true, "", 1000)).collect();
     path.run_for(1000 * MS);
     for id in ids {
         assert_eq!(body_of(&path, id), id.number.to_be_bytes());
@@ -189,8 +189,8 @@
     for (name, forgery) in table {
         let mut path = path(1, 2);
         slow(&mut path);
-        path.behave(1, SLOW);
-        let id = path.ask(0, false, "", 300);
+        path.set_behaviour(1, SLOW);
+        let id = path.request(0, false, "", 300);
         path.run_for(2 * MS);
         let (other, attempt) = forgery(id);
         (0..2).for_each(|process| path.inject(0, process, forge(other, attempt)));
@@ -203,8 +203,8 @@
 fn an_answer_from_a_process_that_was_not_asked_is_not_taken() {
     let mut path = path(1, 2);
     slow(&mut path);
-    path.behave(1, SLOW);
-    let id = path.ask(0, false, "", 300);
+    path.set_behaviour(1, SLOW);
+    let id = path.request(0, false, "", 300);
     path.run_for(2 * MS);
     let asked = path.starts.iter().position(|starts| *starts > 0).expect("it runs");
     let offer = OfferId { id, attempt: 1 };
@@ -219,8 +219,8 @@
     // The entry loses the link and makes it again; the process reads the offer that was still
     // under way on the old link, and is then asked for its fate and offered it once more.
     let mut path = path(1, 1).with_delay(10 * MS);
-    let id = path.ask(0, false, "", 500);
-    path.cut_at_entry(0, 0, 0);
+    let id = path.request(0, false, "", 500);
+    path.cut_link_at_entry(0, 0, 0);
     path.run_for(1000 * MS);
     assert_eq!(path.outcome(id), Some(Outcome::Answered));
     assert_eq!(path.runs.get(&id), Some(&1));
@@ -232,8 +232,8 @@
         [(Behaviour::Break(MS), Outcome::Unknown), (Behaviour::Fail(MS), Outcome::Answered)]
     {
         let mut path = path(1, 1);
-        path.behave(0, behaviour);
-        let id = path.ask(0, true, "", 100);
+        path.set_behaviour(0, behaviour);
+        let id = path.request(0, true, "", 100);
         path.run_for(500 * MS);
         assert_eq!(path.outcome(id), Some(outcome), "{behaviour:?}");
         assert!(path.runs[&id] >= 1);
@@ -243,9 +243,9 @@
 #[test]
 fn without_a_quorum_only_repeatable_requests_run() {
     let mut path = path(1, 2);
-    path.quorum = false;
-    let once = path.ask(0, false, "key", 100);
-    let often = path.ask(0, true, "key", 100);
+    path.control_available = false;
+    let once = path.request(0, false, "key", 100);
+    let often = path.request(0, true, "key", 100);
     path.run_for(50 * MS);
     assert_eq!(reason(&path, once), NotRun::NoQuorum);
     assert_eq!(path.runs.get(&once), None);
@@ -255,10 +255,10 @@
 #[test]
 fn a_resend_to_another_entry_does_not_run_a_second_time() {
     let mut path = path(2, 2);
-    (0..2).for_each(|i| path.behave(i, SLOW));
-    let first = path.ask(0, false, "claim-notice-7", 500);
+    (0..2).for_each(|i| path.set_behaviour(i, SLOW));
+    let first = path.request(0, false, "claim-notice-7", 500);
     path.run_for(MS);
-    let second = path.ask(1, false, "claim-notice-7", 200);
+    let second = path.request(1, false, "claim-notice-7", 200);
     path.run_for(1000 * MS);
     assert_eq!(path.outcome(first), Some(Outcome::Answered));
     assert_eq!(path.outcome(second), Some(Outcome::Unknown));
@@ -268,13 +268,13 @@
 #[test]
 fn a_claimed_request_that_did_not_run_frees_its_key() {
     let mut path = path(2, 1);
-    path.behave(0, Behaviour::Unreachable);
-    let first = path.ask(0, false, "loan-12", 50);
+    path.set_behaviour(0, Behaviour::Unreachable);
+    let first = path.request(0, false, "loan-12", 50);
     path.run_for(100 * MS);
     assert_eq!(path.outcome(first), Some(Outcome::NotRun));
-    path.behave(0, Behaviour::Exactly(MS));
+    path.set_behaviour(0, Behaviour::Exactly(MS));
     path.run_for(20_000 * MS);
-    let second = path.ask(1, false, "loan-12", 500);
+    let second = path.request(1, false, "loan-12", 500);
     path.run_for(500 * MS);
     assert_eq!(path.outcome(second), Some(Outcome::Answered));
 }
@@ -286,7 +286,7 @@
     path.admission(0).leave(1);
     path.run_for(MS);
     let before = path.starts[0];
-    let ids: Vec<RequestId> = (0..40).map(|i| path.ask(i % 2, false, "", 500)).collect();
+    let ids: Vec<RequestId> = (0..40).map(|i| path.request(i % 2, false, "", 500)).collect();
     path.run_for(500 * MS);
     assert_eq!(path.starts[0], before);
     assert!(ids.iter().all(|id| path.outcome(*id) == Some(Outcome::Answered)));
@@ -295,8 +295,8 @@
 #[test]
 fn a_planned_stop_of_an_endpoint_process_cuts_off_nothing() {
     let mut path = path(2, 2);
-    (0..2).for_each(|i| path.behave(i, SLOW));
-    let ids: Vec<RequestId> = (0..16).map(|i| path.ask(i % 2, false, "", 500)).collect();
+    (0..2).for_each(|i| path.set_behaviour(i, SLOW));
+    let ids: Vec<RequestId> = (0..16).map(|i| path.request(i % 2, false, "", 500)).collect();
     path.run_for(MS);
     path.admission(0).leave_all();
     path.run_for(200 * MS);
@@ -307,12 +307,12 @@
 #[test]
 fn expired_requests_are_refused_as_not_run_and_never_started() {
     let mut path = path(1, 1);
-    path.behave(0, Behaviour::Exactly(100 * MS));
+    path.set_behaviour(0, Behaviour::Exactly(100 * MS));
     (0..8).for_each(|_| {
-        path.ask(0, true, "", 1000);
+        path.request(0, true, "", 1000);
     });
     path.run_for(MS);
-    let late = path.ask(0, false, "", 30);
+    let late = path.request(0, false, "", 30);
     path.run_for(500 * MS);
     assert_eq!(path.outcome(late), Some(Outcome::NotRun));
     assert_eq!(path.runs.get(&late), None);
@@ -352,8 +352,8 @@
 #[test]
 fn a_fast_failing_endpoint_attracts_no_traffic() {
     let mut path = path(2, 10);
-    path.behave(3, Behaviour::Fail(50));
-    path.load(2000.0, 1_000_000, true, 1000);
+    path.set_behaviour(3, Behaviour::Fail(50));
+    path.run_load(2000.0, 1_000_000, true, 1000);
     let failing = path.starts[3];
     let others: u32 = path.starts.iter().sum::<u32>() - failing;
     assert!(failing * 20 < others, "{failing} of {} starts", failing + others);
@@ -362,10 +362,10 @@
 #[test]
 fn when_every_endpoint_fails_requests_are_sent_at_most_a_tenth_more_often() {
     let mut path = path(2, 10);
-    (0..10).for_each(|i| path.behave(i, Behaviour::Fail(500)));
-    path.load(2000.0, 2_000_000, true, 1000);
+    (0..10).for_each(|i| path.set_behaviour(i, Behaviour::Fail(500)));
+    path.run_load(2000.0, 2_000_000, true, 1000);
     path.run_for(100 * MS);
-    let asked = path.told.len() as f64;
+    let asked = path.replies.len() as f64;
     let amplification = path.offers as f64 / asked;
     assert!(amplification <= 1.1 + 20.0 / asked, "{amplification}");
 }
@@ -373,8 +373,8 @@
 #[test]
 fn a_slow_endpoint_is_given_fewer_requests_and_hedges_cut_its_tail() {
     let mut path = path(2, 10);
-    path.behave(0, Behaviour::Serve(10 * MS));
-    path.load(2000.0, 2_000_000, true, 1000);
+    path.set_behaviour(0, Behaviour::Serve(10 * MS));
+    path.run_load(2000.0, 2_000_000, true, 1000);
     path.run_for(200 * MS);
     let fair = path.starts.iter().sum::<u32>() / 10;
     assert!(path.starts[0] * 2 < fair, "{:?}", path.starts);
@@ -383,15 +383,15 @@
 #[test]
 fn near_endpoints_go_first_and_far_ones_take_what_near_ones_cannot() {
     let mut path = path(1, 4);
-    path.put_view(2, 8, |_| false, |i| if i < 2 { "near" } else { "far" });
-    (0..4).for_each(|i| path.behave(i, SLOW));
+    path.publish_view(2, 8, |_| false, |i| if i < 2 { "near" } else { "far" });
+    (0..4).for_each(|i| path.set_behaviour(i, SLOW));
     (0..16).for_each(|_| {
-        path.ask(0, true, "", 1000);
+        path.request(0, true, "", 1000);
     });
     path.run_for(MS);
     assert_eq!(path.starts, [8, 8, 0, 0]);
     (0..4).for_each(|_| {
-        path.ask(0, true, "", 1000);
+        path.request(0, true, "", 1000);
     });
     path.run_for(MS);
     assert_eq!(path.starts[2] + path.starts[3], 4);
@@ -400,27 +400,27 @@
 #[test]
 fn an_older_view_never_replaces_a_newer_one() {
     let mut path = path(1, 1);
-    path.put_view(5, 8, |_| true, |_| "near");
-    path.put_view(4, 8, |_| false, |_| "near");
+    path.publish_view(5, 8, |_| true, |_| "near");
+    path.publish_view(4, 8, |_| false, |_| "near");
     assert_eq!(path.router(0).version(), 5);
-    let id = path.ask(0, true, "", 20);
+    let id = path.request(0, true, "", 20);
     path.run_for(100 * MS);
     assert_eq!(reason(&path, id), NotRun::NoEndpoint);
 }
 
 /// Latencies and outcomes of a load on two endpoints of four slots of 5 ms, so 1,600 a second.
 fn under_load(share: f64) -> (f64, u64, usize) {
-    let mut path = Path::new(2, 2, 4, Tuning::default(), 3);
-    (0..2).for_each(|i| path.behave(i, Behaviour::Exactly(5 * MS)));
-    path.load(1600.0 * share, 1_000 * MS, true, 1000);
+    let mut path = RequestPath::new(2, 2, 4, Tuning::default(), 3);
+    (0..2).for_each(|i| path.set_behaviour(i, Behaviour::Exactly(5 * MS)));
+    path.run_load(1600.0 * share, 1_000 * MS, true, 1000);
     let since = path.now();
-    path.load(1600.0 * share, 4_000 * MS, true, 1000);
+    path.run_load(1600.0 * share, 4_000 * MS, true, 1000);
     let latencies = path.latencies(since);
     let goodput = latencies.len() as f64 / 4.0;
     path.run_for(2_000 * MS);
     let p99 = latencies[latencies.len() * 99 / 100];
     let unknown =
-        path.told.values().filter(|told| told.finish.outcome() == Outcome::Unknown).count();
+        path.replies.values().filter(|reply| reply.finish.outcome() == Outcome::Unknown).count();
     (goodput, p99, unknown)
 }
 
@@ -436,23 +436,23 @@
 #[test]
 fn a_rate_is_kept_and_the_rest_is_told_not_run_at_once() {
     let mut path = path(1, 2);
-    path.limit(2, 100);
-    path.load(1000.0, 2_000 * MS, true, 1000);
+    path.set_rate(2, 100);
+    path.run_load(1000.0, 2_000 * MS, true, 1000);
     path.run_for(100 * MS);
     let answered = path.latencies(Micros(0)).len();
     assert!((200..=215).contains(&answered), "{answered} in two seconds");
-    let refused = path.told.values().filter(|told| told.finish.outcome() == Outcome::NotRun);
-    assert!(refused.map(|told| told.at.since(told.asked)).all(|us| us == 0));
+    let refused = path.replies.values().filter(|reply| reply.finish.outcome() == Outcome::NotRun);
+    assert!(refused.map(|reply| reply.at.since(reply.requested_at)).all(|us| us == 0));
 }
 
 #[test]
 fn services_that_are_not_urgent_are_shed_first() {
     let tuning = Tuning { under_way: 8, ..Tuning::default() };
     let answered = |priority| {
-        let mut path = Path::new(1, 2, 8, tuning, 3);
-        path.prioritise(2, priority);
-        (0..2).for_each(|i| path.behave(i, SLOW));
-        let ids: Vec<RequestId> = (0..10).map(|_| path.ask(0, true, "", 1000)).collect();
+        let mut path = RequestPath::new(1, 2, 8, tuning, 3);
+        path.set_priority(2, priority);
+        (0..2).for_each(|i| path.set_behaviour(i, SLOW));
+        let ids: Vec<RequestId> = (0..10).map(|_| path.request(0, true, "", 1000)).collect();
         path.run_for(500 * MS);
         ids.iter().filter(|id| path.outcome(**id) == Some(Outcome::Answered)).count()
     };
@@ -469,21 +469,21 @@
         seed in any::<u64>(),
         faults in prop::collection::vec((0..6u8, 0..2usize, 0..4usize, 0..30u64), 0..40),
     ) {
-        let mut path = Path::new(2, 4, 2, Tuning::default(), seed);
-        (0..4).for_each(|i| path.behave(i, Behaviour::Serve(3 * MS)));
+        let mut path = RequestPath::new(2, 4, 2, Tuning::default(), seed);
+        (0..4).for_each(|i| path.set_behaviour(i, Behaviour::Serve(3 * MS)));
         let mut ids = Vec::new();
         for (kind, entry, process, wait) in faults {
             for i in 0..4 {
-                ids.push((path.ask(i % 2, i == 3, "", 10 + wait * 10), i == 3));
+                ids.push((path.request(i % 2, i == 3, "", 10 + wait * 10), i == 3));
             }
             path.run_for(wait * 100);
             match kind {
-                0 => path.cut(entry, process, wait * MS),
-                1 => path.cut_at_entry(entry, process, wait * MS),
+                0 => path.cut_link(entry, process, wait * MS),
+                1 => path.cut_link_at_entry(entry, process, wait * MS),
                 2 => path.kill(process, wait * MS),
-                3 => path.behave(process, Behaviour::Break(MS)),
-                4 => path.behave(process, Behaviour::Serve(3 * MS)),
-                _ => path.behave(process, Behaviour::Unreachable),
+                3 => path.set_behaviour(process, Behaviour::Break(MS)),
+                4 => path.set_behaviour(process, Behaviour::Serve(3 * MS)),
+                _ => path.set_behaviour(process, Behaviour::Unreachable),
             }
         }
         path.run_for(10_000 * MS);
--- a/crates/pond-sched/benches/colocation.rs
+++ b/crates/pond-sched/benches/colocation.rs
@@ -6,7 +6,7 @@
 
 use pond_proto::{Job, Kind, Labels, Selector, Size, Unit, Vm};
 use pond_sched::{LadderTuning, Tuning};
-use pond_test::{Colocation, Scene, Truth, job, service, vm};
+use pond_test::{Colocation, JobProfile, Scenario, job, service, vm};
 
 /// Virtual time of a run, in milliseconds: two hours.
 const RUN_MS: u64 = 2 * 3600 * 1000;
@@ -42,15 +42,15 @@
     Unit { kind, size, ..job(name) }
 }
 
-fn truth(run_ms: u64) -> Truth {
-    Truth { run_ms: run_ms as f64, uses: 0.8, fails: false }
+fn truth(run_ms: u64) -> JobProfile {
+    JobProfile { run_ms: run_ms as f64, usage: 0.8, fails: false }
 }
 
 const MINUTE: u64 = 60_000;
 
 /// Found Property Matching: ten VMs of 32 processors, half with counter queries, half with status
 /// queries. Decoding photos harms the first, comparing them the second; good pairs exist.
-fn matching() -> Scene {
+fn matching() -> Scenario {
     let harm = [
         (("counter-query", "decode"), 0.35),
         (("counter-query", "compare"), 0.02),
@@ -59,7 +59,7 @@
         (("status", "compare"), 0.25),
         (("status", "index"), 0.01),
     ];
-    Scene {
+    Scenario {
         vms: vms(10, Size::new(32_000, 125_000, 0)),
         services: vec![
             apart(a_service("counter-query", 5, Size::new(4_000, 8_000, 0), 20), "status"),
@@ -82,15 +82,15 @@
                 12,
             ),
         ],
-        harm: own(&harm),
-        alone_us: BTreeMap::from([
+        interference: own(&harm),
+        baseline_us: BTreeMap::from([
             ("counter-query".to_owned(), 15_000.0),
             ("status".to_owned(), 8_000.0),
         ]),
         lag_ms: 5_000,
         load: |_| 1.0,
-        waves: |_| 1.0,
-        bad_vm: None,
+        noise: |_| 1.0,
+        faulty_vm: None,
         lost_rack: None,
         seed: 5,
     }
@@ -98,13 +98,13 @@
 
 /// Ledgerline: ten VMs of 16 processors, each with checkouts, which schedule rebuilds harm; there
 /// is no VM to flee to.
-fn ledgerline() -> Scene {
+fn ledgerline() -> Scenario {
     let harm = [
         (("checkout", "rebuild"), 0.30),
         (("checkout", "report"), 0.10),
         (("checkout", "export"), 0.03),
     ];
-    Scene {
+    Scenario {
         vms: vms(10, Size::new(16_000, 60_000, 0)),
         services: vec![a_service("checkout", 10, Size::new(2_000, 6_000, 0), 14)],
         jobs: vec![
@@ -124,8 +124,8 @@
                 10,
             ),
         ],
-        harm: own(&harm),
-        alone_us: BTreeMap::from([("checkout".to_owned(), 10_000.0)]),
+        interference: own(&harm),
+        baseline_us: BTreeMap::from([("checkout".to_owned(), 10_000.0)]),
         ..matching()
     }
 }
@@ -143,37 +143,37 @@
 }
 
 /// Batch work that is three times as noisy for two of every ten minutes.
-fn waves(ms: u64) -> f64 {
+fn noise(ms: u64) -> f64 {
     if ms % (10 * MINUTE) < 2 * MINUTE { 3.0 } else { 1.0 }
 }
 
-fn cases(scene: &Scene) -> Vec<(&'static str, Scene)> {
+fn cases(scene: &Scenario) -> Vec<(&'static str, Scenario)> {
     let scale = |factor: f64| {
         let mut scene = scene.clone();
         for (_, truth, _) in &mut scene.jobs {
             truth.run_ms *= factor;
-            truth.uses = (truth.uses * factor).min(1.0);
+            truth.usage = (truth.usage * factor).min(1.0);
         }
         scene
     };
     let lost = Some(("rack-1".to_owned(), 40 * MINUTE));
     vec![
         ("quiet", scene.clone()),
-        ("day load", Scene { load: day, ..scene.clone() }),
-        ("noisy waves", Scene { waves, ..scene.clone() }),
+        ("day load", Scenario { load: day, ..scene.clone() }),
+        ("noisy waves", Scenario { noise, ..scene.clone() }),
         ("run times 4x too short", scale(0.25)),
         ("run times 4x too long", scale(4.0)),
-        ("reports 30 s late", Scene { lag_ms: 30_000, ..scene.clone() }),
-        ("reports 60 s late", Scene { lag_ms: 60_000, ..scene.clone() }),
-        ("a VM fails everything", Scene { bad_vm: Some("vm-3".to_owned()), ..scene.clone() }),
-        ("a rack is lost", Scene { lost_rack: lost.clone(), ..scene.clone() }),
+        ("reports 30 s late", Scenario { lag_ms: 30_000, ..scene.clone() }),
+        ("reports 60 s late", Scenario { lag_ms: 60_000, ..scene.clone() }),
+        ("a VM fails everything", Scenario { faulty_vm: Some("vm-3".to_owned()), ..scene.clone() }),
+        ("a rack is lost", Scenario { lost_rack: lost.clone(), ..scene.clone() }),
         (
             "all at once",
-            Scene {
+            Scenario {
                 load: day,
-                waves,
+                noise,
                 lag_ms: 30_000,
-                bad_vm: Some("vm-3".to_owned()),
+                faulty_vm: Some("vm-3".to_owned()),
                 lost_rack: lost,
                 ..scene.clone()
             },
@@ -214,21 +214,21 @@
     }
 }
 
-fn row(case: &str, scheduler: &str, scene: Scene, tuning: Tuning) {
+fn row(case: &str, scheduler: &str, scene: Scenario, tuning: Tuning) {
     let mut run = Colocation::new(scene, tuning);
     run.run(RUN_MS);
     let mut outcome = run.outcome.clone();
     assert_eq!(outcome.overcommitted, 0, "a VM was given too much");
-    let ended = (outcome.met + outcome.missed).max(1);
+    let ended = (outcome.met_deadlines + outcome.missed_deadlines).max(1);
     println!(
         "| {case} | {scheduler} | {:.2} | {:.2} | {:.1} % | {:.1} | {} | {:.0} | {:.0} % | {} |",
-        outcome.ratio(0.5),
-        outcome.ratio(0.99),
-        outcome.within as f64 * 100.0 / outcome.steps as f64,
+        outcome.latency_ratio(0.5),
+        outcome.latency_ratio(0.99),
+        outcome.within_objective as f64 * 100.0 / outcome.steps as f64,
         outcome.worked_ms / RUN_MS as f64,
         outcome.evictions,
         outcome.lost_ms / 60_000.0,
-        outcome.met as f64 * 100.0 / ended as f64,
+        outcome.met_deadlines as f64 * 100.0 / ended as f64,
         outcome.failures,
     );
 }
--- a/crates/pond-sched/tests/decisions.rs
+++ b/crates/pond-sched/tests/decisions.rs
@@ -5,7 +5,7 @@
 use pond_proto::{Job, Kind, Labels, Millis, Selector, Size, TaskKey, Unit, Vm, VmKey};
 use pond_sched::{LadderTuning, Scheduler, Tuning};
 use pond_state::{Action, Change, End, Liveness, Meta, Order, Phase, State};
-use pond_test::{Colocation, Scene, Truth, job, service, vm};
+use pond_test::{Colocation, JobProfile, Scenario, job, service, vm};
 
 const MINUTE: u64 = 60_000;
 
@@ -217,36 +217,36 @@
 }
 
 /// Three VMs with one service each, and jobs of two kinds of which one harms it.
-fn scene() -> Scene {
+fn scene() -> Scenario {
     let mut guarded = service("query", 3);
     guarded.labels = Labels::from([(Unit::KIND.to_owned(), "query".to_owned())]);
     let jobs = |name: &str| Unit {
         kind: Kind::Job(Job { run_ms: 2 * MINUTE, deadline_ms: None, retries: 30 }),
         ..job(name)
     };
-    let truth = Truth { run_ms: 2.0 * MINUTE as f64, uses: 0.8, fails: false };
+    let truth = JobProfile { run_ms: 2.0 * MINUTE as f64, usage: 0.8, fails: false };
     let harm = |job: &str, harm| (("query".to_owned(), job.to_owned()), harm);
-    Scene {
+    Scenario {
         vms: (0..3).map(|i| vm(&format!("vm-{i}"))).collect(),
         services: vec![guarded],
         jobs: vec![(jobs("loud"), truth, 3), (jobs("calm"), truth, 3)],
-        harm: BTreeMap::from([harm("loud", 0.8), harm("calm", 0.02)]),
-        alone_us: BTreeMap::from([("query".to_owned(), 14_000.0)]),
+        interference: BTreeMap::from([harm("loud", 0.8), harm("calm", 0.02)]),
+        baseline_us: BTreeMap::from([("query".to_owned(), 14_000.0)]),
         lag_ms: 5_000,
         load: |_| 1.0,
-        waves: |_| 1.0,
-        bad_vm: None,
+        noise: |_| 1.0,
+        faulty_vm: None,
         lost_rack: None,
         seed: 3,
     }
 }
 
-fn within(scene: Scene, tuning: Tuning) -> f64 {
+fn within(scene: Scenario, tuning: Tuning) -> f64 {
     let mut run = Colocation::new(scene, tuning);
     run.run(10 * MINUTE);
     run.outcome = Default::default();
     run.run(30 * MINUTE);
-    run.outcome.within as f64 / run.outcome.steps as f64
+    run.outcome.within_objective as f64 / run.outcome.steps as f64
 }
 
 #[test]
@@ -261,7 +261,7 @@
 
 #[test]
 fn late_reports_blame_what_ran_then_and_not_what_runs_now() {
-    let full = within(Scene { lag_ms: 60_000, ..scene() }, Tuning::default());
+    let full = within(Scenario { lag_ms: 60_000, ..scene() }, Tuning::default());
     assert!(full > 0.95, "{full}");
 }
 
@@ -296,10 +296,10 @@
 
 #[test]
 fn noisy_waves_cause_no_stampede_of_moves() {
-    fn waves(ms: u64) -> f64 {
+    fn noise(ms: u64) -> f64 {
         if ms % (10 * MINUTE) < 2 * MINUTE { 4.0 } else { 1.0 }
     }
-    let mut run = Colocation::new(Scene { waves, ..scene() }, Tuning::default());
+    let mut run = Colocation::new(Scenario { noise, ..scene() }, Tuning::default());
     run.run(60 * MINUTE);
     assert!(run.outcome.evictions <= 20, "{} moves in an hour", run.outcome.evictions);
 }
@@ -314,7 +314,7 @@
 
 #[test]
 fn a_vm_that_fails_everything_is_left_alone_and_tried_again_later() {
-    let bad = Scene { bad_vm: Some("vm-1".to_owned()), ..scene() };
+    let bad = Scenario { faulty_vm: Some("vm-1".to_owned()), ..scene() };
     let mut run = Colocation::new(bad, Tuning::default());
     run.run(60 * MINUTE);
     let failures = run.failures();
@@ -330,7 +330,7 @@
         kind: Kind::Job(Job { run_ms: MINUTE, deadline_ms: None, retries: 6 }),
         ..job("broken")
     };
-    let truth = Truth { run_ms: 1000.0, uses: 0.5, fails: true };
+    let truth = JobProfile { run_ms: 1000.0, usage: 0.5, fails: true };
     scene.jobs.push((broken, truth, 4));
     let mut run = Colocation::new(scene, Tuning::default());
     run.run(60 * MINUTE);
--- a/crates/pond-test/src/cluster/carry.rs
+++ b/crates/pond-test/src/cluster/carry.rs
@@ -93,9 +93,9 @@
         if self.rng.random_range(0..1000) < self.faults.loss {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.faults.twice);
+        let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.faults.duplicate);
         for _ in 0..copies {
-            let due = self.time + self.rng.random_range(1..=self.faults.delay);
+            let due = self.time + self.rng.random_range(1..=self.faults.max_delay_ms);
             self.flying.push(Flying { due, letter: letter.clone() });
         }
     }
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -35,23 +35,23 @@
     /// Share of messages that are lost, in thousandths.
     pub loss: u32,
     /// Share of messages that come twice, in thousandths.
-    pub twice: u32,
+    pub duplicate: u32,
     /// Longest delay of a message, in milliseconds.
-    pub delay: u64,
+    pub max_delay_ms: u64,
     /// Chance of a crash in a step, in hundred-thousandths.
     pub crash: u32,
     /// Chance of a cut between two replicas in a step, in hundred-thousandths.
-    pub cut: u32,
+    pub partition: u32,
     /// How far a clock may run fast or slow, in thousandths.
     pub drift: u64,
     /// Entries after which a replica takes a snapshot.
     pub snapshot_every: u64,
     /// Chance of a full disk in a step, in hundred-thousandths.
-    pub full: u32,
+    pub disk_full: u32,
     /// Chance in a step that a machine is suspended for seconds, in hundred-thousandths.
     pub suspend: u32,
     /// Whether the clocks of replicas stand still meanwhile, as a steady clock does.
-    pub steady: bool,
+    pub clocks_stop: bool,
     /// Whether disks lie about syncing.
     pub lying_disks: bool,
 }
@@ -61,15 +61,15 @@
     pub fn none() -> Faults {
         Faults {
             loss: 0,
-            twice: 0,
-            delay: 2,
+            duplicate: 0,
+            max_delay_ms: 2,
             crash: 0,
-            cut: 0,
+            partition: 0,
             drift: 0,
             snapshot_every: 1_000_000,
-            full: 0,
+            disk_full: 0,
             suspend: 0,
-            steady: false,
+            clocks_stop: false,
             lying_disks: false,
         }
     }
@@ -78,15 +78,15 @@
     pub fn all() -> Faults {
         Faults {
             loss: 50,
-            twice: 50,
-            delay: 30,
+            duplicate: 50,
+            max_delay_ms: 30,
             crash: 100,
-            cut: 100,
+            partition: 100,
             drift: 20,
             snapshot_every: 20,
-            full: 5,
+            disk_full: 5,
             suspend: 0,
-            steady: false,
+            clocks_stop: false,
             lying_disks: false,
         }
     }
@@ -147,7 +147,7 @@
     /// Reads that were answered.
     pub reads_done: usize,
     /// What was found wrong, if anything.
-    pub wrong: Option<String>,
+    pub violation: Option<String>,
 }
 
 impl Cluster {
@@ -173,7 +173,7 @@
             leaders: BTreeMap::new(),
             reads: BTreeMap::new(),
             reads_done: 0,
-            wrong: None,
+            violation: None,
         };
         for id in 1..=count {
             cluster.add_node(id);
@@ -246,7 +246,7 @@
     }
 
     fn fail(&mut self, what: String) {
-        self.wrong.get_or_insert(what);
+        self.violation.get_or_insert(what);
     }
 
     /// Crashes a replica; it starts again after `wait` milliseconds.
@@ -287,7 +287,7 @@
     pub fn run_until_accepted(&mut self, ms: u64, pause: Range<u64>) -> bool {
         let (accepted, until) = (self.accepted.len(), self.time + ms);
         let mut next = self.time;
-        while self.accepted.len() == accepted && self.time < until && self.wrong.is_none() {
+        while self.accepted.len() == accepted && self.time < until && self.violation.is_none() {
             if let Some(leader) = self.leader().filter(|_| self.time >= next) {
                 self.propose(leader);
                 next = self.time + self.rng.random_range(pause.clone());
@@ -299,7 +299,7 @@
 
     /// Kills a replica's process when it has written entries the next time and not synced them; it
     /// starts again at once.
-    pub fn kill_writing(&mut self, id: u64) {
+    pub fn kill_before_sync(&mut self, id: u64) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.dies_writing = true;
         }
@@ -317,7 +317,7 @@
     }
 
     /// Stops a replica and starts it again on another disk.
-    pub fn put_disk(&mut self, id: u64, disk: Memory) {
+    pub fn replace_disk(&mut self, id: u64, disk: Memory) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.running = None;
             node.disk = disk;
@@ -326,7 +326,7 @@
     }
 
     /// Lets a replica's disk be full for `wait` milliseconds.
-    pub fn fill(&mut self, id: u64, wait: u64) {
+    pub fn fill_disk(&mut self, id: u64, wait: u64) {
         let until = self.time + wait;
         if let Some(node) = self.nodes.get_mut(&id) {
             node.full = node.full.max(until);
@@ -344,14 +344,14 @@
     }
 
     /// Cuts two replicas off from each other for `wait` milliseconds.
-    pub fn cut(&mut self, a: u64, b: u64, wait: u64) {
+    pub fn partition(&mut self, a: u64, b: u64, wait: u64) {
         self.cuts.insert((a.min(b), a.max(b)), self.time + wait);
     }
 
     /// Cuts one replica off from all others for `wait` milliseconds.
     pub fn isolate(&mut self, id: u64, wait: u64) {
         let others: Vec<u64> = self.nodes.keys().copied().filter(|other| *other != id).collect();
-        others.into_iter().for_each(|other| self.cut(id, other, wait));
+        others.into_iter().for_each(|other| self.partition(id, other, wait));
     }
 
     /// The replica that leads and is ready, with the highest term.
@@ -414,13 +414,13 @@
 
     /// Suspends the machine of a replica for `wait` milliseconds. What is sent to it comes when it wakes.
     pub fn suspend(&mut self, id: u64, wait: u64) {
-        let (until, steady) = (self.time + wait, self.faults.steady);
+        let (until, clocks_stop) = (self.time + wait, self.faults.clocks_stop);
         let Some(node) = self.nodes.get_mut(&id) else { return };
         if node.asleep > self.time {
             return;
         }
         node.asleep = until;
-        node.uncounted += if steady { wait } else { 0 };
+        node.uncounted += if clocks_stop { wait } else { 0 };
     }
 
     /// Until when the machine of a replica is suspended, if it is.
@@ -431,7 +431,7 @@
     /// Lets `ms` milliseconds pass with load and failures, one at a time.
     pub fn run(&mut self, ms: u64) {
         for _ in 0..ms {
-            if self.wrong.is_some() {
+            if self.violation.is_some() {
                 return;
             }
             self.time += 1;
@@ -448,7 +448,7 @@
     /// Lets time pass while clients propose and read.
     pub fn run_under_load(&mut self, ms: u64) {
         let mut passed = 0;
-        while passed < ms && self.wrong.is_none() {
+        while passed < ms && self.violation.is_none() {
             let ids: Vec<u64> = self.nodes.keys().copied().collect();
             let id = ids[self.rng.random_range(0..ids.len())];
             if self.rng.random_bool(0.8) {
@@ -471,9 +471,11 @@
             }
         }
         for id in &ids {
-            if self.faults.full > 0 && self.rng.random_range(0..100_000) < self.faults.full {
+            if self.faults.disk_full > 0
+                && self.rng.random_range(0..100_000) < self.faults.disk_full
+            {
                 let wait = self.rng.random_range(10..FULL_MS);
-                self.fill(*id, wait);
+                self.fill_disk(*id, wait);
             }
         }
         for id in &ids {
@@ -483,11 +485,11 @@
             }
         }
         self.empty();
-        if self.rng.random_range(0..100_000) < self.faults.cut {
+        if self.rng.random_range(0..100_000) < self.faults.partition {
             let a = ids[self.rng.random_range(0..ids.len())];
             let b = ids[self.rng.random_range(0..ids.len())];
             let wait = self.rng.random_range(50..3000);
-            self.cut(a, b, wait);
+            self.partition(a, b, wait);
         }
     }
 
@@ -568,7 +570,7 @@
     }
 
     /// Ends all failures, waits until all agree, and checks that nothing accepted is lost.
-    pub fn settle(&mut self) {
+    pub fn heal_and_check(&mut self) {
         self.faults = Faults { snapshot_every: self.faults.snapshot_every, ..Faults::none() };
         self.cuts.clear();
         for node in self.nodes.values_mut() {
--- a/crates/pond-test/src/colocation.rs
+++ b/crates/pond-test/src/colocation.rs
@@ -23,36 +23,36 @@
 
 /// How a kind of batch job really behaves.
 #[derive(Clone, Copy, Debug)]
-pub struct Truth {
+pub struct JobProfile {
     /// How long it runs at full speed, in milliseconds.
     pub run_ms: f64,
     /// What it really uses of its declared size.
-    pub uses: f64,
+    pub usage: f64,
     /// It fails wherever it runs.
     pub fails: bool,
 }
 
 /// What a case is made of.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     /// VMs.
     pub vms: Vec<Vm>,
     /// Services.
     pub services: Vec<Unit>,
     /// How many jobs of each template are waiting at any time; a finished one is replaced.
-    pub jobs: Vec<(Unit, Truth, usize)>,
+    pub jobs: Vec<(Unit, JobProfile, usize)>,
     /// How much a kind of job slows a kind of service at full speed.
-    pub harm: BTreeMap<(String, String), f64>,
+    pub interference: BTreeMap<(String, String), f64>,
     /// Undisturbed 99th percentile of each service kind, in microseconds.
-    pub alone_us: BTreeMap<String, f64>,
+    pub baseline_us: BTreeMap<String, f64>,
     /// How late reports are, in milliseconds.
     pub lag_ms: u64,
     /// Load of the services over time, as a factor of latency.
     pub load: fn(u64) -> f64,
     /// Noise of batch jobs over time, as a factor of harm.
-    pub waves: fn(u64) -> f64,
+    pub noise: fn(u64) -> f64,
     /// A VM that fails every job.
-    pub bad_vm: Option<String>,
+    pub faulty_vm: Option<String>,
     /// A rack that is lost at this time, in milliseconds.
     pub lost_rack: Option<(String, u64)>,
     /// Deadline factor: share of declared run times within which jobs must end, by template.
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Latencies over all services and steps, as a share of the undisturbed one, in thousandths.
-    pub ratios: Vec<u32>,
+    pub latency_ratios: Vec<u32>,
     /// Steps of services within their objective.
-    pub within: u64,
+    pub within_objective: u64,
     /// Steps of services.
     pub steps: u64,
     /// Work of jobs that came to their end, in milliseconds of full speed.
@@ -79,9 +79,9 @@
     /// Work that was done twice, in milliseconds.
     pub lost_ms: f64,
     /// Jobs that ended after their deadline or are past it.
-    pub missed: u64,
+    pub missed_deadlines: u64,
     /// Jobs with a deadline that ended in time.
-    pub met: u64,
+    pub met_deadlines: u64,
     /// VMs that were given more than they have, at any time.
     pub overcommitted: u64,
     /// Failed starts.
@@ -96,7 +96,7 @@
 
 /// A run of a scene.
 pub struct Colocation {
-    scene: Scene,
+    scenario: Scenario,
     /// The replicated state.
     pub state: State,
     scheduler: Scheduler,
@@ -112,8 +112,8 @@
 
 impl Colocation {
     /// A scene with a scheduler.
-    pub fn new(scene: Scene, tuning: Tuning) -> Colocation {
-        let rng = SmallRng::seed_from_u64(scene.seed);
+    pub fn new(scenario: Scenario, tuning: Tuning) -> Colocation {
+        let rng = SmallRng::seed_from_u64(scenario.seed);
         let mut run = Colocation {
             state: State::new(),
             scheduler: Scheduler::with_tuning(tuning),
@@ -124,7 +124,7 @@
             next_job: 0,
             rng,
             outcome: Outcome::default(),
-            scene,
+            scenario,
         };
         run.begin();
         run
@@ -132,11 +132,11 @@
 
     fn begin(&mut self) {
         let at = Millis(self.now);
-        self.state.apply(Change::Listed { at, vms: self.scene.vms.clone() });
+        self.state.apply(Change::Listed { at, vms: self.scenario.vms.clone() });
         self.judge_all(Liveness::Live, |_| true);
-        self.order(self.scene.services.clone());
-        for template in 0..self.scene.jobs.len() {
-            for _ in 0..self.scene.jobs[template].2 {
+        self.order(self.scenario.services.clone());
+        for template in 0..self.scenario.jobs.len() {
+            for _ in 0..self.scenario.jobs[template].2 {
                 self.submit(template);
             }
         }
@@ -158,7 +158,7 @@
 
     fn submit(&mut self, template: usize) {
         self.next_job += 1;
-        let unit = &self.scene.jobs[template].0;
+        let unit = &self.scenario.jobs[template].0;
         let name = format!("{}-{}", unit.name, self.next_job);
         let labels = Labels::from([(Unit::KIND.to_owned(), unit.name.clone())]);
         let unit = Unit { name: name.clone(), labels, ..unit.clone() };
@@ -166,8 +166,8 @@
         self.order(vec![unit]);
     }
 
-    fn truth(&self, unit: &str) -> Option<Truth> {
-        self.templates.get(unit).map(|template| self.scene.jobs[*template].1)
+    fn profile(&self, unit: &str) -> Option<JobProfile> {
+        self.templates.get(unit).map(|template| self.scenario.jobs[*template].1)
     }
 
     /// Lets virtual time pass, in milliseconds.
@@ -188,7 +188,7 @@
     }
 
     fn lose_rack(&mut self) {
-        let Some((rack, at)) = self.scene.lost_rack.clone() else { return };
+        let Some((rack, at)) = self.scenario.lost_rack.clone() else { return };
         if self.elapsed() < at || self.elapsed() >= at + STEP_MS {
             return;
         }
@@ -251,9 +251,9 @@
     }
 
     fn get_on(&mut self, key: TaskKey, task: &pond_state::Task) {
-        let Some(truth) = self.truth(&task.unit) else { return };
+        let Some(profile) = self.profile(&task.unit) else { return };
         let vm = self.state.vm(task.vm).map(|vm| vm.vm.name.clone());
-        if truth.fails || (vm.is_some() && vm == self.scene.bad_vm) {
+        if profile.fails || (vm.is_some() && vm == self.scenario.faulty_vm) {
             self.outcome.failures += 1;
             return self.end(key, End::Failed { reason: "it failed".to_owned() });
         }
@@ -270,19 +270,19 @@
         if task.phase == Phase::Paused {
             running.since_checkpoint_ms = 0.0;
         }
-        if running.progress_ms >= truth.run_ms {
-            self.finish(key, &task.unit, truth);
+        if running.progress_ms >= profile.run_ms {
+            self.finish(key, &task.unit, profile);
         }
     }
 
-    fn finish(&mut self, key: TaskKey, unit: &str, truth: Truth) {
+    fn finish(&mut self, key: TaskKey, unit: &str, profile: JobProfile) {
         self.outcome.finished += 1;
-        self.outcome.finished_ms += truth.run_ms;
+        self.outcome.finished_ms += profile.run_ms;
         let record = self.state.unit(unit);
         let deadline = record.and_then(|r| Some(r.created + r.unit.job()?.deadline_ms?));
         match deadline {
-            Some(deadline) if Millis(self.now) > deadline => self.outcome.missed += 1,
-            Some(_) => self.outcome.met += 1,
+            Some(deadline) if Millis(self.now) > deadline => self.outcome.missed_deadlines += 1,
+            Some(_) => self.outcome.met_deadlines += 1,
             None => {}
         }
         self.end(key, End::Done);
@@ -293,7 +293,7 @@
 
     /// The true slowdown of a service on a VM.
     fn slowdown(&self, service: &str, vm: VmKey) -> f64 {
-        let waves = (self.scene.waves)(self.elapsed());
+        let noise = (self.scenario.noise)(self.elapsed());
         let mut slowdown = 1.0;
         for task in self.state.tasks_on(vm) {
             let Some(template) = self.templates.get(&task.unit) else { continue };
@@ -302,33 +302,34 @@
                 Phase::Running | Phase::Stopping => 1.0,
                 _ => 0.0,
             };
-            let pair = (service.to_owned(), self.scene.jobs[*template].0.name.clone());
-            slowdown += self.scene.harm.get(&pair).copied().unwrap_or(0.0) * share * waves;
+            let pair = (service.to_owned(), self.scenario.jobs[*template].0.name.clone());
+            slowdown +=
+                self.scenario.interference.get(&pair).copied().unwrap_or(0.0) * share * noise;
         }
         slowdown
     }
 
     /// Measures all tasks now; the scheduler hears of it after the lag.
     fn measure(&mut self) {
-        let load = (self.scene.load)(self.elapsed());
+        let load = (self.scenario.load)(self.elapsed());
         let mut taken = Vec::new();
         let tasks: Vec<_> = self.state.tasks().filter(|t| t.started.is_some()).cloned().collect();
         for task in tasks {
             let Some(unit) = self.state.unit(&task.unit).map(|record| record.unit.clone()) else {
                 continue;
             };
-            let uses = self.truth(&task.unit).map_or(0.7, |truth| truth.uses);
+            let uses = self.profile(&task.unit).map_or(0.7, |profile| profile.usage);
             let mut p99_us = None;
             if let Some(service) = unit.service() {
                 let kind = unit.kind_name();
-                let alone = self.scene.alone_us.get(kind).copied().unwrap_or(1000.0);
+                let alone = self.scenario.baseline_us.get(kind).copied().unwrap_or(1000.0);
                 let ratio = self.slowdown(kind, task.vm) * load;
                 let noisy = alone * ratio * (1.0 + self.rng.random_range(-0.03..0.03));
                 p99_us = Some(noisy as u64);
-                self.outcome.ratios.push((ratio / load * 1000.0) as u32);
+                self.outcome.latency_ratios.push((ratio / load * 1000.0) as u32);
                 self.outcome.steps += 1;
                 let objective = f64::from(service.p99_ms.unwrap_or(u32::MAX)) * 1000.0;
-                self.outcome.within += u64::from(alone * ratio <= objective);
+                self.outcome.within_objective += u64::from(alone * ratio <= objective);
             }
             taken.push(Measured {
                 task: task.key,
@@ -340,7 +341,7 @@
             });
         }
         if self.now.is_multiple_of(REPORT_MS) {
-            self.reports.push_back((self.now + self.scene.lag_ms, taken));
+            self.reports.push_back((self.now + self.scenario.lag_ms, taken));
         }
         while self.reports.front().is_some_and(|(due, _)| *due <= self.now) {
             if let Some((_, reports)) = self.reports.pop_front() {
@@ -354,7 +355,7 @@
             if let Change::Steer { decision: Decision { action: Action::Move, .. }, task, .. } =
                 &change
             {
-                let job = self.state.task(*task).is_some_and(|t| self.truth(&t.unit).is_some());
+                let job = self.state.task(*task).is_some_and(|t| self.profile(&t.unit).is_some());
                 self.outcome.evictions += u64::from(job);
             }
             self.state.apply(change);
@@ -390,9 +391,10 @@
 
 impl Outcome {
     /// A quantile of the latencies, as a share of the undisturbed one.
-    pub fn ratio(&mut self, quantile: f64) -> f64 {
-        self.ratios.sort_unstable();
-        let place = ((self.ratios.len() as f64 * quantile) as usize).min(self.ratios.len() - 1);
-        f64::from(self.ratios.get(place).copied().unwrap_or(0)) / 1000.0
+    pub fn latency_ratio(&mut self, quantile: f64) -> f64 {
+        self.latency_ratios.sort_unstable();
+        let place = ((self.latency_ratios.len() as f64 * quantile) as usize)
+            .min(self.latency_ratios.len() - 1);
+        f64::from(self.latency_ratios.get(place).copied().unwrap_or(0)) / 1000.0
     }
 }
--- a/crates/pond-test/src/lib.rs
+++ b/crates/pond-test/src/lib.rs
@@ -9,8 +9,8 @@
 mod swallow;
 
 pub use cluster::{Cluster, Faults};
-pub use colocation::{Colocation, Outcome, Scene, Truth};
+pub use colocation::{Colocation, JobProfile, Outcome, Scenario};
 pub use config::cases;
-pub use path::{Behaviour, Path, Told};
+pub use path::{Behaviour, Reply, RequestPath};
 pub use sample::{job, meta, service, vm};
-pub use swallow::{SwallowProxy, Swallowed};
+pub use swallow::{Blackhole, BlackholeProxy};
--- a/crates/pond-test/src/path.rs
+++ b/crates/pond-test/src/path.rs
@@ -41,9 +41,9 @@
 
 /// What a caller was told, and when.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Reply {
     /// When it asked.
-    pub asked: Micros,
+    pub requested_at: Micros,
     /// When it was told.
     pub at: Micros,
     /// What.
@@ -102,7 +102,7 @@
 }
 
 /// Entries, endpoint processes and endpoints in virtual time.
-pub struct Path {
+pub struct RequestPath {
     now: u64,
     events: BinaryHeap<Reverse<Event>>,
     next_event: u64,
@@ -116,7 +116,7 @@
     asked: HashMap<RequestId, (usize, Micros)>,
     claims: BTreeMap<String, RequestId>,
     /// What callers were told.
-    pub told: BTreeMap<RequestId, Told>,
+    pub replies: BTreeMap<RequestId, Reply>,
     /// How often each request was started at an endpoint.
     pub runs: BTreeMap<RequestId, u32>,
     /// Starts at each endpoint.
@@ -124,12 +124,18 @@
     /// Offers that entries made.
     pub offers: u64,
     /// Whether control answers claims.
-    pub quorum: bool,
+    pub control_available: bool,
 }
 
-impl Path {
+impl RequestPath {
     /// `entries` entries and `endpoints` endpoints with `slots` slots each, all linked.
-    pub fn new(entries: usize, endpoints: usize, slots: u32, tuning: Tuning, seed: u64) -> Path {
+    pub fn new(
+        entries: usize,
+        endpoints: usize,
+        slots: u32,
+        tuning: Tuning,
+        seed: u64,
+    ) -> RequestPath {
         let routers = (0..entries).map(|i| Router::new("near", tuning, seed + i as u64)).collect();
         let place = |i: usize| Place {
             admission: Admission::new(&address(i)),
@@ -137,7 +143,7 @@
             behaviour: Behaviour::Serve(1000),
             alive: true,
         };
-        let mut path = Path {
+        let mut path = RequestPath {
             now: 0,
             events: BinaryHeap::new(),
             next_event: 0,
@@ -150,26 +156,26 @@
             next_number: 0,
             asked: HashMap::new(),
             claims: BTreeMap::new(),
-            told: BTreeMap::new(),
+            replies: BTreeMap::new(),
             runs: BTreeMap::new(),
             starts: vec![0; endpoints],
             offers: 0,
-            quorum: true,
+            control_available: true,
         };
-        path.put_view(1, slots, |_| false, |_| "near");
+        path.publish_view(1, slots, |_| false, |_| "near");
         path.schedule(TICK_US, Happening::Tick);
         path.run_for(5 * TICK_US);
         path
     }
 
     /// Sets the delay of links, in microseconds.
-    pub fn with_delay(mut self, us: u64) -> Path {
+    pub fn with_delay(mut self, us: u64) -> RequestPath {
         self.delay_us = us;
         self
     }
 
     /// Puts a whole view in force at all entries and processes.
-    pub fn put_view(
+    pub fn publish_view(
         &mut self,
         version: u64,
         slots: u32,
@@ -212,12 +218,12 @@
     }
 
     /// Limits the rate of the service at all entries.
-    pub fn limit(&mut self, version: u64, rate: u32) {
+    pub fn set_rate(&mut self, version: u64, rate: u32) {
         self.put_service(version, rate, 0);
     }
 
     /// Sets the priority of the service at all entries.
-    pub fn prioritise(&mut self, version: u64, priority: i32) {
+    pub fn set_priority(&mut self, version: u64, priority: i32) {
         self.put_service(version, 0, priority);
     }
 
@@ -243,7 +249,7 @@
     }
 
     /// Sets how an endpoint behaves from now on.
-    pub fn behave(&mut self, endpoint: usize, behaviour: Behaviour) {
+    pub fn set_behaviour(&mut self, endpoint: usize, behaviour: Behaviour) {
         self.places[endpoint].behaviour = behaviour;
     }
 
@@ -263,7 +269,7 @@
     }
 
     /// A caller asks; the identity of its request.
-    pub fn ask(
+    pub fn request(
         &mut self,
         entry: usize,
         repeatable: bool,
@@ -288,11 +294,11 @@
 
     /// What the caller of a request was told; none while it waits.
     pub fn outcome(&self, id: RequestId) -> Option<Outcome> {
-        self.told.get(&id).map(|told| told.finish.outcome())
+        self.replies.get(&id).map(|reply| reply.finish.outcome())
     }
 
     /// Cuts the link between an entry and a process; it is made again after `wait` microseconds.
-    pub fn cut(&mut self, entry: usize, process: usize, wait: u64) {
+    pub fn cut_link(&mut self, entry: usize, process: usize, wait: u64) {
         let link = self.links.entry((entry, process)).or_default();
         if !link.up {
             return;
@@ -309,7 +315,7 @@
     }
 
     /// Cuts a link so that only the entry notices; the process still reads what was sent before.
-    pub fn cut_at_entry(&mut self, entry: usize, process: usize, wait: u64) {
+    pub fn cut_link_at_entry(&mut self, entry: usize, process: usize, wait: u64) {
         let link = self.links.entry((entry, process)).or_default();
         link.up = false;
         let now = Micros(self.now);
@@ -324,7 +330,7 @@
     pub fn kill(&mut self, process: usize, wait: u64) {
         self.places[process].alive = false;
         for entry in 0..self.entries.len() {
-            self.cut(entry, process, wait);
+            self.cut_link(entry, process, wait);
         }
         let place = &mut self.places[process];
         place.life += 1;
@@ -351,7 +357,7 @@
     }
 
     /// Callers ask at random times, `rate` a second together, for `us` microseconds.
-    pub fn load(&mut self, rate: f64, us: u64, repeatable: bool, deadline_ms: u64) {
+    pub fn run_load(&mut self, rate: f64, us: u64, repeatable: bool, deadline_ms: u64) {
         let until = self.now + us;
         let mut entry = 0;
         loop {
@@ -362,16 +368,17 @@
             }
             self.run_for(pause as u64);
             entry = (entry + 1) % self.entries.len();
-            self.ask(entry, repeatable, "", deadline_ms);
+            self.request(entry, repeatable, "", deadline_ms);
         }
     }
 
     /// Latencies of the answers to requests asked since `since`, in order, in microseconds.
     pub fn latencies(&self, since: Micros) -> Vec<u64> {
-        let answered = self.told.values().filter(|told| {
-            told.asked >= since && matches!(&told.finish, Finish::Answered(a) if a.status < 500)
+        let answered = self.replies.values().filter(|reply| {
+            reply.requested_at >= since
+                && matches!(&reply.finish, Finish::Answered(a) if a.status < 500)
         });
-        let mut all: Vec<u64> = answered.map(|told| told.at.since(told.asked)).collect();
+        let mut all: Vec<u64> = answered.map(|reply| reply.at.since(reply.requested_at)).collect();
         all.sort_unstable();
         all
     }
@@ -495,7 +502,7 @@
                 self.send(entry, process, Body::FateAsk(ask));
             }
             Output::Claim(ask) => {
-                if !self.quorum {
+                if !self.control_available {
                     return self.entries[entry].claim_failed(now, ask.ticket);
                 }
                 let holder = *self.claims.entry(ask.key).or_insert(ask.id);
@@ -509,8 +516,8 @@
                 }
             }
             Output::Finish { id, finish } => {
-                if let Some((_, asked)) = self.asked.remove(&id) {
-                    self.told.insert(id, Told { asked, at: now, finish });
+                if let Some((_, requested_at)) = self.asked.remove(&id) {
+                    self.replies.insert(id, Reply { requested_at, at: now, finish });
                 }
             }
             Output::Connect { process, address } => {
--- a/crates/pond-test/src/swallow.rs
+++ b/crates/pond-test/src/swallow.rs
@@ -14,23 +14,23 @@
 
 /// Which bytes of a connection are swallowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Swallowed {
+pub enum Blackhole {
     /// Those of the side that connected.
-    Asked,
+    FromClient,
     /// Those of the side that was connected to.
-    Answered,
+    FromServer,
     /// Those of both sides.
     Both,
 }
 
-impl Swallowed {
+impl Blackhole {
     /// All ways in which a connection can fall silent.
-    pub const ALL: [Swallowed; 3] = [Swallowed::Asked, Swallowed::Answered, Swallowed::Both];
+    pub const ALL: [Blackhole; 3] = [Blackhole::FromClient, Blackhole::FromServer, Blackhole::Both];
 }
 
 /// The proxy; it runs as long as its runtime.
 #[derive(Clone)]
-pub struct SwallowProxy {
+pub struct BlackholeProxy {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -39,20 +39,20 @@
 #[derive(Default)]
 struct State {
     /// Connections that were taken.
-    taken: usize,
+    accepted: usize,
     /// How many of the first connections are silent, and which of their bytes are swallowed.
-    silent: Option<(usize, Swallowed)>,
+    silent: Option<(usize, Blackhole)>,
 }
 
-impl SwallowProxy {
+impl BlackholeProxy {
     /// Listens on an address of its own and passes connections on to `target`.
     ///
     /// # Panics
     /// If it cannot listen on loopback.
-    pub async fn start(target: SocketAddr) -> SwallowProxy {
+    pub async fn start(target: SocketAddr) -> BlackholeProxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
         let address = listener.local_addr().expect("an address");
-        let proxy = SwallowProxy { address, state: Arc::default() };
+        let proxy = BlackholeProxy { address, state: Arc::default() };
         let own = proxy.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
@@ -68,41 +68,41 @@
     }
 
     /// How many connections it has taken.
-    pub fn taken(&self) -> usize {
-        self.state().taken
+    pub fn accepted(&self) -> usize {
+        self.state().accepted
     }
 
     /// From now on these bytes of all connections that there are get lost, and no side learns that
     /// the other closes one. Connections that are taken later work.
-    pub fn swallow(&self, swallowed: Swallowed) {
+    pub fn drop_bytes(&self, swallowed: Blackhole) {
         let mut state = self.state();
-        state.silent = Some((state.taken, swallowed));
+        state.silent = Some((state.accepted, swallowed));
     }
 
     async fn join(self, near: TcpStream, target: SocketAddr) {
         let number = {
             let mut state = self.state();
-            state.taken += 1;
-            state.taken
+            state.accepted += 1;
+            state.accepted
         };
         // A target that is down closes the near side.
         let Ok(far) = TcpStream::connect(target).await else { return };
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let asked = self.clone().pass(number, Swallowed::Asked, near_in, far_out);
-        tokio::join!(asked, self.pass(number, Swallowed::Answered, far_in, near_out));
+        let asked = self.clone().pass(number, Blackhole::FromClient, near_in, far_out);
+        tokio::join!(asked, self.pass(number, Blackhole::FromServer, far_in, near_out));
     }
 
     /// Passes the bytes of one side on until it closes, and then its close.
     async fn pass(
         self,
         number: usize,
-        own: Swallowed,
+        own: Blackhole,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
     ) {
         let mut buffer = vec![0; PIECE];
         while let Ok(read @ 1..) = from.read(&mut buffer).await {
-            let swallowed = self.silent(number).is_some_and(|s| s == own || s == Swallowed::Both);
+            let swallowed = self.silent(number).is_some_and(|s| s == own || s == Blackhole::Both);
             if !swallowed && to.write_all(&buffer[..read]).await.is_err() {
                 break;
             }
@@ -114,7 +114,7 @@
     }
 
     /// Which bytes of a connection are swallowed, if it is silent.
-    fn silent(&self, number: usize) -> Option<Swallowed> {
+    fn silent(&self, number: usize) -> Option<Blackhole> {
         self.state().silent.filter(|(last, _)| number <= *last).map(|(_, swallowed)| swallowed)
     }
 
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -9,7 +9,7 @@
 use pond_proto::fleet::{Ask, Lead, Tell};
 use pond_proto::wire::{Body, Role};
 use pond_proto::{Life, Millis};
-use pond_test::{SwallowProxy, Swallowed};
+use pond_test::{Blackhole, BlackholeProxy};
 use pond_uplink::{HEARTBEAT_INTERVAL, Notification, SILENCE_TIMEOUT, Uplink};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -159,19 +159,19 @@
 /// repeated request arrives and is answered. `others` are further replicas that the process starts
 /// from.
 async fn check_recovery(
-    swallowed: Swallowed,
+    swallowed: Blackhole,
     others: &[SocketAddr],
-    proxy: SwallowProxy,
+    proxy: BlackholeProxy,
     mut leader: Replica,
 ) {
     let mut process = Process::start(&[&[proxy.address()], others].concat());
     let first = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 1))
         .await
         .expect("not within the limit");
-    proxy.swallow(swallowed);
+    proxy.drop_bytes(swallowed);
     // The process cannot know yet that the request or its reply gets lost.
     assert!(process.send_request(2));
-    if swallowed == Swallowed::Answered {
+    if swallowed == Blackhole::FromServer {
         assert_eq!(leader.next_request().await, (first, 2));
         leader.send_reply(first, 2);
     }
@@ -183,18 +183,18 @@
 
 #[tokio::test]
 async fn link_to_the_only_replica_is_restored() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let leader = Replica::start(leading()).await;
-        let proxy = SwallowProxy::start(leader.address).await;
+        let proxy = BlackholeProxy::start(leader.address).await;
         check_recovery(swallowed, &[], proxy, leader).await;
     }
 }
 
 #[tokio::test]
 async fn leader_is_found_again_through_another_replica() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let leader = Replica::start(leading()).await;
-        let proxy = SwallowProxy::start(leader.address).await;
+        let proxy = BlackholeProxy::start(leader.address).await;
         let follows = Lead { leader: proxy.address().to_string(), ..Lead::default() };
         let mut other = Replica::start(follows).await;
         let address = other.address;
