--- a/crates/pond-link/src/dial.rs
+++ b/crates/pond-link/src/dial.rs
@@ -1,4 +1,4 @@
-//! The dialling end of a link.
+//! The dialling end of links.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,50 +10,53 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::event::{Event, EventKind, LinkKey};
-use crate::{Config, Error, pump};
+use crate::{Config, Error, connection};
 
-/// The first wait before a link is tried again.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
+/// Wait before the first attempt to reconnect.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest wait before a link is tried again.
-const LONGEST_WAIT: Duration = Duration::from_millis(1000);
+/// Maximum wait before an attempt to reconnect.
+const MAX_BACKOFF: Duration = Duration::from_millis(1000);
 
-/// A link that stayed open this long starts again with the first wait.
-const STEADY: Duration = Duration::from_secs(5);
+/// Time that a link must have stayed open to reset the backoff.
+const STABLE_AFTER: Duration = Duration::from_secs(5);
 
-/// Keeps a link to `address` until the receiver of the events is gone or the task is ended.
+/// Keeps a link to `address` open until the event receiver is dropped or the task is aborted.
+///
+/// A lost link is dialled again with exponential backoff and jitter.
 pub async fn dial(
     address: SocketAddr,
     link: LinkKey,
-    terms: Arc<Config>,
+    config: Arc<Config>,
     events: mpsc::Sender<Event>,
 ) {
-    let mut wait = FIRST_WAIT;
+    let mut backoff = INITIAL_BACKOFF;
     while !events.is_closed() {
         let opened = Instant::now();
-        match connect(address, &terms).await {
-            Ok((wire, hello)) => {
-                pump::run(wire, hello, link, terms.clone(), events.clone()).await;
+        match connect(address, &config).await {
+            Ok((framed, hello)) => {
+                connection::run(framed, hello, link, config.clone(), events.clone()).await;
             }
             Err(error) => {
                 let kind = EventKind::Down(error);
                 let _ = events.send(Event { link, kind }).await;
             }
         }
-        if opened.elapsed() >= STEADY {
-            wait = FIRST_WAIT;
+        if opened.elapsed() >= STABLE_AFTER {
+            backoff = INITIAL_BACKOFF;
         }
-        let spread = rand::rng().random_range(0.5..1.0);
-        sleep(wait.mul_f64(spread)).await;
-        wait = (wait * 2).min(LONGEST_WAIT);
+        let jitter = rand::rng().random_range(0.5..1.0);
+        sleep(backoff.mul_f64(jitter)).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 async fn connect(
     address: SocketAddr,
-    terms: &Config,
-) -> Result<(pump::Wire, pond_proto::wire::Hello), Error> {
-    let silent = |_| Error::Silent { ms: terms.silence.as_millis() };
-    let stream = timeout(terms.silence, TcpStream::connect(address)).await.map_err(silent)??;
-    pump::shake_hands(stream, terms).await
+    config: &Config,
+) -> Result<(connection::FramedStream, pond_proto::wire::Hello), Error> {
+    let timed_out = |_| Error::Silent { ms: config.silence_timeout.as_millis() };
+    let stream =
+        timeout(config.silence_timeout, TcpStream::connect(address)).await.map_err(timed_out)??;
+    connection::handshake(stream, config).await
 }
--- a/crates/pond-link/src/error.rs
+++ b/crates/pond-link/src/error.rs
@@ -1,62 +1,62 @@
-//! Why a link could not be opened or was lost.
+//! Errors of links.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// Why a link could not be opened or was lost.
+/// Reason why a link could not be opened or was lost.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The connection failed.
-    #[snafu(display("the connection failed: {source}"))]
+    /// An I/O error of the connection.
+    #[snafu(display("connection failed: {source}"))]
     Io {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The other end closed the connection.
-    #[snafu(display("the other end closed the link"))]
+    /// The peer closed the connection.
+    #[snafu(display("peer closed the link"))]
     Closed,
-    /// Nothing came in for too long.
-    #[snafu(display("nothing was heard for {ms} ms"))]
+    /// No frame was received within the silence timeout.
+    #[snafu(display("no frame received for {ms} ms"))]
     Silent {
-        /// For how long.
+        /// Timeout in milliseconds.
         ms: u128,
     },
-    /// A frame could not be read.
-    #[snafu(display("a frame could not be read: {what}"))]
+    /// A frame could not be decoded.
+    #[snafu(display("invalid frame: {reason}"))]
     BadFrame {
-        /// Why.
-        what: String,
+        /// What is invalid about it.
+        reason: String,
     },
-    /// The first frame was no hello.
-    #[snafu(display("the first frame was no hello"))]
+    /// The first frame was not a hello.
+    #[snafu(display("first frame was not a hello"))]
     NoHello,
-    /// The other end speaks another version.
+    /// The peer uses another protocol version.
     #[snafu(display(
-        "the other end speaks version {theirs}, this one {ours}; run the same release on both"
+        "peer uses protocol version {theirs}, this process {ours}; run the same release on both ends"
     ))]
     Version {
-        /// The other end's.
+        /// Version of the peer.
         theirs: u32,
-        /// This end's.
+        /// Version of this process.
         ours: u32,
     },
-    /// The other end shows another token.
-    #[snafu(display("the other end shows another token; give both the same token_file"))]
+    /// The peer presented another token.
+    #[snafu(display("peer presented another token; configure the same token_file on both ends"))]
     Token,
-    /// There are as many links as the settings allow.
-    #[snafu(display("there are {limit} links already"))]
+    /// The maximum number of links is open already.
+    #[snafu(display("limit of {limit} open links reached"))]
     TooMany {
-        /// The limit.
+        /// Maximum number of open links.
         limit: usize,
     },
 }
 
 impl From<io::Error> for Error {
     fn from(source: io::Error) -> Error {
-        // The codec reports a frame over the limit as invalid data.
+        // The codec reports a frame above the size limit as `InvalidData`.
         if source.kind() == io::ErrorKind::InvalidData {
-            return Error::BadFrame { what: source.to_string() };
+            return Error::BadFrame { reason: source.to_string() };
         }
         Error::Io { source }
     }
--- a/crates/pond-link/src/event.rs
+++ b/crates/pond-link/src/event.rs
@@ -1,4 +1,4 @@
-//! What the owner of links is told.
+//! Events of links, as reported to their owner.
 
 use std::net::SocketAddr;
 
@@ -7,48 +7,48 @@
 
 use crate::Error;
 
-/// Names one link of a process. A dialled link keeps its key when it is made again.
+/// Identifies a link within its process. A dialled link keeps its key when it reconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkKey(pub u64);
 
 impl LinkKey {
-    /// Keys of accepted links start here, so that dialled ones can be numbered from zero.
+    /// Smallest key of an accepted link; the keys of dialled links count up from zero.
     pub(crate) const FIRST_ACCEPTED: u64 = 1 << 32;
 
-    /// Whether the other end dialled.
+    /// Returns whether the link was accepted, that is, dialled by the peer.
     pub fn is_accepted(self) -> bool {
         self.0 >= LinkKey::FIRST_ACCEPTED
     }
 }
 
-/// Something happened on a link.
+/// An event of a link.
 #[derive(Debug)]
 pub struct Event {
-    /// Which link.
+    /// Link that the event belongs to.
     pub link: LinkKey,
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
 }
 
-/// What happened on a link.
+/// Kind of a link event.
 #[derive(Debug)]
 pub enum EventKind {
-    /// It is open.
+    /// The link is open.
     Up {
-        /// The other end's hello.
+        /// Hello of the peer.
         hello: Hello,
-        /// The other end's address.
+        /// Network address of the peer.
         address: SocketAddr,
-        /// Where to put frames for it.
+        /// Sender of frames to the peer. The link is closed when all its clones are dropped.
         sender: Sender,
     },
-    /// A frame came in.
+    /// A frame was received.
     Frame(Body),
-    /// It is lost, or could not be opened; a dialled one is tried again.
+    /// The link was lost or could not be opened. A dialled link is dialled again.
     Down(Error),
 }
 
-/// Puts frames into the bounded queue of one open link.
+/// Sender of frames on an open link, through a bounded queue.
 #[derive(Clone, Debug)]
 pub struct Sender {
     queue: mpsc::Sender<Body>,
@@ -59,13 +59,13 @@
         Sender { queue }
     }
 
-    /// Queues a frame; false if the queue is full or the link is lost, and then it is not sent.
+    /// Queues a frame. Returns false, and drops the frame, if the queue is full or the link is lost.
     pub fn send(&self, body: Body) -> bool {
         self.queue.try_send(body).is_ok()
     }
 
-    /// Frames that can be queued now.
-    pub fn room(&self) -> usize {
+    /// Returns the number of frames that the queue has space for.
+    pub fn available(&self) -> usize {
         self.queue.capacity()
     }
 }
--- a/crates/pond-link/src/lib.rs
+++ b/crates/pond-link/src/lib.rs
@@ -1,19 +1,19 @@
-//! Links between pondbay's own processes.
+//! Links between the processes of pondbay.
 //!
-//! One long-lived TCP connection for each pair, carrying length-delimited prost frames in both
-//! directions. A link opens with a hello that names protocol version, role and life; heartbeats
-//! keep it alive; queues are bounded on both sides; frames are limited in size. A dialled link is
-//! made again when it is lost, with a wait that grows and is spread at random.
+//! A link is a long-lived TCP connection that carries length-delimited prost frames in both
+//! directions. Each end first sends a hello with its protocol version, role and incarnation.
+//! Heartbeats detect dead links. Send queues and frame sizes are bounded. A lost link is dialled
+//! again with exponential backoff and jitter.
 
 mod accept;
+mod config;
+mod connection;
 mod dial;
 mod error;
 mod event;
-mod pump;
-mod terms;
 
 pub use accept::accept;
+pub use config::Config;
 pub use dial::dial;
 pub use error::Error;
 pub use event::{Event, EventKind, LinkKey, Sender};
-pub use terms::Config;
--- a/crates/pond-link/tests/hostile.rs
+++ b/crates/pond-link/tests/invalid_peers.rs
@@ -1,4 +1,4 @@
-//! What a link makes of an other end that is wrong, silent or hostile.
+//! Peers that are incompatible, silent or hostile.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-fn terms() -> Config {
+fn config() -> Config {
     Config::new(Role::Endpoint, "endpoint", "here", Life(1))
         .with_limits(4096, 16)
         .with_token("secret")
@@ -30,12 +30,12 @@
     }
 }
 
-async fn listen(terms: Config) -> (SocketAddr, mpsc::Receiver<Event>) {
+async fn listen(config: Config) -> (SocketAddr, mpsc::Receiver<Event>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
-    let (events, happened) = mpsc::channel(64);
-    tokio::spawn(accept(listener, Arc::new(terms), events));
-    (address, happened)
+    let (sender, events) = mpsc::channel(64);
+    tokio::spawn(accept(listener, Arc::new(config), sender));
+    (address, events)
 }
 
 fn framed(body: Body) -> Vec<u8> {
@@ -45,35 +45,35 @@
     bytes
 }
 
-/// What the owner is told of a link on which these bytes came, until it is lost.
-async fn fate(bytes: Vec<u8>) -> Error {
-    let (address, mut happened) = listen(terms()).await;
+/// Sends raw bytes to a listener and returns the error with which it drops the link.
+async fn error_after(bytes: Vec<u8>) -> Error {
+    let (address, mut events) = listen(config()).await;
     let mut stream = TcpStream::connect(address).await.expect("connects");
     stream.write_all(&bytes).await.expect("writes");
-    // The owner of a link ends it by dropping its sender.
-    let mut kept = Vec::new();
+    // Dropping a sender would close its link.
+    let mut senders = Vec::new();
     loop {
-        match happened.recv().await.expect("an event").kind {
+        match events.recv().await.expect("an event").kind {
             EventKind::Down(error) => return error,
-            EventKind::Up { sender, .. } => kept.push(sender),
+            EventKind::Up { sender, .. } => senders.push(sender),
             EventKind::Frame(_) => {}
         }
     }
 }
 
 #[tokio::test]
-async fn strangers_are_refused_with_the_reason() {
+async fn incompatible_peers_are_refused_with_the_reason() {
     let other_version = Body::Hello(Hello { version: 99, ..hello() });
-    let error = fate(framed(other_version)).await;
+    let error = error_after(framed(other_version)).await;
     assert!(matches!(error, Error::Version { theirs: 99, .. }), "{error}");
     let other_token = Body::Hello(Hello { token: "guess".to_owned(), ..hello() });
-    assert!(matches!(fate(framed(other_token)).await, Error::Token));
+    assert!(matches!(error_after(framed(other_token)).await, Error::Token));
     let no_hello = Body::Beat(Beat { term: 7, ..Beat::default() });
-    assert!(matches!(fate(framed(no_hello)).await, Error::NoHello));
+    assert!(matches!(error_after(framed(no_hello)).await, Error::NoHello));
 }
 
 #[tokio::test]
-async fn bad_frames_end_the_link() {
+async fn invalid_frames_close_the_link() {
     let table: [(&str, Vec<u8>); 4] = [
         ("too long", vec![0x7f, 0xff, 0xff, 0xff]),
         ("garbage", [&5u32.to_be_bytes()[..], &[0xff; 5]].concat()),
@@ -82,33 +82,33 @@
     ];
     for (name, bytes) in table {
         let all = [framed(Body::Hello(hello())), bytes].concat();
-        let error = fate(all).await;
+        let error = error_after(all).await;
         assert!(matches!(error, Error::BadFrame { .. }), "{name}: {error}");
     }
 }
 
 #[tokio::test]
-async fn an_end_that_says_nothing_is_given_up() {
+async fn silent_peer_is_disconnected() {
     for bytes in [Vec::new(), framed(Body::Hello(hello()))] {
-        let error = fate(bytes).await;
+        let error = error_after(bytes).await;
         assert!(matches!(error, Error::Silent { .. }), "{error}");
     }
 }
 
 #[tokio::test]
 async fn links_beyond_the_limit_are_closed_at_once() {
-    let (address, mut happened) = listen(Config { links: 2, ..terms() }).await;
+    let (address, mut events) = listen(Config { max_links: 2, ..config() }).await;
     let mut streams = Vec::new();
     for _ in 0..3 {
         let mut stream = TcpStream::connect(address).await.expect("connects");
         stream.write_all(&framed(Body::Hello(hello()))).await.expect("writes");
         streams.push(stream);
     }
-    let mut kept = Vec::new();
+    let mut senders = Vec::new();
     let refused = loop {
-        match happened.recv().await.expect("an event").kind {
+        match events.recv().await.expect("an event").kind {
             EventKind::Down(error) => break error,
-            EventKind::Up { sender, .. } => kept.push(sender),
+            EventKind::Up { sender, .. } => senders.push(sender),
             EventKind::Frame(_) => {}
         }
     };
@@ -116,14 +116,14 @@
 }
 
 #[tokio::test]
-async fn a_full_queue_refuses_frames_and_blocks_nobody() {
-    let (address, mut happened) = listen(terms()).await;
+async fn full_queue_refuses_frames_without_blocking() {
+    let (address, mut events) = listen(config()).await;
     let mut stream = TcpStream::connect(address).await.expect("connects");
     stream.write_all(&framed(Body::Hello(hello()))).await.expect("writes");
-    let Some(Event { kind: EventKind::Up { sender, .. }, .. }) = happened.recv().await else {
-        panic!("it is not up")
+    let Some(Event { kind: EventKind::Up { sender, .. }, .. }) = events.recv().await else {
+        panic!("the link is not up")
     };
-    // This thread's runtime does not run the writer before it is awaited.
+    // The runtime is single-threaded: the writer does not run before the next await.
     let sent =
         (0..100).filter(|term| sender.send(Body::Beat(Beat { term: term + 1, ..Beat::default() })));
     assert_eq!(sent.count(), 16);
--- a/crates/pond-platform/src/contract.rs
+++ b/crates/pond-platform/src/contract.rs
@@ -6,10 +6,10 @@
 use pond_http::{Call, Client, HeaderValue, Method};
 use pond_proto::{Size, TaskKey};
 
-use crate::border::{Error, Platform};
 use crate::message::{
     Checkpoint, Ending, Lease, RefusalCode, Stamp, Start, Stop, TaskState, Throttle,
 };
+use crate::platform::{Error, Platform};
 
 /// The term that the cases begin with.
 const TERM: u64 = 5;
--- a/crates/pond-platform/src/http.rs
+++ b/crates/pond-platform/src/http.rs
@@ -8,11 +8,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::border::{Answer, Error, Platform};
 use crate::message::{
     Checkpoint, Lease, LeaseAnswer, Refusal, Start, StartAnswer, Stop, StopAnswer, TaskStatus,
     Throttle, Usage, VmList,
 };
+use crate::platform::{Answer, Error, Platform};
 
 /// How long a worker may take to answer.
 const PATIENCE: Duration = Duration::from_secs(2);
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -4,7 +4,7 @@
 //! loss of unsynced writes, and clocks that drift. After every step the promises of the quorum are
 //! checked against what was seen before.
 
-mod carry;
+mod output;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
--- a/crates/pond-test/src/lib.rs
+++ b/crates/pond-test/src/lib.rs
@@ -1,16 +1,16 @@
 //! Helpers for tests: replicas on disks that forget, schedules of failures, connections that fall
 //! silent, small units.
 
+mod blackhole;
 mod cluster;
 mod colocation;
 mod config;
-mod path;
+mod request_path;
 mod sample;
-mod swallow;
 
+pub use blackhole::{Blackhole, BlackholeProxy};
 pub use cluster::{Cluster, Faults};
 pub use colocation::{Colocation, JobProfile, Outcome, Scenario};
 pub use config::cases;
-pub use path::{Behaviour, Reply, RequestPath};
+pub use request_path::{Behaviour, Reply, RequestPath};
 pub use sample::{job, meta, service, vm};
-pub use swallow::{Blackhole, BlackholeProxy};
