--- a/crates/pond-platform/src/contract.rs
+++ b/crates/pond-platform/src/contract.rs
@@ -1,5 +1,4 @@
-//! The contracts of workers and endpoints as tables of cases that any implementation can be put
-//! through.
+//! Conformance tests for the protocols of workers and endpoints, applicable to any implementation.
 
 use std::time::Duration;
 
@@ -11,76 +10,84 @@
 };
 use crate::platform::{Error, Platform};
 
-/// The term that the cases begin with.
+/// Term of the leader in the first cases.
 const TERM: u64 = 5;
 
-/// A lease that does not run out while the cases run, in milliseconds.
-const LONG_MS: u64 = 60_000;
+/// Duration of leases that do not expire during the test, in milliseconds.
+const LEASE_MS: u64 = 60_000;
 
-/// One case: its name and what it found wrong.
+/// Result of a test case.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
-    /// The rule that was tried.
+pub struct CaseResult {
+    /// Rule of the protocol that was tested.
     pub rule: &'static str,
-    /// What was found wrong; none if the rule holds.
-    pub wrong: Option<String>,
+    /// Description of the failure; none if the rule holds.
+    pub failure: Option<String>,
 }
 
-/// Tries every rule of the contract on one worker that has at least one processor and 100 MiB, and
-/// knows no task from `first` on.
-pub async fn check(platform: &dyn Platform, worker: &str, first: u64) -> Vec<Verdict> {
-    let trial = Trial { platform, worker, first };
-    let mut verdicts = Vec::new();
-    let mut note = |rule: &'static str, result: Result<(), String>| {
-        verdicts.push(Verdict { rule, wrong: result.err() });
+/// Tests every rule of the worker protocol on one worker.
+///
+/// The worker must have at least one processor and 100 MiB free, and must not know tasks with
+/// keys from `first_task` on.
+pub async fn check(platform: &dyn Platform, worker: &str, first_task: u64) -> Vec<CaseResult> {
+    let suite = Suite { platform, worker, first_task };
+    let mut results = Vec::new();
+    let mut record = |rule: &'static str, result: Result<(), String>| {
+        results.push(CaseResult { rule, failure: result.err() });
     };
-    note("a start without a stamp of this life is refused", trial.foreign_stamp().await);
-    note("a start whose lease would be over is refused", trial.stale_stamp().await);
-    note("a start runs and is told by the next lease", trial.starts().await);
-    note("a repeated start starts nothing", trial.repeated_start().await);
-    note("a start beyond the VM's size is refused", trial.too_large().await);
-    note("a throttle is told by the next lease", trial.throttles().await);
-    note("a checkpoint never goes back", trial.checkpoints().await);
-    note("a stopped task is not known any more", trial.stops().await);
-    note("a repeated stop answers the same", trial.repeated_stop().await);
-    note("a start after a stop is refused", trial.start_after_stop().await);
-    note("a start after a stop that came first is refused", trial.stop_before_start().await);
-    note("orders for a task that is not known are refused", trial.no_task().await);
-    note("a task whose lease has run out has ended", trial.expires().await);
-    note("a lower term is refused", trial.old_term().await);
-    verdicts
+    record(
+        "a start with a stamp of another incarnation is refused",
+        suite.stamp_of_other_incarnation().await,
+    );
+    record("a start whose lease has expired already is refused", suite.stale_stamp().await);
+    record("a started task runs and is listed in the next lease answer", suite.starts().await);
+    record("a repeated start starts nothing", suite.repeated_start().await);
+    record("a start beyond the size of the VM is refused", suite.too_large().await);
+    record("a throttle is listed in the next lease answer", suite.throttles().await);
+    record("checkpoints never decrease", suite.checkpoints().await);
+    record("a stopped task is no longer listed", suite.stops().await);
+    record("a repeated stop gets the same answer", suite.repeated_stop().await);
+    record("a start after a stop is refused", suite.start_after_stop().await);
+    record("a start that arrives after its stop is refused", suite.stop_before_start().await);
+    record("requests for an unknown task are refused", suite.no_task().await);
+    record("a task ends when its lease expires", suite.expires().await);
+    record("a lower term is refused", suite.old_term().await);
+    results
 }
 
-struct Trial<'a> {
+struct Suite<'a> {
     platform: &'a dyn Platform,
     worker: &'a str,
-    first: u64,
+    first_task: u64,
 }
 
-fn expect(holds: bool, otherwise: impl FnOnce() -> String) -> Result<(), String> {
-    if holds { Ok(()) } else { Err(otherwise()) }
+fn expect(holds: bool, message: impl FnOnce() -> String) -> Result<(), String> {
+    if holds { Ok(()) } else { Err(message()) }
 }
 
-/// A result that must be a refusal with this code.
-fn refused<T: std::fmt::Debug>(result: Result<T, Error>, code: RefusalCode) -> Result<(), String> {
+/// Checks that a result is a refusal with the given code.
+fn expect_refusal<T: std::fmt::Debug>(
+    result: Result<T, Error>,
+    code: RefusalCode,
+) -> Result<(), String> {
     match result {
         Err(Error::Refused(refusal)) if refusal.code == code => Ok(()),
         other => Err(format!("expected {code:?}, got {other:?}")),
     }
 }
 
-impl Trial<'_> {
+impl Suite<'_> {
     fn task(&self, number: u64) -> TaskKey {
-        TaskKey(self.first + number)
+        TaskKey(self.first_task + number)
     }
 
     async fn stamp(&self) -> Result<Stamp, String> {
-        let order = Lease { term: TERM, stamp: None, lease_ms: LONG_MS, tasks: Vec::new() };
+        let order = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
         let answer = self.platform.lease(self.worker, order).await;
         answer.map(|answer| answer.stamp).map_err(|error| error.to_string())
     }
 
-    fn order(&self, stamp: Stamp, lease_ms: u64) -> Start {
+    fn start_order(&self, stamp: Stamp, lease_ms: u64) -> Start {
         Start {
             term: TERM,
             stamp,
@@ -99,16 +106,16 @@
         Ok(answer.status.state)
     }
 
-    /// Starts a task that must run.
-    async fn started(&self, task: TaskKey) -> Result<(), String> {
-        let order = self.order(self.stamp().await?, LONG_MS);
+    /// Starts a task and checks that it runs.
+    async fn start_running(&self, task: TaskKey) -> Result<(), String> {
+        let order = self.start_order(self.stamp().await?, LEASE_MS);
         let state = self.try_start(task, order).await.map_err(|error| error.to_string())?;
         expect(state == TaskState::Running, || format!("{state:?}"))
     }
 
-    /// What the next lease tells of a task.
-    async fn told(&self, task: TaskKey) -> Result<Option<(TaskState, u32)>, String> {
-        let order = Lease { term: TERM, stamp: None, lease_ms: LONG_MS, tasks: Vec::new() };
+    /// Returns the state and share of a task as listed in the next answer to a lease.
+    async fn listed(&self, task: TaskKey) -> Result<Option<(TaskState, u32)>, String> {
+        let order = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
         let answer = self.platform.lease(self.worker, order).await;
         let tasks = answer.map_err(|error| error.to_string())?.tasks;
         let found = tasks.into_iter().find(|status| status.task == task);
@@ -121,40 +128,40 @@
         answer.map(|answer| answer.stopped).map_err(|error| error.to_string())
     }
 
-    async fn foreign_stamp(&self) -> Result<(), String> {
+    async fn stamp_of_other_incarnation(&self) -> Result<(), String> {
         let stamp = self.stamp().await?;
-        let foreign = Stamp { incarnation: stamp.incarnation ^ 1, ms: stamp.ms };
-        let result = self.try_start(self.task(0), self.order(foreign, LONG_MS)).await;
-        refused(result, RefusalCode::StaleStamp)
+        let other_stamp = Stamp { incarnation: stamp.incarnation ^ 1, ms: stamp.ms };
+        let result = self.try_start(self.task(0), self.start_order(other_stamp, LEASE_MS)).await;
+        expect_refusal(result, RefusalCode::StaleStamp)
     }
 
     async fn stale_stamp(&self) -> Result<(), String> {
-        let result = self.try_start(self.task(0), self.order(self.stamp().await?, 0)).await;
-        refused(result, RefusalCode::StaleStamp)
+        let result = self.try_start(self.task(0), self.start_order(self.stamp().await?, 0)).await;
+        expect_refusal(result, RefusalCode::StaleStamp)
     }
 
     async fn starts(&self) -> Result<(), String> {
-        self.started(self.task(1)).await?;
-        let told = self.told(self.task(1)).await?;
-        expect(told == Some((TaskState::Running, 100)), || format!("{told:?}"))
+        self.start_running(self.task(1)).await?;
+        let listed = self.listed(self.task(1)).await?;
+        expect(listed == Some((TaskState::Running, 100)), || format!("{listed:?}"))
     }
 
     async fn repeated_start(&self) -> Result<(), String> {
-        self.started(self.task(1)).await
+        self.start_running(self.task(1)).await
     }
 
     async fn too_large(&self) -> Result<(), String> {
-        let mut order = self.order(self.stamp().await?, LONG_MS);
+        let mut order = self.start_order(self.stamp().await?, LEASE_MS);
         order.size = Size::new(u32::MAX / 2, 10, 0);
-        refused(self.try_start(self.task(2), order).await, RefusalCode::NoRoom)
+        expect_refusal(self.try_start(self.task(2), order).await, RefusalCode::NoRoom)
     }
 
     async fn throttles(&self) -> Result<(), String> {
         let order = Throttle { term: TERM, share: 30 };
         let answer = self.platform.throttle(self.worker, self.task(1), order).await;
         answer.map_err(|error| error.to_string())?;
-        let told = self.told(self.task(1)).await?;
-        expect(told == Some((TaskState::Running, 30)), || format!("{told:?}"))
+        let listed = self.listed(self.task(1)).await?;
+        expect(listed == Some((TaskState::Running, 30)), || format!("{listed:?}"))
     }
 
     async fn checkpoints(&self) -> Result<(), String> {
@@ -171,72 +178,77 @@
     }
 
     async fn stops(&self) -> Result<(), String> {
-        expect(self.stop(self.task(1)).await?, || "it did not stop".to_owned())?;
-        let told = self.told(self.task(1)).await?;
-        expect(told.is_none(), || format!("{told:?}"))
+        expect(self.stop(self.task(1)).await?, || "the task did not stop".to_owned())?;
+        let listed = self.listed(self.task(1)).await?;
+        expect(listed.is_none(), || format!("{listed:?}"))
     }
 
     async fn repeated_stop(&self) -> Result<(), String> {
-        expect(self.stop(self.task(1)).await?, || "it was not stopped any more".to_owned())
+        expect(self.stop(self.task(1)).await?, || {
+            "the repeated stop did not report it as stopped".to_owned()
+        })
     }
 
     async fn start_after_stop(&self) -> Result<(), String> {
-        let order = self.order(self.stamp().await?, LONG_MS);
-        refused(self.try_start(self.task(1), order).await, RefusalCode::Ended)
+        let order = self.start_order(self.stamp().await?, LEASE_MS);
+        expect_refusal(self.try_start(self.task(1), order).await, RefusalCode::Ended)
     }
 
     async fn stop_before_start(&self) -> Result<(), String> {
         self.stop(self.task(3)).await?;
-        let order = self.order(self.stamp().await?, LONG_MS);
-        refused(self.try_start(self.task(3), order).await, RefusalCode::Ended)
+        let order = self.start_order(self.stamp().await?, LEASE_MS);
+        expect_refusal(self.try_start(self.task(3), order).await, RefusalCode::Ended)
     }
 
     async fn no_task(&self) -> Result<(), String> {
         let order = Throttle { term: TERM, share: 30 };
-        refused(self.platform.throttle(self.worker, self.task(9), order).await, RefusalCode::NoTask)
+        expect_refusal(
+            self.platform.throttle(self.worker, self.task(9), order).await,
+            RefusalCode::NoTask,
+        )
     }
 
-    /// Waits for a short lease to run out by asking again and again.
+    /// Polls the worker until a short lease has expired.
     async fn expires(&self) -> Result<(), String> {
-        let order = self.order(self.stamp().await?, 200);
+        let order = self.start_order(self.stamp().await?, 200);
         let started = self.try_start(self.task(4), order).await;
         started.map_err(|error| error.to_string())?;
         for _ in 0..100_000 {
-            let told = self.told(self.task(4)).await?;
-            if let Some((TaskState::Ended(ending), _)) = told {
+            let listed = self.listed(self.task(4)).await?;
+            if let Some((TaskState::Ended(ending), _)) = listed {
                 let holds = ending == Ending::Expired;
                 return expect(holds, || format!("{ending:?}"));
             }
         }
-        Err("it still runs".to_owned())
+        Err("the task still runs".to_owned())
     }
 
     async fn old_term(&self) -> Result<(), String> {
-        let newer = Lease { term: TERM + 1, stamp: None, lease_ms: LONG_MS, tasks: Vec::new() };
+        let newer = Lease { term: TERM + 1, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
         let answer = self.platform.lease(self.worker, newer).await;
         answer.map_err(|error| error.to_string())?;
-        let older = Lease { term: TERM, stamp: None, lease_ms: LONG_MS, tasks: Vec::new() };
-        refused(self.platform.lease(self.worker, older).await, RefusalCode::OldTerm)
+        let older = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
+        expect_refusal(self.platform.lease(self.worker, older).await, RefusalCode::OldTerm)
     }
 }
 
-/// The path that endpoints are tried at.
+/// Path of the requests to endpoints.
 const ENDPOINT_PATH: &str = "/v1/services/contract";
 
-/// How long an endpoint may take to answer one request of the table.
-const ENDPOINT_PATIENCE: Duration = Duration::from_secs(5);
+/// Maximum time for an endpoint to answer a request.
+const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Tries the contract of endpoints on one address.
-pub async fn check_endpoint(address: &str) -> Vec<Verdict> {
+/// Tests the endpoint protocol at an address.
+pub async fn check_endpoint(address: &str) -> Vec<CaseResult> {
     let client = Client::new();
     let table: [(&'static str, usize, bool); 5] = [
-        ("a request is answered whole", 10, false),
-        ("a kept connection serves another request", 10, false),
+        ("a request gets a complete answer", 10, false),
+        ("a kept-alive connection serves another request", 10, false),
         ("a request without a body is answered", 0, false),
-        ("a large body is taken", 1 << 20, false),
-        ("the headers of the contract are taken", 10, true),
+        ("a large body is accepted", 1 << 20, false),
+        ("the headers of the protocol are accepted", 10, true),
     ];
-    let mut verdicts = Vec::new();
+    let mut results = Vec::new();
     for (rule, bytes, headers) in table {
         let mut call = Call::new(Method::POST, ENDPOINT_PATH, vec![b'x'; bytes]);
         if headers {
@@ -248,13 +260,13 @@
                 call.headers.insert(name, HeaderValue::from_static(value));
             }
         }
-        let reply = client.call(address, call, ENDPOINT_PATIENCE).await;
-        let wrong = match reply {
+        let reply = client.call(address, call, ENDPOINT_TIMEOUT).await;
+        let failure = match reply {
             Ok(reply) if reply.status.is_success() => None,
             Ok(reply) => Some(format!("status {}", reply.status)),
             Err(error) => Some(error.to_string()),
         };
-        verdicts.push(Verdict { rule, wrong });
+        results.push(CaseResult { rule, failure });
     }
-    verdicts
+    results
 }
--- a/crates/pond-platform/src/http.rs
+++ b/crates/pond-platform/src/http.rs
@@ -12,43 +12,45 @@
     Checkpoint, Lease, LeaseAnswer, Refusal, Start, StartAnswer, Stop, StopAnswer, TaskStatus,
     Throttle, Usage, VmList,
 };
-use crate::platform::{Answer, Error, Platform};
+use crate::platform::{Error, Platform, Response};
 
-/// How long a worker may take to answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum time for the platform to answer a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The status of a refusal.
-const REFUSED: u16 = 409;
+/// HTTP status of a refusal.
+const REFUSAL_STATUS: u16 = 409;
 
-/// The platform over HTTP.
+/// Client of the platform over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: Client,
-    list: String,
+    list_address: String,
 }
 
 impl HttpPlatform {
-    /// A platform whose VM list is at an address.
-    pub fn new(list: SocketAddr) -> HttpPlatform {
-        HttpPlatform { client: Client::new(), list: list.to_string() }
+    /// Creates a client for the platform whose VM list is served at `list_address`.
+    pub fn new(list_address: SocketAddr) -> HttpPlatform {
+        HttpPlatform { client: Client::new(), list_address: list_address.to_string() }
     }
 
-    fn order<'a, T: DeserializeOwned + 'a>(
+    fn post<'a, T: DeserializeOwned + 'a>(
         &'a self,
         worker: &'a str,
         path: String,
-        order: impl Serialize + Send + Sync + 'a,
-    ) -> Answer<'a, T> {
+        request: impl Serialize + Send + Sync + 'a,
+    ) -> Response<'a, T> {
         Box::pin(async move {
-            post_json(&self.client, worker, &path, &order, PATIENCE).await.map_err(read_error)
+            post_json(&self.client, worker, &path, &request, REQUEST_TIMEOUT)
+                .await
+                .map_err(convert_error)
         })
     }
 }
 
-fn read_error(error: pond_http::Error) -> Error {
+fn convert_error(error: pond_http::Error) -> Error {
     match &error {
         pond_http::Error::NotSent { .. } => Error::NotSent(error.to_string()),
-        pond_http::Error::Status { status: REFUSED, what, .. } => {
+        pond_http::Error::Status { status: REFUSAL_STATUS, what, .. } => {
             match serde_json::from_str::<Refusal>(what) {
                 Ok(refusal) => Error::Refused(refusal),
                 Err(_) => Error::Unknown(error.to_string()),
@@ -59,51 +61,60 @@
 }
 
 impl Platform for HttpPlatform {
-    fn vms(&self) -> Answer<'_, Vec<Vm>> {
+    fn vms(&self) -> Response<'_, Vec<Vm>> {
         Box::pin(async move {
-            let list = get_json::<VmList>(&self.client, &self.list, "/v1/vms", PATIENCE).await;
-            list.map(|list| list.vms).map_err(read_error)
+            let list =
+                get_json::<VmList>(&self.client, &self.list_address, "/v1/vms", REQUEST_TIMEOUT)
+                    .await;
+            list.map(|list| list.vms).map_err(convert_error)
         })
     }
 
-    fn lease<'a>(&'a self, worker: &'a str, order: Lease) -> Answer<'a, LeaseAnswer> {
-        self.order(worker, "/v1/lease".to_owned(), order)
+    fn lease<'a>(&'a self, worker: &'a str, request: Lease) -> Response<'a, LeaseAnswer> {
+        self.post(worker, "/v1/lease".to_owned(), request)
     }
 
     fn start<'a>(
         &'a self,
         worker: &'a str,
         task: TaskKey,
-        order: Start,
-    ) -> Answer<'a, StartAnswer> {
-        self.order(worker, format!("/v1/tasks/{}/start", task.0), order)
+        request: Start,
+    ) -> Response<'a, StartAnswer> {
+        self.post(worker, format!("/v1/tasks/{}/start", task.0), request)
     }
 
     fn checkpoint<'a>(
         &'a self,
         worker: &'a str,
         task: TaskKey,
-        order: Checkpoint,
-    ) -> Answer<'a, TaskStatus> {
-        self.order(worker, format!("/v1/tasks/{}/checkpoint", task.0), order)
+        request: Checkpoint,
+    ) -> Response<'a, TaskStatus> {
+        self.post(worker, format!("/v1/tasks/{}/checkpoint", task.0), request)
     }
 
     fn throttle<'a>(
         &'a self,
         worker: &'a str,
         task: TaskKey,
-        order: Throttle,
-    ) -> Answer<'a, TaskStatus> {
-        self.order(worker, format!("/v1/tasks/{}/throttle", task.0), order)
+        request: Throttle,
+    ) -> Response<'a, TaskStatus> {
+        self.post(worker, format!("/v1/tasks/{}/throttle", task.0), request)
     }
 
-    fn stop<'a>(&'a self, worker: &'a str, task: TaskKey, order: Stop) -> Answer<'a, StopAnswer> {
-        self.order(worker, format!("/v1/tasks/{}/stop", task.0), order)
+    fn stop<'a>(
+        &'a self,
+        worker: &'a str,
+        task: TaskKey,
+        request: Stop,
+    ) -> Response<'a, StopAnswer> {
+        self.post(worker, format!("/v1/tasks/{}/stop", task.0), request)
     }
 
-    fn usage<'a>(&'a self, worker: &'a str) -> Answer<'a, Usage> {
+    fn usage<'a>(&'a self, worker: &'a str) -> Response<'a, Usage> {
         Box::pin(async move {
-            get_json(&self.client, worker, "/v1/usage", PATIENCE).await.map_err(read_error)
+            get_json(&self.client, worker, "/v1/usage", REQUEST_TIMEOUT)
+                .await
+                .map_err(convert_error)
         })
     }
 }
--- a/crates/pond-platform/src/lib.rs
+++ b/crates/pond-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the platform gives: the VM list, the workers, and usage reports.
+//! The interface to the platform: the VM list, the workers and their usage reports.
 //!
-//! The traits are the border; [`HttpPlatform`] is their HTTP/JSON binding, described for those who
-//! write the other side in `docs/contracts/platform.md`.
+//! [`Platform`] is the interface and [`HttpPlatform`] its HTTP/JSON binding. The protocol is
+//! specified in `docs/contracts/platform.md`.
 
 pub mod contract;
 mod http;
@@ -13,4 +13,4 @@
     Checkpoint, Ending, Lease, LeaseAnswer, Refusal, RefusalCode, Report, Stamp, Start,
     StartAnswer, Stop, StopAnswer, TaskState, TaskStatus, Throttle, Usage, VmList,
 };
-pub use platform::{Answer, Error, Platform};
+pub use platform::{Error, Platform, Response};
--- a/crates/pond-platform/src/message.rs
+++ b/crates/pond-platform/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the worker and VM list contracts, as they stand in JSON.
+//! JSON messages of the protocols of workers and of the VM list.
 
 use pond_proto::{Size, TaskKey, Vm};
 use serde::{Deserialize, Serialize};
@@ -6,205 +6,206 @@
 /// Answer to `GET /v1/vms`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// All VMs that the platform believes to be there. It may be late.
+    /// All VMs that the platform knows of. The list may be out of date.
     pub vms: Vec<Vm>,
 }
 
-/// A moment on a worker's clock.
+/// Time on the clock of a worker.
 ///
-/// Leases count from the moment at which their holder sent a message, so that a renewal that
-/// comes late grants no more time.
+/// A lease starts at the stamp of the worker's last answer, not at the arrival of the renewal. A
+/// renewal that is delayed therefore grants no extra time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Drawn at random when the worker started.
+    /// Random identifier of the incarnation of the worker, drawn at its start.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The worker's clock in milliseconds, with any zero.
+    /// Clock of the worker, in milliseconds since an arbitrary origin.
     pub ms: u64,
 }
 
-/// `POST /v1/lease`: renews the lease on all named tasks, and on nothing else.
+/// Body of `POST /v1/lease`, which renews the leases of the named tasks only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The leader's term. A worker refuses a lower one than it has seen.
+    /// Term of the leader. A worker refuses a lower term than it has seen.
     pub term: u64,
-    /// Life and stamp of the worker's last answer. The lease counts from there.
+    /// Stamp of the worker's last answer, from which the lease counts.
     pub stamp: Option<Stamp>,
-    /// How long the lease is, in milliseconds from the stamp.
+    /// Duration of the lease from the stamp, in milliseconds.
     pub lease_ms: u64,
-    /// The tasks to renew.
+    /// Tasks whose leases are renewed.
     pub tasks: Vec<TaskKey>,
 }
 
 /// Answer to `POST /v1/lease`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    /// The worker's life and its clock when it sent this answer.
+    /// Incarnation and clock of the worker when it sent this answer.
     pub stamp: Stamp,
-    /// Every task that the worker knows, ended ones until they were stopped.
+    /// All tasks that the worker knows. An ended task stays listed until it is stopped.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One task as its worker knows it.
+/// Status of a task at its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Key of the task.
     pub task: TaskKey,
-    /// Where it stands.
+    /// State of the task.
     pub state: TaskState,
-    /// Hundredths of its processors that it may use.
+    /// Share of its processors that the task may use, in percent.
     pub share: u32,
-    /// The last checkpoint, if it made one.
+    /// Last checkpoint, if there is one.
     #[serde(default)]
     pub checkpoint: Option<u64>,
-    /// The address of the endpoint, for a service that runs.
+    /// Address of the endpoint, for a running service.
     #[serde(default)]
     pub endpoint: Option<String>,
 }
 
-/// Where a task stands at its worker.
+/// State of a task at its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It runs, slowed or paused as ordered.
+    /// Running, possibly throttled or paused.
     Running,
-    /// It is being stopped.
+    /// Being stopped.
     Stopping,
-    /// It does not run any more.
+    /// No longer running.
     Ended(Ending),
 }
 
-/// How a task ended.
+/// Reason of the end of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// It came to its own end.
+    /// Completed.
     Done,
-    /// It failed, for this reason.
+    /// Failed with this reason.
     Failed(String),
-    /// It was stopped as ordered.
+    /// Stopped by request.
     Stopped,
-    /// Its lease ran out and the worker stopped it.
+    /// Stopped by the worker because its lease expired.
     Expired,
 }
 
-/// `POST /v1/tasks/{task}/start`.
+/// Body of `POST /v1/tasks/{task}/start`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: u64,
-    /// Life and stamp of the worker's last answer. The lease counts from there.
+    /// Stamp of the worker's last answer, from which the lease counts.
     pub stamp: Stamp,
-    /// How long the lease is, in milliseconds from the stamp.
+    /// Duration of the lease from the stamp, in milliseconds.
     pub lease_ms: u64,
-    /// The unit's name.
+    /// Name of the unit.
     pub unit: String,
-    /// What to run, as it stands in the unit file.
+    /// Program text from the unit file.
     pub program: String,
-    /// What the task may take.
+    /// Resources of the task.
     pub size: Size,
-    /// Requests that it runs at a time, for a service; zero for a job.
+    /// Maximum number of concurrent requests, for a service; zero for a job.
     pub slots: u32,
-    /// Connections that it accepts, for a service.
+    /// Maximum number of connections, for a service.
     pub connections: u32,
-    /// The checkpoint to resume from.
+    /// Checkpoint to resume from.
     pub resume_from: Option<u64>,
 }
 
-/// Answer to `POST /v1/tasks/{task}/start`. A repeated start answers the same and starts nothing.
+/// Answer to `POST /v1/tasks/{task}/start`. A repeated start gets the same answer and starts
+/// nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartAnswer {
-    /// The task as it stands.
+    /// Status of the task.
     pub status: TaskStatus,
 }
 
-/// `POST /v1/tasks/{task}/checkpoint`, answered by [`TaskStatus`].
+/// Body of `POST /v1/tasks/{task}/checkpoint`, which is answered by [`TaskStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: u64,
 }
 
-/// `POST /v1/tasks/{task}/throttle`, answered by [`TaskStatus`].
+/// Body of `POST /v1/tasks/{task}/throttle`, which is answered by [`TaskStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Throttle {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: u64,
-    /// Hundredths of its processors that it may use: 0 stands still, 100 is full speed.
+    /// Share of its processors that the task may use, in percent: 0 pauses it, 100 is full speed.
     pub share: u32,
 }
 
-/// `POST /v1/tasks/{task}/stop`.
+/// Body of `POST /v1/tasks/{task}/stop`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stop {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: u64,
-    /// Time that it may take to end by itself, in milliseconds.
+    /// Time for the task to end by itself, in milliseconds.
     pub grace_ms: u64,
 }
 
 /// Answer to `POST /v1/tasks/{task}/stop`. After `stopped` the worker never runs the task again,
-/// even if a start of it comes late.
+/// even if a delayed start arrives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopAnswer {
-    /// Whether it surely does not run any more; if not, ask again.
+    /// Whether the task has certainly stopped. If false, the caller repeats the request.
     pub stopped: bool,
-    /// The last checkpoint, made while stopping if it can make one.
+    /// Last checkpoint; made during the stop if the task supports it.
     pub checkpoint: Option<u64>,
-    /// How it ended, if it had ended before.
+    /// How the task ended, if it had ended before the stop.
     pub ending: Option<Ending>,
 }
 
 /// Answer to `GET /v1/usage`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// One report for each task.
+    /// One report per task.
     pub reports: Vec<Report>,
 }
 
-/// What one task used, some time ago.
+/// Past resource usage of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The task.
+    /// Key of the task.
     pub task: TaskKey,
-    /// How old the measurement is, in milliseconds.
+    /// Age of the measurement, in milliseconds.
     pub age_ms: u64,
-    /// Thousandths of a processor in use.
+    /// Processors in use, in thousandths of a processor.
     pub milli_cpu: u32,
     /// Memory in use, in MiB.
     pub memory_mib: u32,
-    /// The 99th percentile of its latency, in microseconds, for a service.
+    /// 99th percentile of the latency in microseconds, for a service.
     #[serde(default)]
     pub p99_us: Option<u64>,
-    /// Requests a second, for a service.
+    /// Requests per second, for a service.
     #[serde(default)]
     pub rate: Option<f64>,
-    /// Work done since its start, in milliseconds of full speed, for a job.
+    /// Work done since the start, in milliseconds at full speed, for a job.
     #[serde(default)]
     pub progress_ms: Option<u64>,
 }
 
-/// The body of a refusal, with status 409.
+/// Body of a refusal, sent with status 409.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Which rule.
+    /// Rule that was violated.
     pub code: RefusalCode,
-    /// In words.
+    /// Explanation for people.
     pub message: String,
 }
 
-/// Why a worker refuses.
+/// Reason why a worker refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalCode {
-    /// The term is lower than one it has seen.
+    /// The term is lower than one that the worker has seen.
     OldTerm,
-    /// The lease would be over already, or the stamp is not from this life.
+    /// The lease would have expired already, or the stamp is from another incarnation.
     StaleStamp,
-    /// It has not that much room.
+    /// The worker has not enough free resources.
     NoRoom,
-    /// It was told to stop this task, or the task has ended.
+    /// The task was stopped or has ended.
     Ended,
-    /// It knows no such task.
+    /// The worker does not know the task.
     NoTask,
 }
--- a/crates/pond-platform/src/platform.rs
+++ b/crates/pond-platform/src/platform.rs
@@ -1,4 +1,4 @@
-//! The border to the platform.
+//! The interface to the platform.
 
 use std::fmt;
 use std::future::Future;
@@ -11,17 +11,17 @@
     Throttle, Usage,
 };
 
-/// An answer that is still to come.
-pub type Answer<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
+/// Boxed future of the result of a call.
+pub type Response<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
 
-/// Why a call to the platform led to nothing.
+/// Reason why a call to the platform failed.
 #[derive(Debug)]
 pub enum Error {
-    /// The worker refused; nothing happened.
+    /// The worker refused the request and did not execute it.
     Refused(Refusal),
-    /// Nothing was sent; nothing happened.
+    /// The request was not sent.
     NotSent(String),
-    /// It is not known whether it happened.
+    /// The request was sent, but it is unknown whether it was executed.
     Unknown(String),
 }
 
@@ -29,44 +29,55 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Refused(refusal) => write!(f, "refused: {}", refusal.message),
-            Error::NotSent(what) | Error::Unknown(what) => f.write_str(what),
+            Error::NotSent(reason) | Error::Unknown(reason) => f.write_str(reason),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// What the platform gives. `worker` is the address that the VM list states.
+/// The platform: its VM list and its workers.
+///
+/// `worker` is the address of a worker as stated in the VM list.
 pub trait Platform: Send + Sync {
-    /// The VM list, which lags.
-    fn vms(&self) -> Answer<'_, Vec<Vm>>;
+    /// Returns the VM list, which may be out of date.
+    fn vms(&self) -> Response<'_, Vec<Vm>>;
 
-    /// Renews leases and asks what the worker has.
-    fn lease<'a>(&'a self, worker: &'a str, order: Lease) -> Answer<'a, LeaseAnswer>;
+    /// Renews leases and returns the tasks that the worker has.
+    fn lease<'a>(&'a self, worker: &'a str, request: Lease) -> Response<'a, LeaseAnswer>;
 
-    /// Starts a task; repeated, it answers the same.
-    fn start<'a>(&'a self, worker: &'a str, task: TaskKey, order: Start)
-    -> Answer<'a, StartAnswer>;
+    /// Starts a task. Idempotent: a repeated call returns the status of the task.
+    fn start<'a>(
+        &'a self,
+        worker: &'a str,
+        task: TaskKey,
+        request: Start,
+    ) -> Response<'a, StartAnswer>;
 
-    /// Makes a checkpoint.
+    /// Makes a checkpoint of a task and returns its status.
     fn checkpoint<'a>(
         &'a self,
         worker: &'a str,
         task: TaskKey,
-        order: Checkpoint,
-    ) -> Answer<'a, TaskStatus>;
+        request: Checkpoint,
+    ) -> Response<'a, TaskStatus>;
 
-    /// Sets how fast a task runs.
+    /// Sets the processor share of a task and returns its status.
     fn throttle<'a>(
         &'a self,
         worker: &'a str,
         task: TaskKey,
-        order: Throttle,
-    ) -> Answer<'a, TaskStatus>;
+        request: Throttle,
+    ) -> Response<'a, TaskStatus>;
 
-    /// Stops a task for good; repeated until it answers `stopped`.
-    fn stop<'a>(&'a self, worker: &'a str, task: TaskKey, order: Stop) -> Answer<'a, StopAnswer>;
+    /// Stops a task permanently. Callers repeat the call until the answer says `stopped`.
+    fn stop<'a>(
+        &'a self,
+        worker: &'a str,
+        task: TaskKey,
+        request: Stop,
+    ) -> Response<'a, StopAnswer>;
 
-    /// What the worker's tasks used, some time ago.
-    fn usage<'a>(&'a self, worker: &'a str) -> Answer<'a, Usage>;
+    /// Returns usage reports of the tasks of the worker, which lag behind.
+    fn usage<'a>(&'a self, worker: &'a str) -> Response<'a, Usage>;
 }
--- a/crates/pond-standin/src/endpoint.rs
+++ b/crates/pond-standin/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: answers requests after its service time, a few at a time.
+//! A simulated endpoint, which answers requests after its service time.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,24 +14,27 @@
 
 use crate::record::Record;
 
-/// An endpoint of a service.
+/// Endpoint of a service with a limited number of concurrent requests.
 #[derive(Debug)]
 pub struct Endpoint {
     slots: Semaphore,
     service_us: u64,
-    /// Hundredths of the undisturbed service time; set by its worker and by tests.
+    /// Service time in percent of the undisturbed one; set by the worker and by tests.
     slowdown: Arc<AtomicU64>,
     record: Record,
 }
 
-/// Below this time sleeping is too coarse, so that the endpoint answers at once.
-const SHORTEST_SLEEP_US: u64 = 200;
+/// Minimum service time, in microseconds, that is simulated by sleeping. Timers are too coarse for
+/// shorter times, and the endpoint answers at once.
+const MIN_SLEEP_US: u64 = 200;
 
 impl Endpoint {
-    /// Starts an endpoint on a free port of the loopback interface; its address.
+    /// Starts an endpoint on a free port of the loopback interface and returns its address.
+    ///
+    /// `service_us` is the service time in microseconds, and `slowdown` scales it in percent.
     ///
     /// # Errors
-    /// What the system says if there is no port.
+    /// If no port can be bound.
     pub async fn start(
         slots: u32,
         connections: u32,
@@ -54,19 +57,20 @@
         let Ok(_slot) = self.slots.acquire().await else {
             return Reply::new(StatusCode::SERVICE_UNAVAILABLE, "");
         };
-        let text = String::from_utf8_lossy(&call.body);
-        let line = text.lines().next().unwrap_or_default().to_owned();
+        let body = String::from_utf8_lossy(&call.body);
+        let line = body.lines().next().unwrap_or_default().to_owned();
         self.record.start(&line);
         let time_us = self.service_us * self.slowdown.load(Ordering::Relaxed) / 100;
-        if time_us >= SHORTEST_SLEEP_US {
+        if time_us >= MIN_SLEEP_US {
             sleep(Duration::from_micros(time_us)).await;
         }
         self.record.finish(&line);
-        let sum = crc32c::crc32c(&call.body);
-        let answer = format!("answer to {line}\n{} bytes, crc32c {sum:08x}\n", call.body.len());
-        let plain = HeaderValue::from_static("text/plain; charset=utf-8");
+        let checksum = crc32c::crc32c(&call.body);
+        let answer =
+            format!("answer to {line}\n{} bytes, crc32c {checksum:08x}\n", call.body.len());
+        let content_type = HeaderValue::from_static("text/plain; charset=utf-8");
         Reply::new(StatusCode::OK, answer)
-            .with_header(HeaderName::from_static("content-type"), plain)
+            .with_header(HeaderName::from_static("content-type"), content_type)
     }
 }
 
--- a/crates/pond-standin/src/lib.rs
+++ b/crates/pond-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for what the platform gives: workers, endpoints and the VM list.
+//! A simulated platform: workers, endpoints and the VM list.
 //!
-//! They speak the contracts of `docs/contracts/` and nothing else. A worker runs its tasks as
-//! counts of time, an endpoint answers after its service time. What an endpoint ran is recorded,
-//! so that a load tool can compare.
+//! It implements the protocols of `docs/contracts/` and nothing else. A worker simulates tasks by
+//! elapsed time, and an endpoint answers after its service time. Endpoints record the requests that
+//! they ran, so that a load tool can compare them with the answers that callers got.
 
 mod endpoint;
 mod list;
@@ -14,6 +14,6 @@
 pub use endpoint::Endpoint;
 pub use list::{LaggingList, ListServer};
 pub use program::Program;
-pub use record::{Ran, Record};
+pub use record::{Record, RunCount};
 pub use server::{Host, WorkerServer};
-pub use worker::{Held, Worker};
+pub use worker::{HostedTask, Worker};
--- a/crates/pond-standin/src/list.rs
+++ b/crates/pond-standin/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list, which lags.
+//! The VM list of the simulated platform, which lags behind the actual state.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,14 +10,14 @@
 use pond_proto::Vm;
 use tokio::net::TcpListener;
 
-/// The truth from one moment on.
+/// Actual state of the VMs from a point in time on.
 #[derive(Clone, Debug)]
 struct Version {
     since: Instant,
     vms: Vec<Vm>,
 }
 
-/// The list as it was some time ago. Clones share it.
+/// VM list that shows the actual state with a delay. Clones share the list.
 #[derive(Clone, Debug)]
 pub struct LaggingList {
     lag: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl LaggingList {
-    /// A list that holds these VMs from the start.
+    /// Creates a list that shows `vms` from the start and later changes after `lag`.
     pub fn new(lag: Duration, vms: Vec<Vm>) -> LaggingList {
         LaggingList {
             lag,
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Sets the truth; the list tells it after its lag.
+    /// Sets the actual state, which becomes visible after the lag.
     pub fn set(&self, vms: Vec<Vm>) {
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         versions.push(Version { since: Instant::now(), vms });
     }
 
-    /// Changes the truth about some VMs.
+    /// Applies a change to the actual state of each VM, which becomes visible after the lag.
     pub fn change(&self, change: impl Fn(&mut Vm)) {
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let mut vms = versions.last().map(|version| version.vms.clone()).unwrap_or_default();
@@ -47,8 +47,8 @@
         versions.push(Version { since: Instant::now(), vms });
     }
 
-    /// What the list tells now.
-    pub fn told(&self) -> Vec<Vm> {
+    /// Returns the state that is visible now.
+    pub fn visible(&self) -> Vec<Vm> {
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         while versions.len() > 1 && now.duration_since(versions[1].since) >= self.lag {
@@ -58,14 +58,14 @@
     }
 }
 
-/// Serves the list over HTTP.
+/// HTTP server of the VM list.
 #[derive(Debug)]
 pub struct ListServer {
     list: LaggingList,
 }
 
 impl ListServer {
-    /// Serves a list until `stop`.
+    /// Serves a list until `stop` is triggered.
     pub async fn run(listener: TcpListener, list: LaggingList, stop: Stop) {
         serve(listener, Limits::default(), stop, Arc::new(ListServer { list })).await;
     }
@@ -74,7 +74,7 @@
         if call.method != Method::GET || call.path != "/v1/vms" {
             return Reply::new(StatusCode::NOT_FOUND, "only GET /v1/vms is here\n");
         }
-        Reply::json(StatusCode::OK, &VmList { vms: self.list.told() })
+        Reply::json(StatusCode::OK, &VmList { vms: self.list.visible() })
     }
 }
 
--- a/crates/pond-standin/src/program.rs
+++ b/crates/pond-standin/src/program.rs
@@ -1,25 +1,26 @@
-//! The program texts that the stand-ins understand.
+//! Program texts of simulated tasks.
 
 use std::collections::BTreeMap;
 
-/// A program text such as `match seconds=20 noise=0.3`, read leniently: what is missing has a
-/// default.
+/// Parsed program text, such as `match seconds=20 noise=0.3`.
+///
+/// Parsing is lenient: missing and invalid values get a default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Program {
-    /// How long a job really runs at full speed, in milliseconds.
+    /// Actual run time of a job at full speed, in milliseconds.
     pub run_ms: u64,
-    /// How long a request takes on an undisturbed VM, in microseconds.
+    /// Service time of a request on an undisturbed VM, in microseconds.
     pub service_us: u64,
-    /// How much it slows services on its VM: 1 doubles their time at full speed.
+    /// Slowdown of co-located services while the task runs at full speed: 1 doubles their service time.
     pub noise: f64,
-    /// How much of its processors it really uses, as a share of its declared size.
+    /// Actual resource usage as a fraction of the declared size.
     pub use_share: f64,
-    /// It fails at its start.
+    /// Whether the task fails at its start.
     pub fails: bool,
 }
 
 impl Program {
-    /// Reads a program text.
+    /// Parses a program text.
     pub fn parse(text: &str) -> Program {
         let words: BTreeMap<&str, &str> =
             text.split_whitespace().filter_map(|word| word.split_once('=')).collect();
--- a/crates/pond-standin/src/server.rs
+++ b/crates/pond-standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A worker served over HTTP, with the endpoints of its services.
+//! The HTTP server of a simulated worker and of the endpoints of its services.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -20,40 +20,41 @@
 use crate::record::Record;
 use crate::worker::Worker;
 
-/// How often a worker's jobs get on and its leases are looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which jobs advance and leases are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A worker with its endpoints. Clones share it.
+/// Worker with the endpoints of its services. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Host {
     worker: Arc<Mutex<Worker>>,
     endpoints: Arc<Mutex<BTreeMap<TaskKey, Stop>>>,
     slowdown: Arc<AtomicU64>,
-    extra: Arc<AtomicU64>,
+    extra_slowdown: Arc<AtomicU64>,
     record: Record,
     started: Instant,
 }
 
 impl Host {
-    /// A host that runs nothing.
+    /// Creates a host without tasks. Usage reports lag by `usage_lag_ms` milliseconds.
     pub fn new(size: Size, usage_lag_ms: u64, record: Record) -> Host {
         let incarnation = rand::random();
         Host {
             worker: Arc::new(Mutex::new(Worker::new(incarnation, size, usage_lag_ms))),
             endpoints: Arc::default(),
             slowdown: Arc::new(AtomicU64::new(100)),
-            extra: Arc::new(AtomicU64::new(100)),
+            extra_slowdown: Arc::new(AtomicU64::new(100)),
             record,
             started: Instant::now(),
         }
     }
 
-    /// Makes its endpoints slower, in hundredths, beyond what its tasks do.
+    /// Sets an additional slowdown of the endpoints in percent: 100 is none. It multiplies the
+    /// slowdown that running tasks cause.
     pub fn slow_down(&self, hundredths: u64) {
-        self.extra.store(hundredths, Ordering::Relaxed);
+        self.extra_slowdown.store(hundredths, Ordering::Relaxed);
     }
 
-    /// The worker.
+    /// Locks and returns the worker.
     pub fn worker(&self) -> MutexGuard<'_, Worker> {
         self.worker.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -66,14 +67,14 @@
             let running: Vec<TaskKey> = worker
                 .tasks()
                 .iter()
-                .filter(|(_, held)| held.is_active())
+                .filter(|(_, hosted)| hosted.is_active())
                 .map(|(task, _)| *task)
                 .collect();
             (worker.slowdown(), running)
         };
-        let extra = self.extra.load(Ordering::Relaxed) as f64 / 100.0;
-        self.slowdown.store((slowdown * extra * 100.0) as u64, Ordering::Relaxed);
-        // An endpoint whose task ended is shut.
+        let extra_slowdown = self.extra_slowdown.load(Ordering::Relaxed) as f64 / 100.0;
+        self.slowdown.store((slowdown * extra_slowdown * 100.0) as u64, Ordering::Relaxed);
+        // Stops the endpoints of tasks that have ended.
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
         endpoints.retain(|task, stop| {
             let keep = running.contains(task);
@@ -89,7 +90,7 @@
         let (status, program) = {
             let mut worker = self.worker();
             let status = worker.start(task, order)?;
-            let program = worker.tasks().get(&task).map(|held| held.program.clone());
+            let program = worker.tasks().get(&task).map(|hosted| hosted.program.clone());
             (status, program)
         };
         let Some(program) = program.filter(|_| slots > 0 && status.endpoint.is_none()) else {
@@ -108,71 +109,71 @@
             .await
             .map_err(|error| Refusal { code: RefusalCode::NoRoom, message: error.to_string() })?;
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner).insert(task, stop);
-        let told = self.worker().set_endpoint(task, &address.to_string());
-        Ok(StartAnswer { status: told.unwrap_or(status) })
+        let updated = self.worker().set_endpoint(task, &address.to_string());
+        Ok(StartAnswer { status: updated.unwrap_or(status) })
     }
 
     async fn task_call(&self, task: TaskKey, verb: &str, call: &Call) -> Reply {
         match verb {
-            "start" => match read::<Start>(call) {
-                Ok(order) => tell(self.start(task, order).await),
-                Err(error) => bad(&error),
+            "start" => match parse::<Start>(call) {
+                Ok(order) => to_reply(self.start(task, order).await),
+                Err(error) => bad_request(&error),
             },
             "checkpoint" => {
-                with(call, |order: Checkpoint| self.worker().checkpoint(task, order.term))
+                handle_order(call, |order: Checkpoint| self.worker().checkpoint(task, order.term))
             }
-            "throttle" => with(call, |order: Throttle| -> Result<TaskStatus, Refusal> {
+            "throttle" => handle_order(call, |order: Throttle| -> Result<TaskStatus, Refusal> {
                 self.worker().throttle(task, order.term, order.share)
             }),
-            "stop" => with(call, |order| self.worker().stop(task, &order)),
-            _ => not_here(),
+            "stop" => handle_order(call, |order| self.worker().stop(task, &order)),
+            _ => not_found(),
         }
     }
 
     async fn answer(&self, call: Call) -> Reply {
         self.tick();
         let path = call.path.clone();
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        match (&call.method, parts.as_slice()) {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match (&call.method, segments.as_slice()) {
             (&Method::GET, ["v1", "usage"]) => Reply::json(StatusCode::OK, &self.worker().usage()),
             (&Method::POST, ["v1", "lease"]) => {
-                with(&call, |order: Lease| self.worker().lease(&order))
+                handle_order(&call, |order: Lease| self.worker().lease(&order))
             }
             (&Method::POST, ["v1", "tasks", task, verb]) => match task.parse() {
                 Ok(task) => self.task_call(TaskKey(task), verb, &call).await,
-                Err(_) => not_here(),
+                Err(_) => not_found(),
             },
-            _ => not_here(),
+            _ => not_found(),
         }
     }
 }
 
-fn not_here() -> Reply {
+fn not_found() -> Reply {
     Reply::new(StatusCode::NOT_FOUND, "see docs/contracts/platform.md\n")
 }
 
-fn read<T: DeserializeOwned>(call: &Call) -> Result<T, serde_json::Error> {
+fn parse<T: DeserializeOwned>(call: &Call) -> Result<T, serde_json::Error> {
     serde_json::from_slice(&call.body)
 }
 
-fn bad(error: &serde_json::Error) -> Reply {
+fn bad_request(error: &serde_json::Error) -> Reply {
     Reply::new(StatusCode::BAD_REQUEST, format!("{error}\n"))
 }
 
-fn tell<T: Serialize>(result: Result<T, Refusal>) -> Reply {
+fn to_reply<T: Serialize>(result: Result<T, Refusal>) -> Reply {
     match result {
         Ok(answer) => Reply::json(StatusCode::OK, &answer),
         Err(refusal) => Reply::json(StatusCode::CONFLICT, &refusal),
     }
 }
 
-fn with<O: DeserializeOwned, T: Serialize>(
+fn handle_order<O: DeserializeOwned, T: Serialize>(
     call: &Call,
-    act: impl FnOnce(O) -> Result<T, Refusal>,
+    execute: impl FnOnce(O) -> Result<T, Refusal>,
 ) -> Reply {
-    match read(call) {
-        Ok(order) => tell(act(order)),
-        Err(error) => bad(&error),
+    match parse(call) {
+        Ok(order) => to_reply(execute(order)),
+        Err(error) => bad_request(&error),
     }
 }
 
@@ -182,18 +183,18 @@
     }
 }
 
-/// Serves a host over HTTP.
+/// HTTP server of a host.
 #[derive(Debug)]
 pub struct WorkerServer {}
 
 impl WorkerServer {
-    /// Serves a host until `stop`, letting its jobs get on meanwhile.
+    /// Serves a host until `stop` is triggered and advances its jobs meanwhile.
     pub async fn run(listener: TcpListener, host: Host, stop: Stop) {
-        let ticking = host.clone();
+        let ticking_host = host.clone();
         let ticker = tokio::spawn(async move {
             loop {
-                tokio::time::sleep(TICK).await;
-                ticking.tick();
+                tokio::time::sleep(TICK_INTERVAL).await;
+                ticking_host.tick();
             }
         });
         let limits = Limits { body_bytes: 4 << 20, ..Limits::default() };
--- a/crates/pond-standin/src/worker.rs
+++ b/crates/pond-standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! The worker as a pure state machine.
+//! A simulated worker as a state machine without I/O.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,30 @@
 
 use crate::program::Program;
 
-/// How many measurements back a lagging report reaches.
-const HISTORY: usize = 256;
+/// Maximum number of measurements that are kept for lagging reports.
+const MAX_MEASUREMENTS: usize = 256;
 
-/// One task at the worker.
+/// Task at the worker.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// The order that started it.
+pub struct HostedTask {
+    /// Request that started the task.
     pub start: Start,
-    /// The program, read.
+    /// Parsed program.
     pub program: Program,
-    /// Where it stands.
+    /// State of the task.
     pub state: TaskState,
-    /// Hundredths of its processors that it may use.
+    /// Share of its processors that the task may use, in percent.
     pub share: u32,
-    /// Work done, in milliseconds of full speed.
+    /// Work done, in milliseconds at full speed.
     pub progress_ms: f64,
-    /// The last checkpoint.
+    /// Last checkpoint.
     pub checkpoint: Option<u64>,
-    /// The endpoint's address, for a service.
+    /// Address of the endpoint, for a service.
     pub endpoint: Option<String>,
     lease_until: Millis,
 }
 
-impl Held {
+impl HostedTask {
     fn status(&self, task: TaskKey) -> TaskStatus {
         TaskStatus {
             task,
@@ -44,33 +44,33 @@
         }
     }
 
-    /// Whether it still takes room.
+    /// Returns whether the task occupies resources, that is, has not ended.
     pub fn is_active(&self) -> bool {
         !matches!(self.state, TaskState::Ended(_))
     }
 
-    fn service(&self) -> bool {
+    fn is_service(&self) -> bool {
         self.start.slots > 0
     }
 }
 
-/// A worker: its tasks, their leases and their measurements.
+/// Worker with its tasks, their leases and their measurements.
 #[derive(Debug)]
 pub struct Worker {
     incarnation: u64,
     size: Size,
     term: u64,
-    tasks: BTreeMap<TaskKey, Held>,
+    tasks: BTreeMap<TaskKey, HostedTask>,
     stopped: BTreeMap<TaskKey, Option<u64>>,
     now: Millis,
     usage_lag_ms: Span,
     history: Vec<(Millis, Vec<Report>)>,
-    /// The most it ever ran at one time, to show that it was never more than it has.
+    /// Peak of the allocated resources, to check that they never exceed the size of the worker.
     pub peak: Size,
 }
 
 impl Worker {
-    /// A worker that runs nothing.
+    /// Creates a worker without tasks. Usage reports lag by `usage_lag_ms` milliseconds.
     pub fn new(incarnation: u64, size: Size, usage_lag_ms: Span) -> Worker {
         Worker {
             incarnation,
@@ -85,34 +85,36 @@
         }
     }
 
-    /// Its tasks, ended ones among them.
-    pub fn tasks(&self) -> &BTreeMap<TaskKey, Held> {
+    /// Returns all tasks, including ended ones that were not stopped yet.
+    pub fn tasks(&self) -> &BTreeMap<TaskKey, HostedTask> {
         &self.tasks
     }
 
-    /// How much slower services are than on an undisturbed VM.
+    /// Returns the factor by which services are slower than on an undisturbed VM.
     pub fn slowdown(&self) -> f64 {
-        let running = self.tasks.values().filter(|held| held.is_active());
-        1.0 + running.map(|held| held.program.noise * f64::from(held.share) / 100.0).sum::<f64>()
+        let running = self.tasks.values().filter(|hosted| hosted.is_active());
+        1.0 + running
+            .map(|hosted| hosted.program.noise * f64::from(hosted.share) / 100.0)
+            .sum::<f64>()
     }
 
-    /// Lets time pass: jobs get on, leases run out.
+    /// Advances the clock to `now`: jobs make progress and leases expire.
     pub fn tick(&mut self, now: Millis) {
-        let passed = now.since(self.now) as f64;
+        let elapsed_ms = now.since(self.now) as f64;
         self.now = self.now.max(now);
-        for held in self.tasks.values_mut().filter(|held| held.state == TaskState::Running) {
-            if now >= held.lease_until {
-                held.state = TaskState::Ended(Ending::Expired);
+        for hosted in self.tasks.values_mut().filter(|hosted| hosted.state == TaskState::Running) {
+            if now >= hosted.lease_until {
+                hosted.state = TaskState::Ended(Ending::Expired);
                 continue;
             }
-            if held.service() {
+            if hosted.is_service() {
                 continue;
             }
-            held.progress_ms += passed * f64::from(held.share) / 100.0;
-            if held.program.fails {
-                held.state = TaskState::Ended(Ending::Failed("it was told to fail".to_owned()));
-            } else if held.progress_ms >= held.program.run_ms as f64 {
-                held.state = TaskState::Ended(Ending::Done);
+            hosted.progress_ms += elapsed_ms * f64::from(hosted.share) / 100.0;
+            if hosted.program.fails {
+                hosted.state = TaskState::Ended(Ending::Failed("it was told to fail".to_owned()));
+            } else if hosted.progress_ms >= hosted.program.run_ms as f64 {
+                hosted.state = TaskState::Ended(Ending::Done);
             }
         }
         self.measure();
@@ -124,15 +126,15 @@
             return;
         }
         let slowdown = self.slowdown();
-        let running = self.tasks.iter().filter(|(_, held)| held.is_active());
-        let reports = running.map(|(task, held)| report(*task, held, slowdown)).collect();
+        let running = self.tasks.iter().filter(|(_, hosted)| hosted.is_active());
+        let reports = running.map(|(task, hosted)| report(*task, hosted, slowdown)).collect();
         self.history.push((self.now, reports));
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_MEASUREMENTS {
             self.history.remove(0);
         }
     }
 
-    /// What was measured as long ago as reports are late.
+    /// Returns the measurement that is at least `usage_lag_ms` old.
     pub fn usage(&self) -> Usage {
         let at = self.now - self.usage_lag_ms;
         let found = self.history.iter().rev().find(|(measured, _)| *measured <= at);
@@ -155,7 +157,10 @@
         Ok(())
     }
 
-    /// The end of a lease, if it is not over already.
+    /// Returns the end of a lease.
+    ///
+    /// # Errors
+    /// If the lease has expired already, or the stamp is from another incarnation or the future.
     fn lease_end(&self, stamp: Stamp, lease_ms: u64) -> Result<Millis, Refusal> {
         let end = Millis(stamp.ms) + lease_ms;
         if stamp.incarnation != self.incarnation || stamp.ms > self.now.0 || end <= self.now {
@@ -165,42 +170,45 @@
         Ok(end)
     }
 
-    /// Renews leases and tells what there is.
+    /// Renews the leases of the named tasks and returns the status of all tasks.
     pub fn lease(&mut self, order: &Lease) -> Result<LeaseAnswer, Refusal> {
         self.check_term(order.term)?;
         if let Some(Ok(end)) = order.stamp.map(|stamp| self.lease_end(stamp, order.lease_ms)) {
             for task in &order.tasks {
-                if let Some(held) = self.tasks.get_mut(task) {
-                    held.lease_until = held.lease_until.max(end);
+                if let Some(hosted) = self.tasks.get_mut(task) {
+                    hosted.lease_until = hosted.lease_until.max(end);
                 }
             }
         }
-        let tasks = self.tasks.iter().map(|(task, held)| held.status(*task)).collect();
+        let tasks = self.tasks.iter().map(|(task, hosted)| hosted.status(*task)).collect();
         Ok(LeaseAnswer { stamp: self.stamp(), tasks })
     }
 
-    /// Starts a task, unless it is known or was stopped.
+    /// Starts a task and returns its status. A known task is not started again.
+    ///
+    /// # Errors
+    /// If the task was stopped before, the lease has expired, or resources are missing.
     pub fn start(&mut self, task: TaskKey, order: Start) -> Result<TaskStatus, Refusal> {
         self.check_term(order.term)?;
-        if let Some(held) = self.tasks.get(&task) {
-            return Ok(held.status(task));
+        if let Some(hosted) = self.tasks.get(&task) {
+            return Ok(hosted.status(task));
         }
         if self.stopped.contains_key(&task) {
             let message = format!("{task} was stopped");
             return Err(Refusal { code: RefusalCode::Ended, message });
         }
         let lease_until = self.lease_end(order.stamp, order.lease_ms)?;
-        let after = self.taken().plus(order.size);
-        if !after.fits(self.size) {
-            let message = format!("{} are taken of {}", self.taken(), self.size);
+        let allocated_after = self.allocated().plus(order.size);
+        if !allocated_after.fits(self.size) {
+            let message = format!("{} are taken of {}", self.allocated(), self.size);
             return Err(Refusal { code: RefusalCode::NoRoom, message });
         }
         self.peak = Size {
-            milli_cpu: self.peak.milli_cpu.max(after.milli_cpu),
-            memory_mib: self.peak.memory_mib.max(after.memory_mib),
-            accelerators: self.peak.accelerators.max(after.accelerators),
+            milli_cpu: self.peak.milli_cpu.max(allocated_after.milli_cpu),
+            memory_mib: self.peak.memory_mib.max(allocated_after.memory_mib),
+            accelerators: self.peak.accelerators.max(allocated_after.accelerators),
         };
-        let held = Held {
+        let hosted = HostedTask {
             program: Program::parse(&order.program),
             state: TaskState::Running,
             share: 100,
@@ -210,34 +218,34 @@
             lease_until,
             start: order,
         };
-        let status = held.status(task);
-        self.tasks.insert(task, held);
+        let status = hosted.status(task);
+        self.tasks.insert(task, hosted);
         Ok(status)
     }
 
-    /// Sets the address of a service that has come up.
+    /// Sets the endpoint address of a service that has started.
     pub fn set_endpoint(&mut self, task: TaskKey, address: &str) -> Option<TaskStatus> {
-        let held = self.tasks.get_mut(&task)?;
-        held.endpoint = Some(address.to_owned());
-        Some(held.status(task))
+        let hosted = self.tasks.get_mut(&task)?;
+        hosted.endpoint = Some(address.to_owned());
+        Some(hosted.status(task))
     }
 
-    fn held(&mut self, task: TaskKey) -> Result<&mut Held, Refusal> {
+    fn hosted_mut(&mut self, task: TaskKey) -> Result<&mut HostedTask, Refusal> {
         let message = format!("{task} is not known");
         self.tasks.get_mut(&task).ok_or(Refusal { code: RefusalCode::NoTask, message })
     }
 
-    /// Makes a checkpoint.
+    /// Makes a checkpoint of a task and returns its status.
     pub fn checkpoint(&mut self, task: TaskKey, term: u64) -> Result<TaskStatus, Refusal> {
         self.check_term(term)?;
-        let held = self.held(task)?;
-        if held.is_active() {
-            held.checkpoint = Some(held.progress_ms as u64);
+        let hosted = self.hosted_mut(task)?;
+        if hosted.is_active() {
+            hosted.checkpoint = Some(hosted.progress_ms as u64);
         }
-        Ok(held.status(task))
+        Ok(hosted.status(task))
     }
 
-    /// Sets how fast a task runs.
+    /// Sets the processor share of a task in percent and returns its status.
     pub fn throttle(
         &mut self,
         task: TaskKey,
@@ -245,48 +253,48 @@
         share: u32,
     ) -> Result<TaskStatus, Refusal> {
         self.check_term(term)?;
-        let held = self.held(task)?;
-        held.share = share.min(100);
-        Ok(held.status(task))
+        let hosted = self.hosted_mut(task)?;
+        hosted.share = share.min(100);
+        Ok(hosted.status(task))
     }
 
-    /// Stops a task for good.
+    /// Stops a task permanently, so that it can never be started again.
     pub fn stop(&mut self, task: TaskKey, order: &Stop) -> Result<StopAnswer, Refusal> {
         self.check_term(order.term)?;
-        let Some(held) = self.tasks.remove(&task) else {
+        let Some(hosted) = self.tasks.remove(&task) else {
             let checkpoint = *self.stopped.entry(task).or_default();
             return Ok(StopAnswer { stopped: true, checkpoint, ending: None });
         };
-        let ending = match &held.state {
+        let ending = match &hosted.state {
             TaskState::Ended(ending) => Some(ending.clone()),
             _ => None,
         };
         let checkpoint = match ending {
-            None if !held.service() => Some(held.progress_ms as u64),
-            _ => held.checkpoint,
+            None if !hosted.is_service() => Some(hosted.progress_ms as u64),
+            _ => hosted.checkpoint,
         };
         self.stopped.insert(task, checkpoint);
         Ok(StopAnswer { stopped: true, checkpoint, ending })
     }
 
-    fn taken(&self) -> Size {
-        let running = self.tasks.values().filter(|held| held.is_active());
-        running.fold(Size::default(), |sum, held| sum.plus(held.start.size))
+    fn allocated(&self) -> Size {
+        let running = self.tasks.values().filter(|hosted| hosted.is_active());
+        running.fold(Size::default(), |sum, hosted| sum.plus(hosted.start.size))
     }
 }
 
-fn report(task: TaskKey, held: &Held, slowdown: f64) -> Report {
-    let share = f64::from(held.share) / 100.0 * held.program.use_share;
-    let service = held.service();
-    // An endpoint's tail lies a little above its mean service time.
-    let p99 = held.program.service_us as f64 * slowdown * 1.1;
+fn report(task: TaskKey, hosted: &HostedTask, slowdown: f64) -> Report {
+    let share = f64::from(hosted.share) / 100.0 * hosted.program.use_share;
+    let is_service = hosted.is_service();
+    // The 99th percentile lies slightly above the mean service time.
+    let p99 = hosted.program.service_us as f64 * slowdown * 1.1;
     Report {
         task,
         age_ms: 0,
-        milli_cpu: (f64::from(held.start.size.milli_cpu) * share) as u32,
-        memory_mib: (f64::from(held.start.size.memory_mib) * held.program.use_share) as u32,
-        p99_us: service.then_some(p99 as u64),
+        milli_cpu: (f64::from(hosted.start.size.milli_cpu) * share) as u32,
+        memory_mib: (f64::from(hosted.start.size.memory_mib) * hosted.program.use_share) as u32,
+        p99_us: is_service.then_some(p99 as u64),
         rate: None,
-        progress_ms: (!service).then_some(held.progress_ms as u64),
+        progress_ms: (!is_service).then_some(hosted.progress_ms as u64),
     }
 }
--- a/crates/pond-standin/tests/contract.rs
+++ b/crates/pond-standin/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep the contracts of the platform.
+//! Conformance of the simulated platform with the protocols of the platform.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -19,28 +19,28 @@
 }
 
 #[tokio::test]
-async fn the_worker_keeps_every_rule() {
+async fn worker_follows_every_rule() {
     let worker = worker().await;
     let platform = HttpPlatform::new(([127, 0, 0, 1], 1).into());
-    let verdicts = contract::check(&platform, &worker, 1000).await;
-    let broken: Vec<_> = verdicts.iter().filter(|verdict| verdict.wrong.is_some()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
-    assert_eq!(verdicts.len(), 14);
+    let results = contract::check(&platform, &worker, 1000).await;
+    let failed: Vec<_> = results.iter().filter(|result| result.failure.is_some()).collect();
+    assert!(failed.is_empty(), "{failed:#?}");
+    assert_eq!(results.len(), 14);
 }
 
 #[tokio::test]
-async fn the_endpoint_keeps_every_rule() {
+async fn endpoint_follows_every_rule() {
     let (slowdown, stop) = (Arc::new(AtomicU64::new(100)), Stop::new());
     let started = Endpoint::start(8, 64, 300, slowdown, Record::new(), stop);
     let address = started.await.expect("starts").to_string();
-    let verdicts = contract::check_endpoint(&address).await;
-    let broken: Vec<_> = verdicts.iter().filter(|verdict| verdict.wrong.is_some()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
-    assert_eq!(verdicts.len(), 5);
+    let results = contract::check_endpoint(&address).await;
+    let failed: Vec<_> = results.iter().filter(|result| result.failure.is_some()).collect();
+    assert!(failed.is_empty(), "{failed:#?}");
+    assert_eq!(results.len(), 5);
 }
 
 #[tokio::test]
-async fn the_list_is_told_as_it_is_written_in_the_contract() {
+async fn vm_list_is_served_as_specified() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address");
     let vm = Vm {
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn a_worker_that_is_not_there_is_told_apart_from_one_that_may_have_acted() {
+async fn unreachable_worker_is_distinguished_from_an_unknown_outcome() {
     let platform = HttpPlatform::new(([127, 0, 0, 1], 1).into());
     let result = platform.usage("127.0.0.1:1").await;
     assert!(matches!(result, Err(pond_platform::Error::NotSent(_))), "{result:?}");
