--- a/crates/pond-clock/src/lib.rs
+++ b/crates/pond-clock/src/lib.rs
@@ -1,8 +1,7 @@
-//! The clocks that decisions are made by.
+//! The clock for leases, timeouts and ages.
 //!
-//! Leases, time-outs and ages are counted by a clock that goes on while the machine is suspended. The steady
-//! clock of the standard library stands still meanwhile: a leader that wakes after five seconds would go on
-//! for a second as if nobody could lead in its place.
+//! It includes the time during which the machine was suspended. `std::time::Instant` does not: with it, a
+//! leader that resumes after five seconds would act for another second as if no other could have taken over.
 
 mod source;
 
@@ -13,7 +12,7 @@
 
 pub use source::{Manual, Source, System};
 
-/// The clock of a process.
+/// Clock of a process.
 #[derive(Clone)]
 pub struct Clock {
     source: Arc<dyn Source>,
@@ -21,28 +20,28 @@
 }
 
 impl Clock {
-    /// The machine's clock, counted from now.
+    /// Creates a clock from the system clocks that starts now.
     pub fn new() -> Clock {
         Clock::with_source(Arc::new(System))
     }
 
-    /// Another clock, counted from now.
+    /// Creates a clock from the given source that starts now.
     pub fn with_source(source: Arc<dyn Source>) -> Clock {
         let start = source.boot();
         Clock { source, start }
     }
 
-    /// Time since the start, that of suspensions included.
+    /// Returns the time since the start, including suspensions.
     pub fn elapsed(&self) -> Duration {
         self.source.boot().saturating_sub(self.start)
     }
 
-    /// The same in milliseconds.
+    /// Returns the time since the start in milliseconds, including suspensions.
     pub fn now(&self) -> Millis {
         Millis(self.elapsed().as_millis() as u64)
     }
 
-    /// Time of day in milliseconds since 1970; zero if it is set to before.
+    /// Returns the time of day in milliseconds since 1970, or zero if it is set to an earlier date.
     pub fn wall(&self) -> Millis {
         Millis(self.source.wall().as_millis() as u64)
     }
--- a/crates/pond-clock/src/source.rs
+++ b/crates/pond-clock/src/source.rs
@@ -1,33 +1,33 @@
-//! Where a clock's time comes from.
+//! Time sources of clocks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Tells the time.
+/// Source of time for a clock.
 pub trait Source: Send + Sync {
-    /// Time since some moment in the past; it never goes back, and counts the time of suspensions.
+    /// Returns the time since an arbitrary origin. It never decreases and includes suspensions.
     fn boot(&self) -> Duration;
 
-    /// Time of day since 1970.
+    /// Returns the time of day since 1970.
     fn wall(&self) -> Duration;
 }
 
-/// The clocks of the machine.
+/// Clocks of the operating system.
 #[derive(Clone, Copy, Debug)]
 pub struct System;
 
 impl Source for System {
     fn boot(&self) -> Duration {
-        // Without it (a kernel of before 2011) the steady clock has to do.
+        // Linux kernels before 2011 have no CLOCK_BOOTTIME.
         read(ClockId::CLOCK_BOOTTIME)
             .or_else(|_| read(ClockId::CLOCK_MONOTONIC))
             .unwrap_or_default()
     }
 
     fn wall(&self) -> Duration {
-        // A time of day before 1970 is none at all; jobs then keep the order of their ids.
+        // A time of day before 1970 counts as zero; jobs then keep the order of their ids.
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
     }
 }
@@ -36,7 +36,7 @@
     clock_gettime(clock).map(Duration::from)
 }
 
-/// A clock that is set by hand.
+/// Time source for tests, which advances only on request.
 #[derive(Debug, Default)]
 pub struct Manual {
     boot_ms: AtomicU64,
@@ -44,8 +44,8 @@
 }
 
 impl Manual {
-    /// Lets time pass on both clocks.
-    pub fn pass(&self, ms: u64) {
+    /// Advances both clocks by `ms` milliseconds.
+    pub fn advance(&self, ms: u64) {
         self.boot_ms.fetch_add(ms, Ordering::Relaxed);
         self.wall_ms.fetch_add(ms, Ordering::Relaxed);
     }
--- a/crates/pond-standin/src/server.rs
+++ b/crates/pond-standin/src/server.rs
@@ -50,8 +50,8 @@
 
     /// Sets an additional slowdown of the endpoints in percent: 100 is none. It multiplies the
     /// slowdown that running tasks cause.
-    pub fn slow_down(&self, hundredths: u64) {
-        self.extra_slowdown.store(hundredths, Ordering::Relaxed);
+    pub fn slow_down(&self, percent: u64) {
+        self.extra_slowdown.store(percent, Ordering::Relaxed);
     }
 
     /// Locks and returns the worker.
--- a/crates/pond-standin/src/worker.rs
+++ b/crates/pond-standin/src/worker.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the measurement that is at least `usage_lag_ms` old.
+    /// Returns the newest measurement that is at least `usage_lag_ms` old.
     pub fn usage(&self) -> Usage {
         let at = self.now - self.usage_lag_ms;
         let found = self.history.iter().rev().find(|(measured, _)| *measured <= at);
@@ -187,7 +187,8 @@
     /// Starts a task and returns its status. A known task is not started again.
     ///
     /// # Errors
-    /// If the task was stopped before, the lease has expired, or resources are missing.
+    /// If the term is outdated, the task was stopped before, the lease has expired, or resources are
+    /// missing.
     pub fn start(&mut self, task: TaskKey, order: Start) -> Result<TaskStatus, Refusal> {
         self.check_term(order.term)?;
         if let Some(hosted) = self.tasks.get(&task) {
