--- a/crates/pond-clock/src/source.rs
+++ b/crates/pond-clock/src/source.rs
@@ -20,7 +20,7 @@
 
 impl Source for System {
     fn boot(&self) -> Duration {
-        // Linux kernels before 2011 have no CLOCK_BOOTTIME.
+        // Linux kernels before 2011 have no CLOCK_BOOTTIME; the fallback excludes suspensions.
         read(ClockId::CLOCK_BOOTTIME)
             .or_else(|_| read(ClockId::CLOCK_MONOTONIC))
             .unwrap_or_default()
--- a/crates/pond-link/src/error.rs
+++ b/crates/pond-link/src/error.rs
@@ -33,7 +33,7 @@
     NoHello,
     /// The peer uses another protocol version.
     #[snafu(display(
-        "peer uses protocol version {theirs}, this process {ours}; run the same release on both ends"
+        "peer uses protocol version {theirs}, this process {ours}; run the same release on both"
     ))]
     Version {
         /// Version of the peer.
--- a/crates/pond-link/src/event.rs
+++ b/crates/pond-link/src/event.rs
@@ -59,7 +59,7 @@
         Sender { queue }
     }
 
-    /// Queues a frame. Returns false, and drops the frame, if the queue is full or the link is lost.
+    /// Queues a frame. If the queue is full or the link is lost, drops the frame and returns false.
     pub fn send(&self, body: Body) -> bool {
         self.queue.try_send(body).is_ok()
     }
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that lose all bytes from some moment on, without a reset, while new connections work.
+//! Connections that start to lose all bytes, without a reset, while new connections work.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Waits until the link is lost and another one is up, in any order, and returns the error of the
-    /// lost one. Ignores frames that still arrive on the old link.
+    /// Waits until the link is lost and another one is up, in any order, and returns the error of
+    /// the lost one. Ignores frames that still arrive on the old link.
     async fn wait_until_replaced(&mut self) -> Error {
         // Dropping the sender would close the link.
         let (old, _open) = self.up.take().expect("it is up");
--- a/crates/pond-quorum/tests/schedule.rs
+++ b/crates/pond-quorum/tests/schedule.rs
@@ -290,7 +290,7 @@
     let last = cluster.core(leader).expect("leader").last_index();
     (0..5).for_each(|_| cluster.read(leader));
     cluster.run(50);
-    assert_eq!(cluster.reads_done, 5);
+    assert_eq!(cluster.completed_reads, 5);
     assert_eq!(cluster.core(leader).expect("leader").last_index(), last);
 }
 
--- a/crates/pond-standin/src/program.rs
+++ b/crates/pond-standin/src/program.rs
@@ -11,7 +11,7 @@
     pub run_ms: u64,
     /// Service time of a request on an undisturbed VM, in microseconds.
     pub service_us: u64,
-    /// Slowdown of co-located services while the task runs at full speed: 1 doubles their service time.
+    /// Slowdown of co-located services at full speed of the task: 1 doubles their service time.
     pub noise: f64,
     /// Actual resource usage as a fraction of the declared size.
     pub use_share: f64,
--- a/crates/pond-standin/src/worker.rs
+++ b/crates/pond-standin/src/worker.rs
@@ -187,8 +187,8 @@
     /// Starts a task and returns its status. A known task is not started again.
     ///
     /// # Errors
-    /// If the term is outdated, the task was stopped before, the lease has expired, or resources are
-    /// missing.
+    /// If the term is outdated, the task was stopped before, the lease has expired, or resources
+    /// are missing.
     pub fn start(&mut self, task: TaskKey, order: Start) -> Result<TaskStatus, Refusal> {
         self.check_term(order.term)?;
         if let Some(hosted) = self.tasks.get(&task) {
--- a/crates/pond-test/src/blackhole.rs
+++ b/crates/pond-test/src/blackhole.rs
@@ -1,5 +1,5 @@
-//! A loopback proxy that swallows the bytes of connections for good, without a reset, while new
-//! connections work.
+//! A loopback proxy that drops the bytes of open connections without a reset, while new connections
+//! work.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -9,113 +9,119 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes that are passed on at once.
-const PIECE: usize = 16 << 10;
+/// Size of the copy buffer, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Which bytes of a connection are swallowed.
+/// Direction in which the bytes of a connection are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Blackhole {
-    /// Those of the side that connected.
+    /// From the side that connected.
     FromClient,
-    /// Those of the side that was connected to.
+    /// From the side that accepted.
     FromServer,
-    /// Those of both sides.
+    /// In both directions.
     Both,
 }
 
 impl Blackhole {
-    /// All ways in which a connection can fall silent.
+    /// All values.
     pub const ALL: [Blackhole; 3] = [Blackhole::FromClient, Blackhole::FromServer, Blackhole::Both];
 }
 
-/// The proxy; it runs as long as its runtime.
+/// Loopback proxy, which runs as long as its runtime.
 #[derive(Clone)]
 pub struct BlackholeProxy {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-/// What it has done up to now.
+/// State shared by the connections of a proxy.
 #[derive(Default)]
 struct State {
-    /// Connections that were taken.
+    /// Number of accepted connections.
     accepted: usize,
-    /// How many of the first connections are silent, and which of their bytes are swallowed.
-    silent: Option<(usize, Blackhole)>,
+    /// Number of the first connections whose bytes are dropped, and the direction.
+    blackhole: Option<(usize, Blackhole)>,
 }
 
 impl BlackholeProxy {
-    /// Listens on an address of its own and passes connections on to `target`.
+    /// Starts a proxy on a free loopback port that forwards connections to `target`.
     ///
     /// # Panics
-    /// If it cannot listen on loopback.
+    /// If no loopback port can be bound.
     pub async fn start(target: SocketAddr) -> BlackholeProxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
         let address = listener.local_addr().expect("an address");
         let proxy = BlackholeProxy { address, state: Arc::default() };
-        let own = proxy.clone();
+        let acceptor = proxy.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(own.clone().join(near, target));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(acceptor.clone().forward(client, target));
             }
         });
         proxy
     }
 
-    /// Where it takes connections.
+    /// Returns the address of the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many connections it has taken.
+    /// Returns the number of accepted connections.
     pub fn accepted(&self) -> usize {
         self.state().accepted
     }
 
-    /// From now on these bytes of all connections that there are get lost, and no side learns that
-    /// the other closes one. Connections that are taken later work.
-    pub fn drop_bytes(&self, swallowed: Blackhole) {
+    /// Drops the bytes of all open connections in the given direction from now on. Neither side is
+    /// notified when the other closes such a connection. Later connections work.
+    pub fn drop_bytes(&self, blackhole: Blackhole) {
         let mut state = self.state();
-        state.silent = Some((state.accepted, swallowed));
+        state.blackhole = Some((state.accepted, blackhole));
     }
 
-    async fn join(self, near: TcpStream, target: SocketAddr) {
+    async fn forward(self, client: TcpStream, target: SocketAddr) {
         let number = {
             let mut state = self.state();
             state.accepted += 1;
             state.accepted
         };
-        // A target that is down closes the near side.
-        let Ok(far) = TcpStream::connect(target).await else { return };
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let asked = self.clone().pass(number, Blackhole::FromClient, near_in, far_out);
-        tokio::join!(asked, self.pass(number, Blackhole::FromServer, far_in, near_out));
+        // If the target is down, the connection of the client is closed.
+        let Ok(server) = TcpStream::connect(target).await else { return };
+        let ((client_in, client_out), (server_in, server_out)) =
+            (client.into_split(), server.into_split());
+        let from_client =
+            self.clone().forward_direction(number, Blackhole::FromClient, client_in, server_out);
+        tokio::join!(
+            from_client,
+            self.forward_direction(number, Blackhole::FromServer, server_in, client_out)
+        );
     }
 
-    /// Passes the bytes of one side on until it closes, and then its close.
-    async fn pass(
+    /// Forwards the bytes of one direction until the sender closes, and then closes the other side.
+    async fn forward_direction(
         self,
         number: usize,
-        own: Blackhole,
+        direction: Blackhole,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
     ) {
-        let mut buffer = vec![0; PIECE];
+        let mut buffer = vec![0; BUFFER_BYTES];
         while let Ok(read @ 1..) = from.read(&mut buffer).await {
-            let swallowed = self.silent(number).is_some_and(|s| s == own || s == Blackhole::Both);
-            if !swallowed && to.write_all(&buffer[..read]).await.is_err() {
+            let blackhole =
+                self.blackhole(number).is_some_and(|b| b == direction || b == Blackhole::Both);
+            if !blackhole && to.write_all(&buffer[..read]).await.is_err() {
                 break;
             }
         }
-        if self.silent(number).is_some() {
-            // Keeps `to` open.
+        if self.blackhole(number).is_some() {
+            // Keeps `to` open, so that its peer sees no close.
             pending::<()>().await;
         }
     }
 
-    /// Which bytes of a connection are swallowed, if it is silent.
-    fn silent(&self, number: usize) -> Option<Blackhole> {
-        self.state().silent.filter(|(last, _)| number <= *last).map(|(_, swallowed)| swallowed)
+    /// Returns the direction in which the bytes of a connection are dropped, if any.
+    fn blackhole(&self, number: usize) -> Option<Blackhole> {
+        self.state().blackhole.filter(|(last, _)| number <= *last).map(|(_, blackhole)| blackhole)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -1,8 +1,7 @@
-//! Replicas of the quorum on disks that forget, under a schedule of failures.
+//! A simulated cluster of quorum replicas with fault injection.
 //!
-//! Everything is driven by one seed: message delays, losses, duplicates, cuts, crashes with the
-//! loss of unsynced writes, and clocks that drift. After every step the promises of the quorum are
-//! checked against what was seen before.
+//! One seed determines all message delays, losses and duplicates, partitions, crashes with loss of
+//! unsynced writes, and clock drift. The invariants of the quorum are checked after every step.
 
 mod output;
 
@@ -17,47 +16,47 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Bytes of what was not synced that a loss of power may leave in a file: up to a few entries.
-const TORN_BYTES: usize = 200;
+/// Maximum number of unsynced bytes that a power loss leaves in a file: a few entries.
+const MAX_TORN_BYTES: usize = 200;
 
-/// Time between starts of a replica whose disk is full, in milliseconds.
-const START_AGAIN_MS: u64 = 50;
+/// Time between start attempts of a replica whose disk is full, in milliseconds.
+const RESTART_INTERVAL_MS: u64 = 50;
 
-/// Longest time that a disk is full, in milliseconds: several elections.
-const FULL_MS: u64 = 3_000;
+/// Maximum time that a disk is full, in milliseconds: several elections.
+const MAX_DISK_FULL_MS: u64 = 3_000;
 
-/// Longest time until a replica has power again, in milliseconds.
-const BACK_MS: u64 = 1_000;
+/// Maximum time until a replica has power again, in milliseconds.
+const MAX_POWER_OUTAGE_MS: u64 = 1_000;
 
-/// How often failures happen, each in thousandths of a millisecond step.
+/// Fault rates and magnitudes. A step is one millisecond.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Share of messages that are lost, in thousandths.
+    /// Fraction of messages that are lost, in thousandths.
     pub loss: u32,
-    /// Share of messages that come twice, in thousandths.
+    /// Fraction of messages that are duplicated, in thousandths.
     pub duplicate: u32,
-    /// Longest delay of a message, in milliseconds.
+    /// Maximum delay of a message, in milliseconds.
     pub max_delay_ms: u64,
-    /// Chance of a crash in a step, in hundred-thousandths.
+    /// Probability that a replica crashes in a step, in hundred-thousandths.
     pub crash: u32,
-    /// Chance of a cut between two replicas in a step, in hundred-thousandths.
+    /// Probability of a partition between two replicas in a step, in hundred-thousandths.
     pub partition: u32,
-    /// How far a clock may run fast or slow, in thousandths.
+    /// Maximum clock drift in either direction, in thousandths.
     pub drift: u64,
-    /// Entries after which a replica takes a snapshot.
+    /// Number of entries between snapshots of a replica.
     pub snapshot_every: u64,
-    /// Chance of a full disk in a step, in hundred-thousandths.
+    /// Probability that a disk becomes full in a step, in hundred-thousandths.
     pub disk_full: u32,
-    /// Chance in a step that a machine is suspended for seconds, in hundred-thousandths.
+    /// Probability that a machine is suspended for seconds in a step, in hundred-thousandths.
     pub suspend: u32,
-    /// Whether the clocks of replicas stand still meanwhile, as a steady clock does.
+    /// Whether the clocks of replicas stop during a suspension, as `std::time::Instant` does.
     pub clocks_stop: bool,
-    /// Whether disks lie about syncing.
+    /// Whether disks report a sync that they did not make.
     pub lying_disks: bool,
 }
 
 impl Faults {
-    /// Nothing goes wrong.
+    /// Returns settings without faults.
     pub fn none() -> Faults {
         Faults {
             loss: 0,
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Everything goes wrong now and then.
+    /// Returns settings with all faults except suspensions and disks that fail to sync.
     pub fn all() -> Faults {
         Faults {
             loss: 50,
@@ -92,22 +91,22 @@
     }
 }
 
-/// One replica, running or crashed.
+/// Replica, running or crashed.
 struct Node {
     disk: Memory,
     running: Option<Running>,
-    /// When a crashed one starts again.
-    back: u64,
-    /// Its process is killed when it has written entries the next time, before they are synced.
-    dies_writing: bool,
-    /// Until when its disk is full.
-    full: u64,
-    /// Its clock runs this many thousandths of the true one.
+    /// Time at which the replica restarts after a crash.
+    restart_at: u64,
+    /// Whether the process is killed after its next write of entries, before the sync.
+    kill_before_sync: bool,
+    /// Time until which the disk is full.
+    full_until: u64,
+    /// Rate of the clock, in thousandths of the true rate.
     rate: u64,
-    /// Until when its machine is suspended.
-    asleep: u64,
-    /// Time that its clock has not counted.
-    uncounted: u64,
+    /// Time until which the machine is suspended.
+    suspended_until: u64,
+    /// Suspended time that the clock has not counted, in milliseconds.
+    suspended_ms: u64,
 }
 
 struct Running {
@@ -117,41 +116,41 @@
     values: Vec<u64>,
 }
 
-/// A message on its way.
-struct Flying {
+/// Message in flight.
+struct InFlight {
     due: u64,
-    letter: Letter,
+    message: Letter,
 }
 
-/// The replicas and what was seen of them.
+/// Simulated cluster with the observations that the invariants are checked against.
 pub struct Cluster {
     faults: Faults,
     rng: SmallRng,
     time: u64,
     nodes: BTreeMap<u64, Node>,
     members: Members,
-    flying: Vec<Flying>,
-    cuts: BTreeMap<(u64, u64), u64>,
+    in_flight: Vec<InFlight>,
+    partitions: BTreeMap<(u64, u64), u64>,
     next_value: u64,
     next_ticket: u64,
-    /// Proposals on their way: ticket to value.
-    proposed: BTreeMap<u64, u64>,
-    /// Places in the log: replica, index and term to value.
-    placed: BTreeMap<(u64, u64, u64), u64>,
-    /// Values whose proposer saw them applied at their place.
+    /// Open proposals: ticket to value.
+    proposals: BTreeMap<u64, u64>,
+    /// Proposals appended to a log: replica, index and term to value.
+    log_positions: BTreeMap<(u64, u64, u64), u64>,
+    /// Values that their proposer applied at the proposed position: value to index.
     accepted: BTreeMap<u64, u64>,
-    /// What was applied at each index, by the first replica to do so.
+    /// Entry at each index, as applied by the first replica that did so.
     applied: BTreeMap<u64, Entry>,
     leaders: BTreeMap<u64, u64>,
     reads: BTreeMap<u64, u64>,
-    /// Reads that were answered.
-    pub reads_done: usize,
-    /// What was found wrong, if anything.
+    /// Number of completed reads.
+    pub completed_reads: usize,
+    /// First violation of an invariant, if any.
     pub violation: Option<String>,
 }
 
 impl Cluster {
-    /// Replicas 1 to `count` under a seed.
+    /// Creates a cluster of replicas 1 to `count`, all of them members.
     pub fn new(count: u64, seed: u64, faults: Faults) -> Cluster {
         let member =
             |id| Member { id, name: format!("control-{id}"), address: String::new(), voter: true };
@@ -162,17 +161,17 @@
             time: 1000,
             nodes: BTreeMap::new(),
             members,
-            flying: Vec::new(),
-            cuts: BTreeMap::new(),
+            in_flight: Vec::new(),
+            partitions: BTreeMap::new(),
             next_value: 0,
             next_ticket: 0,
-            proposed: BTreeMap::new(),
-            placed: BTreeMap::new(),
+            proposals: BTreeMap::new(),
+            log_positions: BTreeMap::new(),
             accepted: BTreeMap::new(),
             applied: BTreeMap::new(),
             leaders: BTreeMap::new(),
             reads: BTreeMap::new(),
-            reads_done: 0,
+            completed_reads: 0,
             violation: None,
         };
         for id in 1..=count {
@@ -191,19 +190,19 @@
         let node = Node {
             disk,
             running: None,
-            back: 0,
-            dies_writing: false,
-            full: 0,
+            restart_at: 0,
+            kill_before_sync: false,
+            full_until: 0,
             rate,
-            asleep: 0,
-            uncounted: 0,
+            suspended_until: 0,
+            suspended_ms: 0,
         };
         self.nodes.insert(id, node);
         self.start(id);
     }
 
-    /// Adds a replica with an empty disk that is no member yet.
-    pub fn add_stranger(&mut self, id: u64) {
+    /// Adds a replica with an empty disk that is not a member.
+    pub fn add_non_member(&mut self, id: u64) {
         self.add_node(id);
     }
 
@@ -213,8 +212,8 @@
         let opened = Store::open(Box::new(node.disk.clone()));
         let (store, recovered) = match opened {
             Ok(opened) => opened,
-            Err(pond_store::Error::Full { .. }) => return self.start_later(id),
-            Err(error) => return self.fail(format!("replica {id} cannot start: {error}")),
+            Err(pond_store::Error::Full { .. }) => return self.schedule_restart(id),
+            Err(error) => return self.set_violation(format!("replica {id} cannot start: {error}")),
         };
         let snapshot = recovered
             .snapshot
@@ -237,19 +236,19 @@
         }
     }
 
-    /// Its disk has no room to start with.
-    fn start_later(&mut self, id: u64) {
-        let back = self.time + START_AGAIN_MS;
+    /// Schedules the next start attempt of a replica whose disk is full.
+    fn schedule_restart(&mut self, id: u64) {
+        let restart_at = self.time + RESTART_INTERVAL_MS;
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.back = back;
+            node.restart_at = restart_at;
         }
     }
 
-    fn fail(&mut self, what: String) {
-        self.violation.get_or_insert(what);
+    fn set_violation(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
     }
 
-    /// Crashes a replica; it starts again after `wait` milliseconds.
+    /// Crashes a replica, which restarts after `wait` milliseconds.
     pub fn crash(&mut self, id: u64, wait: u64) {
         let time = self.time;
         let crash = match self.rng.random_range(0..3) {
@@ -261,29 +260,29 @@
         if node.running.take().is_some() {
             node.disk.crash(crash);
         }
-        node.back = time + wait;
+        node.restart_at = time + wait;
     }
 
-    /// Loses a replica's disk, which comes back under the identity `new` with an empty one, and cuts
-    /// the power of all others at the same moment: nothing lasts but what was synced, and perhaps
-    /// the beginning of what was not. All come back within a second, in any order.
+    /// Destroys the disk of replica `lost`, which returns as `new` with an empty disk, and cuts the
+    /// power of all others at the same time. Only synced data survives, and possibly the beginning
+    /// of unsynced data. All replicas restart within a second, in any order.
     pub fn lose_power(&mut self, lost: u64, new: u64) {
         self.lose_disk(lost, new);
-        self.flying.clear();
+        self.in_flight.clear();
         let ids: Vec<u64> = self.nodes.keys().copied().collect();
         for id in ids {
-            let torn = Crash::KeepBytes(self.rng.random_range(0..TORN_BYTES));
+            let torn = Crash::KeepBytes(self.rng.random_range(0..MAX_TORN_BYTES));
             let crash = if self.rng.random() { Crash::DropUnsynced } else { torn };
-            let back = self.time + self.rng.random_range(0..BACK_MS);
+            let restart_at = self.time + self.rng.random_range(0..MAX_POWER_OUTAGE_MS);
             let Some(node) = self.nodes.get_mut(&id) else { continue };
             node.running = None;
             node.disk.crash(crash);
-            node.back = back;
+            node.restart_at = restart_at;
         }
     }
 
-    /// Goes on until the next value is accepted, for so long at most, with `pause` milliseconds
-    /// between proposals; whether one was accepted.
+    /// Runs until the next value is accepted, for at most `ms` milliseconds, with `pause` milliseconds
+    /// between proposals. Returns whether a value was accepted.
     pub fn run_until_accepted(&mut self, ms: u64, pause: Range<u64>) -> bool {
         let (accepted, until) = (self.accepted.len(), self.time + ms);
         let mut next = self.time;
@@ -297,26 +296,26 @@
         self.accepted.len() > accepted
     }
 
-    /// Kills a replica's process when it has written entries the next time and not synced them; it
-    /// starts again at once.
+    /// Kills the process of a replica after its next write of entries, before the sync. It restarts at
+    /// once.
     pub fn kill_before_sync(&mut self, id: u64) {
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.dies_writing = true;
+            node.kill_before_sync = true;
         }
     }
 
-    /// Loses a replica's disk; it comes back under the identity `new` with an empty one.
+    /// Destroys the disk of a replica, which returns as `new` with an empty disk.
     pub fn lose_disk(&mut self, id: u64, new: u64) {
         self.nodes.remove(&id);
         self.add_node(new);
     }
 
-    /// A copy of a replica's disk as it is now.
+    /// Returns a copy of the current disk of a replica.
     pub fn copy_disk(&self, id: u64) -> Option<Memory> {
         self.nodes.get(&id).map(|node| node.disk.copy())
     }
 
-    /// Stops a replica and starts it again on another disk.
+    /// Restarts a replica with another disk.
     pub fn replace_disk(&mut self, id: u64, disk: Memory) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.running = None;
@@ -325,52 +324,54 @@
         self.start(id);
     }
 
-    /// Lets a replica's disk be full for `wait` milliseconds.
+    /// Makes the disk of a replica full for `wait` milliseconds.
     pub fn fill_disk(&mut self, id: u64, wait: u64) {
         let until = self.time + wait;
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.full = node.full.max(until);
+            node.full_until = node.full_until.max(until);
             node.disk.refuse(0..u64::MAX);
         }
     }
 
-    /// Gives disks room again whose time has come.
-    fn empty(&mut self) {
+    /// Frees the disks that are no longer full.
+    fn free_disks(&mut self) {
         let time = self.time;
-        for node in self.nodes.values_mut().filter(|node| node.full > 0 && node.full <= time) {
-            node.full = 0;
+        for node in
+            self.nodes.values_mut().filter(|node| node.full_until > 0 && node.full_until <= time)
+        {
+            node.full_until = 0;
             node.disk.refuse(0..0);
         }
     }
 
-    /// Cuts two replicas off from each other for `wait` milliseconds.
+    /// Partitions two replicas from each other for `wait` milliseconds.
     pub fn partition(&mut self, a: u64, b: u64, wait: u64) {
-        self.cuts.insert((a.min(b), a.max(b)), self.time + wait);
+        self.partitions.insert((a.min(b), a.max(b)), self.time + wait);
     }
 
-    /// Cuts one replica off from all others for `wait` milliseconds.
+    /// Partitions a replica from all others for `wait` milliseconds.
     pub fn isolate(&mut self, id: u64, wait: u64) {
         let others: Vec<u64> = self.nodes.keys().copied().filter(|other| *other != id).collect();
         others.into_iter().for_each(|other| self.partition(id, other, wait));
     }
 
-    /// The replica that leads and is ready, with the highest term.
+    /// Returns the ready leader with the highest term.
     pub fn leader(&self) -> Option<u64> {
         let running = self.nodes.iter().filter_map(|(id, node)| Some((id, node.running.as_ref()?)));
         let ready = running.filter(|(_, running)| running.core.ready());
         ready.max_by_key(|(_, running)| running.core.term()).map(|(id, _)| *id)
     }
 
-    /// The core of a running replica.
+    /// Returns the core of a running replica.
     pub fn core(&self, id: u64) -> Option<&Core> {
         self.nodes.get(&id)?.running.as_ref().map(|running| &running.core)
     }
 
-    /// Gives an input to a replica.
+    /// Passes an input to a replica, unless it is suspended or not running.
     pub fn input(&mut self, id: u64, input: Input) {
         let now = self.now(id);
-        if self.asleep(id).is_some() {
-            // Clients get no answer.
+        if self.suspended_until(id).is_some() {
+            // Clients of a suspended replica get no answer.
             return;
         }
         if let Some(running) = self.nodes.get_mut(&id).and_then(|node| node.running.as_mut()) {
@@ -378,64 +379,64 @@
         }
     }
 
-    /// Proposes the next value to a replica.
+    /// Proposes the next value at a replica.
     pub fn propose(&mut self, id: u64) {
         self.next_value += 1;
         self.next_ticket += 1;
         let (ticket, value) = (self.next_ticket, self.next_value);
-        self.proposed.insert(ticket, value);
+        self.proposals.insert(ticket, value);
         self.input(id, Input::Propose { ticket, data: value.to_be_bytes().to_vec() });
     }
 
-    /// Reads at a replica: the read must see all that is accepted now.
+    /// Reads at a replica. The read must see all values accepted so far.
     pub fn read(&mut self, id: u64) {
         self.next_ticket += 1;
-        let floor = self.accepted.values().copied().max().unwrap_or(0);
-        self.reads.insert(self.next_ticket, floor);
+        let min_index = self.accepted.values().copied().max().unwrap_or(0);
+        self.reads.insert(self.next_ticket, min_index);
         self.input(id, Input::Read { ticket: self.next_ticket });
     }
 
-    /// How many values were accepted.
+    /// Returns the number of accepted values.
     pub fn accepted(&self) -> usize {
         self.accepted.len()
     }
 
-    /// The values applied at a replica, in order.
+    /// Returns the values applied at a replica, in order.
     pub fn values(&self, id: u64) -> Vec<u64> {
         let running = self.nodes.get(&id).and_then(|node| node.running.as_ref());
         running.map(|running| running.values.clone()).unwrap_or_default()
     }
 
     fn now(&self, id: u64) -> Millis {
-        let (rate, uncounted) =
-            self.nodes.get(&id).map_or((1000, 0), |node| (node.rate, node.uncounted));
-        Millis((self.time - uncounted) * rate / 1000)
+        let (rate, suspended_ms) =
+            self.nodes.get(&id).map_or((1000, 0), |node| (node.rate, node.suspended_ms));
+        Millis((self.time - suspended_ms) * rate / 1000)
     }
 
-    /// Suspends the machine of a replica for `wait` milliseconds. What is sent to it comes when it wakes.
+    /// Suspends the machine of a replica for `wait` milliseconds. Messages to it arrive when it resumes.
     pub fn suspend(&mut self, id: u64, wait: u64) {
         let (until, clocks_stop) = (self.time + wait, self.faults.clocks_stop);
         let Some(node) = self.nodes.get_mut(&id) else { return };
-        if node.asleep > self.time {
+        if node.suspended_until > self.time {
             return;
         }
-        node.asleep = until;
-        node.uncounted += if clocks_stop { wait } else { 0 };
+        node.suspended_until = until;
+        node.suspended_ms += if clocks_stop { wait } else { 0 };
     }
 
-    /// Until when the machine of a replica is suspended, if it is.
-    fn asleep(&self, id: u64) -> Option<u64> {
-        self.nodes.get(&id).map(|node| node.asleep).filter(|until| *until > self.time)
+    /// Returns the time until which the machine of a replica is suspended, if it is.
+    fn suspended_until(&self, id: u64) -> Option<u64> {
+        self.nodes.get(&id).map(|node| node.suspended_until).filter(|until| *until > self.time)
     }
 
-    /// Lets `ms` milliseconds pass with load and failures, one at a time.
+    /// Runs for `ms` milliseconds with faults, without load from clients.
     pub fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             if self.violation.is_some() {
                 return;
             }
             self.time += 1;
-            self.break_things();
+            self.inject_faults();
             self.deliver();
             let ids: Vec<u64> = self.nodes.keys().copied().collect();
             for id in ids {
@@ -445,7 +446,7 @@
         }
     }
 
-    /// Lets time pass while clients propose and read.
+    /// Runs for `ms` milliseconds while clients propose and read.
     pub fn run_under_load(&mut self, ms: u64) {
         let mut passed = 0;
         while passed < ms && self.violation.is_none() {
@@ -462,7 +463,7 @@
         }
     }
 
-    fn break_things(&mut self) {
+    fn inject_faults(&mut self) {
         let ids: Vec<u64> = self.nodes.keys().copied().collect();
         for id in &ids {
             if self.rng.random_range(0..100_000) < self.faults.crash {
@@ -474,7 +475,7 @@
             if self.faults.disk_full > 0
                 && self.rng.random_range(0..100_000) < self.faults.disk_full
             {
-                let wait = self.rng.random_range(10..FULL_MS);
+                let wait = self.rng.random_range(10..MAX_DISK_FULL_MS);
                 self.fill_disk(*id, wait);
             }
         }
@@ -484,7 +485,7 @@
                 self.suspend(*id, wait);
             }
         }
-        self.empty();
+        self.free_disks();
         if self.rng.random_range(0..100_000) < self.faults.partition {
             let a = ids[self.rng.random_range(0..ids.len())];
             let b = ids[self.rng.random_range(0..ids.len())];
@@ -496,36 +497,38 @@
     fn deliver(&mut self) {
         let time = self.time;
         let (due, later) =
-            std::mem::take(&mut self.flying).into_iter().partition(|f| f.due <= time);
-        self.flying = later;
-        let due: Vec<Flying> = due;
-        for Flying { letter, .. } in due {
-            let pair = (letter.from.min(letter.to), letter.from.max(letter.to));
-            if self.cuts.get(&pair).is_some_and(|until| time < *until) {
+            std::mem::take(&mut self.in_flight).into_iter().partition(|f| f.due <= time);
+        self.in_flight = later;
+        let due: Vec<InFlight> = due;
+        for InFlight { message, .. } in due {
+            let pair = (message.from.min(message.to), message.from.max(message.to));
+            if self.partitions.get(&pair).is_some_and(|until| time < *until) {
                 continue;
             }
-            if let Some(due) = self.asleep(letter.to) {
-                self.flying.push(Flying { due, letter });
+            if let Some(due) = self.suspended_until(message.to) {
+                self.in_flight.push(InFlight { due, message });
                 continue;
             }
-            self.input(letter.to, Input::Letter(letter));
+            self.input(message.to, Input::Letter(message));
         }
     }
 
     fn step(&mut self, id: u64) {
         let time = self.time;
-        let Some(node) = self.nodes.get(&id).filter(|node| node.asleep <= time) else { return };
+        let Some(node) = self.nodes.get(&id).filter(|node| node.suspended_until <= time) else {
+            return;
+        };
         if node.running.is_none() {
-            if node.back <= time {
+            if node.restart_at <= time {
                 self.start(id);
             }
             return;
         }
-        // A candidate whose vote for itself cannot last can win nothing.
-        let abstains = self
+        // A candidate cannot win if it cannot store the vote for itself.
+        let skips_tick = self
             .running(id)
             .is_some_and(|running| running.writer.full() && running.core.role() != Role::Leader);
-        if !abstains {
+        if !skips_tick {
             self.input(id, Input::Tick);
         }
         if self.running(id).is_some_and(|running| running.writer.full()) {
@@ -539,7 +542,7 @@
             if outputs.is_empty() {
                 return;
             }
-            self.carry_out(id, outputs);
+            self.handle_outputs(id, outputs);
         }
     }
 
@@ -547,40 +550,45 @@
         self.nodes.get(&id)?.running.as_ref()
     }
 
-    fn check_leader(&mut self, id: u64) {
+    fn check_single_leader(&mut self, id: u64) {
         let Some(core) = self.core(id).filter(|core| core.role() == Role::Leader) else { return };
         let term = core.term();
         let first = *self.leaders.entry(term).or_insert(id);
         if first != id {
-            self.fail(format!("replicas {first} and {id} both lead in term {term}"));
+            self.set_violation(format!("replicas {first} and {id} both lead in term {term}"));
         }
     }
 
-    /// At most one replica believes that no other can lead.
+    /// Checks that at most one replica that is not suspended holds the lease.
     fn check_leases(&mut self) {
-        let holds = |id: &u64| {
+        let holds_lease = |id: &u64| {
             let core = self.core(*id)?;
             core.lease_until().filter(|until| self.now(*id) < *until)
         };
-        let awake = self.nodes.keys().copied().filter(|id| self.asleep(*id).is_none());
-        let holders: BTreeSet<u64> = awake.filter(|id| holds(id).is_some()).collect();
-        if holders.len() > 1 {
-            self.fail(format!("replicas {holders:?} hold the lease at the same time"));
+        let not_suspended =
+            self.nodes.keys().copied().filter(|id| self.suspended_until(*id).is_none());
+        let lease_holders: BTreeSet<u64> =
+            not_suspended.filter(|id| holds_lease(id).is_some()).collect();
+        if lease_holders.len() > 1 {
+            self.set_violation(format!(
+                "replicas {lease_holders:?} hold the lease at the same time"
+            ));
         }
     }
 
-    /// Ends all failures, waits until all agree, and checks that nothing accepted is lost.
+    /// Ends all faults, waits until all replicas agree, and checks that no accepted value is lost.
     pub fn heal_and_check(&mut self) {
         self.faults = Faults { snapshot_every: self.faults.snapshot_every, ..Faults::none() };
-        self.cuts.clear();
+        self.partitions.clear();
         for node in self.nodes.values_mut() {
-            node.back = node.back.min(self.time);
-            node.full = node.full.min(self.time);
-            node.asleep = node.asleep.min(self.time);
+            node.restart_at = node.restart_at.min(self.time);
+            node.full_until = node.full_until.min(self.time);
+            node.suspended_until = node.suspended_until.min(self.time);
         }
         self.run(6000);
         let Some(leader) = self.leader() else {
-            return self.fail("there is no leader though nothing fails any more".to_owned());
+            return self
+                .set_violation("there is no leader although all faults have ended".to_owned());
         };
         self.propose(leader);
         self.run(1000);
@@ -595,17 +603,17 @@
         for (id, list) in &lists {
             if *list != longest {
                 let (have, all) = (list.len(), longest.len());
-                self.fail(format!("replica {id} holds {have} values of {all}"));
+                self.set_violation(format!("replica {id} holds {have} values of {all}"));
             }
         }
-        let held: BTreeSet<u64> = longest.iter().copied().collect();
-        if held.len() != longest.len() {
-            self.fail("a value was applied twice".to_owned());
+        let applied: BTreeSet<u64> = longest.iter().copied().collect();
+        if applied.len() != longest.len() {
+            self.set_violation("a value was applied twice".to_owned());
         }
         let lost: Vec<u64> =
-            self.accepted.keys().copied().filter(|value| !held.contains(value)).collect();
+            self.accepted.keys().copied().filter(|value| !applied.contains(value)).collect();
         if !lost.is_empty() {
-            self.fail(format!("accepted values are lost: {lost:?}"));
+            self.set_violation(format!("accepted values are lost: {lost:?}"));
         }
     }
 }
--- a/crates/pond-test/src/cluster/output.rs
+++ b/crates/pond-test/src/cluster/output.rs
@@ -1,4 +1,4 @@
-//! Carries out what the cores of a cluster hand out: files, messages, applied entries.
+//! Outputs of the cores of a cluster: writes, messages and applied entries.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use pond_store::{Snapshot, Writer};
 use rand::Rng;
 
-use super::{Cluster, Flying, decode, encode, value};
+use super::{Cluster, InFlight, decode, encode, value};
 
 impl Cluster {
-    pub(super) fn carry_out(&mut self, id: u64, outputs: Vec<Output>) {
-        // A crash may come between writing and syncing, with messages sent before it.
-        let dies = self.rng.random_range(0..100_000) < self.faults.crash * 10;
+    pub(super) fn handle_outputs(&mut self, id: u64, outputs: Vec<Output>) {
+        // A crash may occur between write and sync, after messages were sent.
+        let crashes = self.rng.random_range(0..100_000) < self.faults.crash * 10;
         for output in &outputs {
-            self.put(id, output);
+            self.enqueue(id, output);
         }
-        if dies {
+        if crashes {
             self.with_writer(id, Writer::write);
             let wait = self.rng.random_range(10..500);
             return self.crash(id, wait);
         }
-        if self.killed_writing(id, &outputs) {
+        if self.kill_if_due(id, &outputs) {
             return;
         }
         self.flush(id);
@@ -30,15 +30,15 @@
         }
     }
 
-    /// Sends what need not wait, and hands in what must last and what waits for it.
-    fn put(&mut self, id: u64, output: &Output) {
-        if let Output::Send(letter) = output {
-            return self.send(letter.clone());
+    /// Sends a message that needs no sync, and enqueues writes and the messages that wait for them.
+    fn enqueue(&mut self, id: u64, output: &Output) {
+        if let Output::Send(message) = output {
+            return self.send(message.clone());
         }
         let running = self.nodes.get_mut(&id).and_then(|node| node.running.as_mut());
         let Some(writer) = running.map(|running| &mut running.writer) else { return };
         match output {
-            Output::SendDurable(letter) => writer.then(letter.clone()),
+            Output::SendDurable(message) => writer.then(message.clone()),
             other => other.write().into_iter().for_each(|write| writer.put(write)),
         }
     }
@@ -46,8 +46,8 @@
     pub(super) fn flush(&mut self, id: u64) {
         let was_full = self.running(id).is_some_and(|running| running.writer.full());
         let Some(flushed) = self.with_writer(id, Writer::flush) else { return };
-        for letter in flushed.then {
-            self.send(letter);
+        for message in flushed.then {
+            self.send(message);
         }
         if flushed.lasts {
             self.input(id, Input::Persisted);
@@ -58,22 +58,24 @@
         }
     }
 
-    /// Whether a kill was due now; its disk keeps what was written and may lose it later.
-    fn killed_writing(&mut self, id: u64, outputs: &[Output]) -> bool {
+    /// Kills the process if a kill before the sync is due, and returns whether it did. The disk keeps
+    /// the unsynced writes, which a later crash may lose.
+    fn kill_if_due(&mut self, id: u64, outputs: &[Output]) -> bool {
         let entries = |output: &Output| matches!(output, Output::Persist { entries, .. } if !entries.is_empty());
-        let due = self.nodes.get(&id).is_some_and(|node| node.dies_writing);
+        let due = self.nodes.get(&id).is_some_and(|node| node.kill_before_sync);
         if !due || !outputs.iter().any(entries) {
             return false;
         }
         self.with_writer(id, Writer::write);
         let Some(node) = self.nodes.get_mut(&id) else { return false };
-        node.dies_writing = false;
+        node.kill_before_sync = false;
         node.running = None;
-        node.back = self.time;
+        node.restart_at = self.time;
         true
     }
 
-    /// Does something with a replica's files; none if it does not run, or if they failed.
+    /// Calls `act` with the writer of a replica. Returns none if the replica does not run or its files
+    /// failed.
     pub(super) fn with_writer<T>(
         &mut self,
         id: u64,
@@ -83,32 +85,32 @@
         match act(&mut running.writer) {
             Ok(done) => Some(done),
             Err(error) => {
-                self.fail(format!("the files of replica {id} failed: {error}"));
+                self.set_violation(format!("the files of replica {id} failed: {error}"));
                 None
             }
         }
     }
 
-    pub(super) fn send(&mut self, letter: Letter) {
+    pub(super) fn send(&mut self, message: Letter) {
         if self.rng.random_range(0..1000) < self.faults.loss {
             return;
         }
         let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.faults.duplicate);
         for _ in 0..copies {
             let due = self.time + self.rng.random_range(1..=self.faults.max_delay_ms);
-            self.flying.push(Flying { due, letter: letter.clone() });
+            self.in_flight.push(InFlight { due, message: message.clone() });
         }
     }
 
     fn output(&mut self, id: u64, output: Output) {
         match output {
             Output::Appended { ticket, index, term } => {
-                if let Some(value) = self.proposed.remove(&ticket) {
-                    self.placed.insert((id, index, term), value);
+                if let Some(value) = self.proposals.remove(&ticket) {
+                    self.log_positions.insert((id, index, term), value);
                 }
             }
             Output::Rejected { ticket, .. } => {
-                self.proposed.remove(&ticket);
+                self.proposals.remove(&ticket);
                 self.reads.remove(&ticket);
             }
             Output::Apply(entries) => self.apply(id, entries),
@@ -120,13 +122,13 @@
                 }
             }
             Output::ReadReady { ticket, index } => {
-                self.reads_done += 1;
-                let floor = self.reads.remove(&ticket).unwrap_or(0);
-                if index < floor {
-                    self.fail(format!("a read at replica {id} missed entry {floor}"));
+                self.completed_reads += 1;
+                let min_index = self.reads.remove(&ticket).unwrap_or(0);
+                if index < min_index {
+                    self.set_violation(format!("a read at replica {id} missed entry {min_index}"));
                 }
             }
-            Output::RoleChanged => self.check_leader(id),
+            Output::RoleChanged => self.check_single_leader(id),
             _ => {}
         }
     }
@@ -138,7 +140,10 @@
                 continue;
             };
             if entry.index != running.applied + 1 {
-                return self.fail(format!("replica {id} skipped an entry before {}", entry.index));
+                return self.set_violation(format!(
+                    "replica {id} skipped an entry before {}",
+                    entry.index
+                ));
             }
             running.applied = entry.index;
             if entry.kind() == Kind::Change {
@@ -146,11 +151,11 @@
             }
             let first = self.applied.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
-                let what = format!("replica {id} applied another entry {}", entry.index);
-                return self.fail(what);
+                let violation = format!("replica {id} applied another entry {}", entry.index);
+                return self.set_violation(violation);
             }
-            let place = (id, entry.index, entry.term);
-            if let Some(value) = self.placed.remove(&place) {
+            let position = (id, entry.index, entry.term);
+            if let Some(value) = self.log_positions.remove(&position) {
                 self.accepted.insert(value, entry.index);
             }
             if entry.index % self.faults.snapshot_every == 0 {
@@ -165,8 +170,8 @@
         };
         let Some(head) = running.core.head_at(index) else { return };
         let data = encode(&running.values);
-        let saved = running.writer.save(&Snapshot { head: head.clone(), data: data.clone() });
-        if saved.is_ok_and(|saved| saved) {
+        let is_saved = running.writer.save(&Snapshot { head: head.clone(), data: data.clone() });
+        if is_saved.is_ok_and(|is_saved| is_saved) {
             let image = SnapshotImage { head, data: Arc::new(data) };
             self.input(id, Input::Compact(image));
         }
--- a/crates/pond-test/src/colocation.rs
+++ b/crates/pond-test/src/colocation.rs
@@ -1,8 +1,9 @@
-//! VMs that services and batch jobs share, in virtual time, with a stated harm matrix.
+//! A simulation, in virtual time, of services and batch jobs that share VMs.
 //!
-//! The scheduler and the replicated state are the real ones; workers are a few numbers: they start
-//! what is placed, report late, and slow services down as the matrix says. No messages and no
-//! clocks: what the scheduler plans is applied in the same step.
+//! The scheduler and the replicated state are the production code. Workers are modelled by a few
+//! numbers: they start placed tasks, report usage with a delay, and slow services down according to
+//! a given interference matrix. There are no messages and no clocks: the changes that the scheduler
+//! plans are applied in the same step.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,79 +13,81 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Time of one step, in milliseconds.
+/// Duration of a simulation step, in milliseconds.
 const STEP_MS: u64 = 500;
 
-/// Time between reports, in milliseconds.
-const REPORT_MS: u64 = 1_000;
+/// Interval between usage reports, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// Time that a move takes to checkpoint and stop, in milliseconds.
-const STOP_MS: u64 = 1_000;
+/// Time to checkpoint and stop a task, in milliseconds.
+const CHECKPOINT_AND_STOP_MS: u64 = 1_000;
 
-/// How a kind of batch job really behaves.
+/// Actual behaviour of a kind of batch job.
 #[derive(Clone, Copy, Debug)]
 pub struct JobProfile {
-    /// How long it runs at full speed, in milliseconds.
+    /// Run time at full speed, in milliseconds.
     pub run_ms: f64,
-    /// What it really uses of its declared size.
+    /// Actual resource usage as a fraction of the declared size.
     pub usage: f64,
-    /// It fails wherever it runs.
+    /// Whether the job fails on every VM.
     pub fails: bool,
 }
 
-/// What a case is made of.
+/// Definition of a simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// VMs.
+    /// VMs of the deployment.
     pub vms: Vec<Vm>,
-    /// Services.
+    /// Services of the deployment.
     pub services: Vec<Unit>,
-    /// How many jobs of each template are waiting at any time; a finished one is replaced.
+    /// Job templates with their actual behaviour and the number of unfinished jobs of each. A finished
+    /// job is replaced by a new one.
     pub jobs: Vec<(Unit, JobProfile, usize)>,
-    /// How much a kind of job slows a kind of service at full speed.
+    /// Slowdown of a service kind, as a fraction of its latency, by a job kind at full speed. Keyed by
+    /// service kind and job kind.
     pub interference: BTreeMap<(String, String), f64>,
-    /// Undisturbed 99th percentile of each service kind, in microseconds.
+    /// Undisturbed 99th percentile of the latency of each service kind, in microseconds.
     pub baseline_us: BTreeMap<String, f64>,
-    /// How late reports are, in milliseconds.
+    /// Delay of usage reports, in milliseconds.
     pub lag_ms: u64,
-    /// Load of the services over time, as a factor of latency.
+    /// Load of the services as a factor on latency, by elapsed milliseconds.
     pub load: fn(u64) -> f64,
-    /// Noise of batch jobs over time, as a factor of harm.
+    /// Noise of batch jobs as a factor on interference, by elapsed milliseconds.
     pub noise: fn(u64) -> f64,
-    /// A VM that fails every job.
+    /// Name of a VM on which every job fails.
     pub faulty_vm: Option<String>,
-    /// A rack that is lost at this time, in milliseconds.
+    /// Rack that fails, with the time of its failure in elapsed milliseconds.
     pub lost_rack: Option<(String, u64)>,
-    /// Deadline factor: share of declared run times within which jobs must end, by template.
+    /// Seed of the measurement noise.
     pub seed: u64,
 }
 
-/// What came of a run.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Latencies over all services and steps, as a share of the undisturbed one, in thousandths.
+    /// Latencies of all services in all steps, in thousandths of the undisturbed latency.
     pub latency_ratios: Vec<u32>,
-    /// Steps of services within their objective.
+    /// Number of service steps within the latency objective.
     pub within_objective: u64,
-    /// Steps of services.
+    /// Number of service steps.
     pub steps: u64,
-    /// Work of jobs that came to their end, in milliseconds of full speed.
+    /// Work of finished jobs, in milliseconds at full speed.
     pub finished_ms: f64,
-    /// All work done, in milliseconds of full speed.
+    /// Work of all jobs, in milliseconds at full speed.
     pub worked_ms: f64,
-    /// Jobs that came to their end.
+    /// Number of finished jobs.
     pub finished: u64,
-    /// Moves of jobs.
+    /// Number of moves of jobs.
     pub evictions: u64,
-    /// Work that was done twice, in milliseconds.
+    /// Work lost since the last checkpoint, in milliseconds.
     pub lost_ms: f64,
-    /// Jobs that ended after their deadline or are past it.
+    /// Number of jobs that finished after their deadline.
     pub missed_deadlines: u64,
-    /// Jobs with a deadline that ended in time.
+    /// Number of jobs that finished by their deadline.
     pub met_deadlines: u64,
-    /// VMs that were given more than they have, at any time.
+    /// Number of VM steps in which more was allocated than the VM has.
     pub overcommitted: u64,
-    /// Failed starts.
+    /// Number of failed runs.
     pub failures: u64,
 }
 
@@ -94,7 +97,7 @@
     stop_at: Option<u64>,
 }
 
-/// A run of a scene.
+/// Simulation of a scenario.
 pub struct Colocation {
     scenario: Scenario,
     /// The replicated state.
@@ -106,12 +109,12 @@
     templates: BTreeMap<String, usize>,
     next_job: u64,
     rng: SmallRng,
-    /// What came of it so far.
+    /// Results so far.
     pub outcome: Outcome,
 }
 
 impl Colocation {
-    /// A scene with a scheduler.
+    /// Creates a simulation of a scenario with a scheduler of the given tuning.
     pub fn new(scenario: Scenario, tuning: Tuning) -> Colocation {
         let rng = SmallRng::seed_from_u64(scenario.seed);
         let mut run = Colocation {
@@ -126,14 +129,14 @@
             outcome: Outcome::default(),
             scenario,
         };
-        run.begin();
+        run.setup();
         run
     }
 
-    fn begin(&mut self) {
+    fn setup(&mut self) {
         let at = Millis(self.now);
         self.state.apply(Change::Listed { at, vms: self.scenario.vms.clone() });
-        self.judge_all(Liveness::Live, |_| true);
+        self.set_liveness(Liveness::Live, |_| true);
         self.order(self.scenario.services.clone());
         for template in 0..self.scenario.jobs.len() {
             for _ in 0..self.scenario.jobs[template].2 {
@@ -142,9 +145,10 @@
         }
     }
 
-    fn judge_all(&mut self, liveness: Liveness, of: impl Fn(&Vm) -> bool) {
+    fn set_liveness(&mut self, liveness: Liveness, matches: impl Fn(&Vm) -> bool) {
         let at = Millis(self.now);
-        let keys: Vec<VmKey> = self.state.vms().filter(|vm| of(&vm.vm)).map(|vm| vm.key).collect();
+        let keys: Vec<VmKey> =
+            self.state.vms().filter(|vm| matches(&vm.vm)).map(|vm| vm.key).collect();
         for vm in keys {
             self.state.apply(Change::Judged { at, vm, liveness, why: String::new() });
         }
@@ -170,16 +174,16 @@
         self.templates.get(unit).map(|template| self.scenario.jobs[*template].1)
     }
 
-    /// Lets virtual time pass, in milliseconds.
+    /// Advances the simulation by `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += STEP_MS;
             self.lose_rack();
-            self.work();
+            self.run_tasks();
             self.measure();
             self.plan();
-            self.check();
+            self.check_allocation();
         }
     }
 
@@ -192,7 +196,7 @@
         if self.elapsed() < at || self.elapsed() >= at + STEP_MS {
             return;
         }
-        self.judge_all(Liveness::Suspect, |vm| vm.labels.get(Vm::RACK) == Some(&rack));
+        self.set_liveness(Liveness::Suspect, |vm| vm.labels.get(Vm::RACK) == Some(&rack));
         let lost = |vm: &Vm| vm.labels.get(Vm::RACK) == Some(&rack);
         let keys: Vec<TaskKey> = self
             .state
@@ -214,8 +218,8 @@
         self.state.apply(Change::Ended { at: Millis(self.now), task, end });
     }
 
-    /// Starts what was placed, lets jobs get on, ends what is at its end.
-    fn work(&mut self) {
+    /// Starts placed tasks, advances jobs, and stops tasks that are ending.
+    fn run_tasks(&mut self) {
         let keys: Vec<TaskKey> = self.state.tasks().map(|task| task.key).collect();
         for key in keys {
             let Some(task) = self.state.task(key).cloned() else { continue };
@@ -230,7 +234,7 @@
             if task.phase.ending() {
                 self.stop(key, &task);
             } else {
-                self.get_on(key, &task);
+                self.advance(key, &task);
             }
         }
     }
@@ -238,7 +242,7 @@
     fn stop(&mut self, key: TaskKey, task: &pond_state::Task) {
         let now = self.now;
         let Some(running) = self.running.get_mut(&key) else { return };
-        let at = *running.stop_at.get_or_insert(now + STOP_MS);
+        let at = *running.stop_at.get_or_insert(now + CHECKPOINT_AND_STOP_MS);
         if now < at {
             return;
         }
@@ -250,7 +254,7 @@
         self.end(key, End::Stopped { checkpoint });
     }
 
-    fn get_on(&mut self, key: TaskKey, task: &pond_state::Task) {
+    fn advance(&mut self, key: TaskKey, task: &pond_state::Task) {
         let Some(profile) = self.profile(&task.unit) else { return };
         let vm = self.state.vm(task.vm).map(|vm| vm.vm.name.clone());
         if profile.fails || (vm.is_some() && vm == self.scenario.faulty_vm) {
@@ -291,7 +295,7 @@
         }
     }
 
-    /// The true slowdown of a service on a VM.
+    /// Returns the actual slowdown factor of a service on a VM.
     fn slowdown(&self, service: &str, vm: VmKey) -> f64 {
         let noise = (self.scenario.noise)(self.elapsed());
         let mut slowdown = 1.0;
@@ -309,39 +313,39 @@
         slowdown
     }
 
-    /// Measures all tasks now; the scheduler hears of it after the lag.
+    /// Measures all tasks. The scheduler gets the reports after the delay of the scenario.
     fn measure(&mut self) {
         let load = (self.scenario.load)(self.elapsed());
-        let mut taken = Vec::new();
+        let mut measured = Vec::new();
         let tasks: Vec<_> = self.state.tasks().filter(|t| t.started.is_some()).cloned().collect();
         for task in tasks {
             let Some(unit) = self.state.unit(&task.unit).map(|record| record.unit.clone()) else {
                 continue;
             };
-            let uses = self.profile(&task.unit).map_or(0.7, |profile| profile.usage);
+            let usage = self.profile(&task.unit).map_or(0.7, |profile| profile.usage);
             let mut p99_us = None;
             if let Some(service) = unit.service() {
                 let kind = unit.kind_name();
-                let alone = self.scenario.baseline_us.get(kind).copied().unwrap_or(1000.0);
+                let baseline_us = self.scenario.baseline_us.get(kind).copied().unwrap_or(1000.0);
                 let ratio = self.slowdown(kind, task.vm) * load;
-                let noisy = alone * ratio * (1.0 + self.rng.random_range(-0.03..0.03));
-                p99_us = Some(noisy as u64);
+                let noisy_us = baseline_us * ratio * (1.0 + self.rng.random_range(-0.03..0.03));
+                p99_us = Some(noisy_us as u64);
                 self.outcome.latency_ratios.push((ratio / load * 1000.0) as u32);
                 self.outcome.steps += 1;
                 let objective = f64::from(service.p99_ms.unwrap_or(u32::MAX)) * 1000.0;
-                self.outcome.within_objective += u64::from(alone * ratio <= objective);
+                self.outcome.within_objective += u64::from(baseline_us * ratio <= objective);
             }
-            taken.push(Measured {
+            measured.push(Measured {
                 task: task.key,
                 at: Millis(self.now),
-                milli_cpu: (f64::from(task.size.milli_cpu) * uses) as u32,
-                memory_mib: (f64::from(task.size.memory_mib) * uses) as u32,
+                milli_cpu: (f64::from(task.size.milli_cpu) * usage) as u32,
+                memory_mib: (f64::from(task.size.memory_mib) * usage) as u32,
                 p99_us,
                 rate: None,
             });
         }
-        if self.now.is_multiple_of(REPORT_MS) {
-            self.reports.push_back((self.now + self.scenario.lag_ms, taken));
+        if self.now.is_multiple_of(REPORT_INTERVAL_MS) {
+            self.reports.push_back((self.now + self.scenario.lag_ms, measured));
         }
         while self.reports.front().is_some_and(|(due, _)| *due <= self.now) {
             if let Some((_, reports)) = self.reports.pop_front() {
@@ -362,39 +366,39 @@
         }
     }
 
-    fn check(&mut self) {
+    fn check_allocation(&mut self) {
         for vm in self.state.vms() {
-            let taken =
+            let allocated =
                 self.state.tasks_on(vm.key).fold(Size::default(), |sum, t| sum.plus(t.size));
-            self.outcome.overcommitted += u64::from(!taken.fits(vm.vm.size));
+            self.outcome.overcommitted += u64::from(!allocated.fits(vm.vm.size));
         }
     }
 
-    /// The decisions on a unit, as text.
+    /// Returns the decisions on a unit as text, one per line.
     pub fn explained(&self, unit: &str) -> String {
         let record = self.state.unit(unit);
         let decisions = record.into_iter().flat_map(|record| &record.decisions);
         decisions.map(|d| format!("{:?}: {}\n", d.action, d.why)).collect()
     }
 
-    /// Jobs that were given up.
+    /// Returns the number of jobs that were given up.
     pub fn given_up(&self) -> usize {
         let failed = |standing: &Standing| matches!(standing, Standing::Failed { .. });
         self.state.units().filter(|record| failed(&record.standing)).count()
     }
 
-    /// Failed runs on a VM.
+    /// Returns the number of failed runs.
     pub fn failures(&self) -> u64 {
         self.outcome.failures
     }
 }
 
 impl Outcome {
-    /// A quantile of the latencies, as a share of the undisturbed one.
+    /// Returns a quantile of the latencies, as a fraction of the undisturbed latency.
     pub fn latency_ratio(&mut self, quantile: f64) -> f64 {
         self.latency_ratios.sort_unstable();
-        let place = ((self.latency_ratios.len() as f64 * quantile) as usize)
+        let index = ((self.latency_ratios.len() as f64 * quantile) as usize)
             .min(self.latency_ratios.len() - 1);
-        f64::from(self.latency_ratios.get(place).copied().unwrap_or(0)) / 1000.0
+        f64::from(self.latency_ratios.get(index).copied().unwrap_or(0)) / 1000.0
     }
 }
--- a/crates/pond-test/src/config.rs
+++ b/crates/pond-test/src/config.rs
@@ -1,8 +1,8 @@
-//! Property tests that give the same verdict on every run.
+//! Configuration of deterministic property tests.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// A number of cases from a fixed seed, without files of earlier failures.
+/// Returns a configuration with `count` cases from a fixed seed and without a file of past failures.
 pub fn cases(count: u32) -> Config {
     Config {
         cases: count,
--- a/crates/pond-test/src/lib.rs
+++ b/crates/pond-test/src/lib.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests: replicas on disks that forget, schedules of failures, connections that fall
-//! silent, small units.
+//! Test support: a simulated cluster of quorum replicas with fault injection, the path of requests
+//! and co-located work in virtual time, a proxy that drops bytes, and sample units.
 
 mod blackhole;
 mod cluster;
--- a/crates/pond-test/src/request_path.rs
+++ b/crates/pond-test/src/request_path.rs
@@ -1,8 +1,8 @@
-//! The path of requests in virtual time: routers, admissions, and endpoints that are numbers.
+//! A simulation, in virtual time, of the path of requests from entries to endpoints.
 //!
-//! Entries and endpoint processes are the real cores; links are queues with a delay that can be
-//! cut, and endpoints answer after a time that a test sets. The same path serves the fault tables
-//! and the comparison of routing policies.
+//! The cores of entries and endpoint processes are the production code. Links are queues with a
+//! delay and can be cut, and endpoints answer after a time that the test sets. The fault tests and the
+//! comparison of routing policies use the same simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -16,52 +16,52 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The service that all endpoints belong to.
+/// Name of the service that all endpoints belong to.
 pub const SERVICE: &str = "service";
 
-/// Time between ticks of the cores, in microseconds.
+/// Interval between ticks of the cores, in microseconds.
 const TICK_US: u64 = 1000;
 
-/// How an endpoint behaves.
+/// Behaviour of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// Answers after about this many microseconds, exponentially spread.
+    /// Answers after an exponentially distributed time with this mean, in microseconds.
     Serve(u64),
-    /// Answers after exactly this many microseconds.
+    /// Answers after exactly this time, in microseconds.
     Exactly(u64),
-    /// Answers with status 500 after this many microseconds.
+    /// Answers with status 500 after this time, in microseconds.
     Fail(u64),
-    /// Cannot be connected to.
+    /// Refuses connections.
     Unreachable,
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     Silent,
-    /// Breaks the answer off after this many microseconds.
+    /// Aborts the answer after this time, in microseconds.
     Break(u64),
 }
 
-/// What a caller was told, and when.
+/// Reply to a caller.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// When it asked.
+    /// Time of the request.
     pub requested_at: Micros,
-    /// When it was told.
+    /// Time of the reply.
     pub at: Micros,
-    /// What.
+    /// Result of the request.
     pub finish: Finish,
 }
 
-/// Something that will happen.
+/// Kind of a scheduled event.
 #[derive(Debug, PartialEq)]
-enum Happening {
-    /// A frame reaches an entry.
-    ToEntry { entry: usize, process: usize, epoch: u64, body: Body },
-    /// A frame reaches an endpoint process.
-    ToProcess { process: usize, entry: usize, epoch: u64, body: Body },
-    /// An endpoint has answered.
-    Done { process: usize, life: u64, offer: OfferId, behaviour: Behaviour },
-    /// A link is made again.
+enum EventKind {
+    /// A frame arrives at an entry.
+    FrameToEntry { entry: usize, process: usize, epoch: u64, body: Body },
+    /// A frame arrives at an endpoint process.
+    FrameToProcess { process: usize, entry: usize, epoch: u64, body: Body },
+    /// An endpoint ends a request.
+    Done { process: usize, incarnation: u64, offer: OfferId, behaviour: Behaviour },
+    /// A link is established again.
     Relink { entry: usize, process: usize },
-    /// The time for the next ticks.
+    /// The cores tick.
     Tick,
 }
 
@@ -69,7 +69,7 @@
 struct Event {
     at: u64,
     number: u64,
-    what: Happening,
+    kind: EventKind,
 }
 
 impl Eq for Event {}
@@ -86,49 +86,49 @@
     }
 }
 
-/// One endpoint process with one endpoint behind it.
-struct Place {
+/// Endpoint process with one endpoint.
+struct Process {
     admission: Admission,
-    life: u64,
+    incarnation: u64,
     behaviour: Behaviour,
     alive: bool,
 }
 
-/// A link between an entry and a process; the epoch counts how often it was made.
+/// Link between an entry and a process. The epoch counts how often it was established.
 #[derive(Clone, Copy, Default)]
 struct Link {
     epoch: u64,
     up: bool,
 }
 
-/// Entries, endpoint processes and endpoints in virtual time.
+/// Simulation of entries, endpoint processes and endpoints.
 pub struct RequestPath {
     now: u64,
     events: BinaryHeap<Reverse<Event>>,
     next_event: u64,
     entries: Vec<Router>,
-    places: Vec<Place>,
+    processes: Vec<Process>,
     links: BTreeMap<(usize, usize), Link>,
-    keys: HashMap<(usize, ProcessKey), usize>,
+    indexes: HashMap<(usize, ProcessKey), usize>,
     rng: SmallRng,
     delay_us: u64,
     next_number: u64,
-    asked: HashMap<RequestId, (usize, Micros)>,
+    open_requests: HashMap<RequestId, (usize, Micros)>,
     claims: BTreeMap<String, RequestId>,
-    /// What callers were told.
+    /// Replies to callers.
     pub replies: BTreeMap<RequestId, Reply>,
-    /// How often each request was started at an endpoint.
+    /// Number of starts of each request at endpoints.
     pub runs: BTreeMap<RequestId, u32>,
-    /// Starts at each endpoint.
+    /// Number of starts at each endpoint.
     pub starts: Vec<u32>,
-    /// Offers that entries made.
+    /// Number of offers that entries made.
     pub offers: u64,
-    /// Whether control answers claims.
+    /// Whether control can answer claims.
     pub control_available: bool,
 }
 
 impl RequestPath {
-    /// `entries` entries and `endpoints` endpoints with `slots` slots each, all linked.
+    /// Creates `entries` entries and `endpoints` endpoints with `slots` slots each, all linked.
     pub fn new(
         entries: usize,
         endpoints: usize,
@@ -137,9 +137,9 @@
         seed: u64,
     ) -> RequestPath {
         let routers = (0..entries).map(|i| Router::new("near", tuning, seed + i as u64)).collect();
-        let place = |i: usize| Place {
+        let process = |i: usize| Process {
             admission: Admission::new(&address(i)),
-            life: 1,
+            incarnation: 1,
             behaviour: Behaviour::Serve(1000),
             alive: true,
         };
@@ -148,13 +148,13 @@
             events: BinaryHeap::new(),
             next_event: 0,
             entries: routers,
-            places: (0..endpoints).map(place).collect(),
+            processes: (0..endpoints).map(process).collect(),
             links: BTreeMap::new(),
-            keys: HashMap::new(),
+            indexes: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             delay_us: 50,
             next_number: 0,
-            asked: HashMap::new(),
+            open_requests: HashMap::new(),
             claims: BTreeMap::new(),
             replies: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -163,7 +163,7 @@
             control_available: true,
         };
         path.publish_view(1, slots, |_| false, |_| "near");
-        path.schedule(TICK_US, Happening::Tick);
+        path.schedule(TICK_US, EventKind::Tick);
         path.run_for(5 * TICK_US);
         path
     }
@@ -174,7 +174,7 @@
         self
     }
 
-    /// Puts a whole view in force at all entries and processes.
+    /// Publishes a complete view to all entries and processes.
     pub fn publish_view(
         &mut self,
         version: u64,
@@ -182,7 +182,7 @@
         leaving: impl Fn(usize) -> bool,
         centre: impl Fn(usize) -> &'static str,
     ) {
-        let endpoints = (0..self.places.len()).map(|i| view::Endpoint {
+        let endpoints = (0..self.processes.len()).map(|i| view::Endpoint {
             task: i as u64 + 1,
             service: SERVICE.to_owned(),
             process: address(i),
@@ -211,13 +211,13 @@
         for i in 0..self.entries.len() {
             self.entries[i].view(now, delta.clone());
         }
-        for i in 0..self.places.len() {
-            self.places[i].admission.view(now, delta.clone());
+        for i in 0..self.processes.len() {
+            self.processes[i].admission.view(now, delta.clone());
         }
-        self.carry_out();
+        self.handle_outputs();
     }
 
-    /// Limits the rate of the service at all entries.
+    /// Sets the rate limit of the service at all entries, in requests per second.
     pub fn set_rate(&mut self, version: u64, rate: u32) {
         self.put_service(version, rate, 0);
     }
@@ -248,27 +248,27 @@
         }
     }
 
-    /// Sets how an endpoint behaves from now on.
+    /// Sets the behaviour of an endpoint for requests that start from now on.
     pub fn set_behaviour(&mut self, endpoint: usize, behaviour: Behaviour) {
-        self.places[endpoint].behaviour = behaviour;
+        self.processes[endpoint].behaviour = behaviour;
     }
 
-    /// The admission of an endpoint's process.
+    /// Returns the admission core of an endpoint process.
     pub fn admission(&mut self, process: usize) -> &mut Admission {
-        &mut self.places[process].admission
+        &mut self.processes[process].admission
     }
 
-    /// The router of an entry.
+    /// Returns the router core of an entry.
     pub fn router(&mut self, entry: usize) -> &mut Router {
         &mut self.entries[entry]
     }
 
-    /// The time now.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Micros {
         Micros(self.now)
     }
 
-    /// A caller asks; the identity of its request.
+    /// Sends a request from a caller to an entry and returns its identifier.
     pub fn request(
         &mut self,
         entry: usize,
@@ -285,19 +285,19 @@
             key: key.to_owned(),
             body: id.number.to_be_bytes().to_vec(),
         };
-        self.asked.insert(id, (entry, now));
+        self.open_requests.insert(id, (entry, now));
         let deadline = now.plus_ms(deadline_ms);
         self.entries[entry].request(now, Request { id, content, repeatable, deadline });
-        self.carry_out();
+        self.handle_outputs();
         id
     }
 
-    /// What the caller of a request was told; none while it waits.
+    /// Returns the outcome reported to the caller of a request, or none while it waits.
     pub fn outcome(&self, id: RequestId) -> Option<Outcome> {
         self.replies.get(&id).map(|reply| reply.finish.outcome())
     }
 
-    /// Cuts the link between an entry and a process; it is made again after `wait` microseconds.
+    /// Cuts the link between an entry and a process for `wait` microseconds.
     pub fn cut_link(&mut self, entry: usize, process: usize, wait: u64) {
         let link = self.links.entry((entry, process)).or_default();
         if !link.up {
@@ -309,12 +309,13 @@
         if let Some(key) = self.key_of(entry, process) {
             self.entries[entry].link_down(now, key);
         }
-        self.places[process].admission.link_down(link_id(entry, epoch));
-        self.schedule(wait, Happening::Relink { entry, process });
-        self.carry_out();
+        self.processes[process].admission.link_down(link_id(entry, epoch));
+        self.schedule(wait, EventKind::Relink { entry, process });
+        self.handle_outputs();
     }
 
-    /// Cuts a link so that only the entry notices; the process still reads what was sent before.
+    /// Cuts a link for `wait` microseconds so that only the entry notices. The process does not learn of
+    /// the loss.
     pub fn cut_link_at_entry(&mut self, entry: usize, process: usize, wait: u64) {
         let link = self.links.entry((entry, process)).or_default();
         link.up = false;
@@ -322,41 +323,42 @@
         if let Some(key) = self.key_of(entry, process) {
             self.entries[entry].link_down(now, key);
         }
-        self.schedule(wait, Happening::Relink { entry, process });
-        self.carry_out();
+        self.schedule(wait, EventKind::Relink { entry, process });
+        self.handle_outputs();
     }
 
-    /// Kills an endpoint process; it starts again as another life after `wait` microseconds.
+    /// Kills an endpoint process, which restarts as a new incarnation. Its links are established again
+    /// after `wait` microseconds.
     pub fn kill(&mut self, process: usize, wait: u64) {
-        self.places[process].alive = false;
+        self.processes[process].alive = false;
         for entry in 0..self.entries.len() {
             self.cut_link(entry, process, wait);
         }
-        let place = &mut self.places[process];
-        place.life += 1;
-        place.admission = Admission::new(&address(process));
-        place.alive = true;
+        let state = &mut self.processes[process];
+        state.incarnation += 1;
+        state.admission = Admission::new(&address(process));
+        state.alive = true;
     }
 
-    /// Puts a frame to an entry as if it came from a process on the link as it is.
+    /// Delivers a frame to an entry as if a process had sent it on the current link.
     pub fn inject(&mut self, entry: usize, process: usize, body: Body) {
         let epoch = self.links.get(&(entry, process)).map_or(0, |link| link.epoch);
-        self.schedule(0, Happening::ToEntry { entry, process, epoch, body });
+        self.schedule(0, EventKind::FrameToEntry { entry, process, epoch, body });
     }
 
-    /// Lets time pass, in microseconds.
+    /// Advances the simulation by `us` microseconds.
     pub fn run_for(&mut self, us: u64) {
         let until = self.now + us;
         while self.events.peek().is_some_and(|Reverse(event)| event.at <= until) {
             let Some(Reverse(event)) = self.events.pop() else { break };
             self.now = event.at;
-            self.happen(event.what);
-            self.carry_out();
+            self.handle(event.kind);
+            self.handle_outputs();
         }
         self.now = until;
     }
 
-    /// Callers ask at random times, `rate` a second together, for `us` microseconds.
+    /// Runs for `us` microseconds with Poisson arrivals of `rate` requests per second in total.
     pub fn run_load(&mut self, rate: f64, us: u64, repeatable: bool, deadline_ms: u64) {
         let until = self.now + us;
         let mut entry = 0;
@@ -372,7 +374,7 @@
         }
     }
 
-    /// Latencies of the answers to requests asked since `since`, in order, in microseconds.
+    /// Returns the sorted latencies, in microseconds, of successful requests sent at or after `since`.
     pub fn latencies(&self, since: Micros) -> Vec<u64> {
         let answered = self.replies.values().filter(|reply| {
             reply.requested_at >= since
@@ -384,34 +386,34 @@
     }
 
     fn key_of(&self, entry: usize, process: usize) -> Option<ProcessKey> {
-        let found = self.keys.iter().find(|((e, _), p)| *e == entry && **p == process);
+        let found = self.indexes.iter().find(|((e, _), p)| *e == entry && **p == process);
         found.map(|((_, key), _)| *key)
     }
 
-    fn schedule(&mut self, after: u64, what: Happening) {
+    fn schedule(&mut self, after: u64, kind: EventKind) {
         self.next_event += 1;
-        let event = Event { at: self.now + after, number: self.next_event, what };
+        let event = Event { at: self.now + after, number: self.next_event, kind };
         self.events.push(Reverse(event));
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn handle(&mut self, kind: EventKind) {
         let now = Micros(self.now);
-        match what {
-            Happening::Tick => {
+        match kind {
+            EventKind::Tick => {
                 self.entries.iter_mut().for_each(|router| router.tick(now));
-                self.places.iter_mut().for_each(|place| place.admission.tick(now));
-                self.schedule(TICK_US, Happening::Tick);
+                self.processes.iter_mut().for_each(|process| process.admission.tick(now));
+                self.schedule(TICK_US, EventKind::Tick);
             }
-            Happening::Relink { entry, process } => self.relink(entry, process),
-            Happening::ToEntry { entry, process, epoch, body } => {
+            EventKind::Relink { entry, process } => self.relink(entry, process),
+            EventKind::FrameToEntry { entry, process, epoch, body } => {
                 let link = self.links.get(&(entry, process)).copied().unwrap_or_default();
                 if link.up && link.epoch == epoch {
                     self.reach_entry(entry, process, body);
                 }
             }
-            Happening::ToProcess { process, entry, epoch, body } => {
+            EventKind::FrameToProcess { process, entry, epoch, body } => {
                 let link = link_id(entry, epoch);
-                let admission = &mut self.places[process].admission;
+                let admission = &mut self.processes[process].admission;
                 match body {
                     Body::Offer(offer) => admission.offer(now, link, offer),
                     Body::Revoke(offer) => admission.revoke(link, offer),
@@ -419,19 +421,19 @@
                     _ => {}
                 }
             }
-            Happening::Done { process, life, offer, behaviour } => {
-                let place = &mut self.places[process];
-                if place.life != life {
+            EventKind::Done { process, incarnation, offer, behaviour } => {
+                let state = &mut self.processes[process];
+                if state.incarnation != incarnation {
                     return;
                 }
                 let body = offer.id.number.to_be_bytes().to_vec();
                 match behaviour {
                     Behaviour::Fail(_) => {
-                        place.admission.answered(now, offer, 500, String::new(), body);
+                        state.admission.answered(now, offer, 500, String::new(), body);
                     }
-                    Behaviour::Unreachable => place.admission.unreachable(now, offer),
-                    Behaviour::Break(_) => place.admission.broke(now, offer),
-                    _ => place.admission.answered(now, offer, 200, String::new(), body),
+                    Behaviour::Unreachable => state.admission.unreachable(now, offer),
+                    Behaviour::Break(_) => state.admission.broke(now, offer),
+                    _ => state.admission.answered(now, offer, 200, String::new(), body),
                 }
             }
         }
@@ -442,10 +444,10 @@
         link.epoch += 1;
         link.up = true;
         let epoch = link.epoch;
-        let (now, life) = (Micros(self.now), self.places[process].life);
-        self.places[process].admission.link_up(link_id(entry, epoch), entry as u64 + 100);
+        let (now, incarnation) = (Micros(self.now), self.processes[process].incarnation);
+        self.processes[process].admission.link_up(link_id(entry, epoch), entry as u64 + 100);
         if let Some(key) = self.key_of(entry, process) {
-            self.entries[entry].link_up(now, key, life);
+            self.entries[entry].link_up(now, key, incarnation);
         }
     }
 
@@ -463,22 +465,22 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn handle_outputs(&mut self) {
         loop {
-            let mut quiet = true;
+            let mut is_idle = true;
             for entry in 0..self.entries.len() {
                 for output in self.entries[entry].take_outputs() {
-                    quiet = false;
+                    is_idle = false;
                     self.entry_output(entry, output);
                 }
             }
-            for process in 0..self.places.len() {
-                for output in self.places[process].admission.take_outputs() {
-                    quiet = false;
+            for process in 0..self.processes.len() {
+                for output in self.processes[process].admission.take_outputs() {
+                    is_idle = false;
                     self.process_output(process, output);
                 }
             }
-            if quiet {
+            if is_idle {
                 return;
             }
         }
@@ -516,25 +518,25 @@
                 }
             }
             Output::Finish { id, finish } => {
-                if let Some((_, requested_at)) = self.asked.remove(&id) {
+                if let Some((_, requested_at)) = self.open_requests.remove(&id) {
                     self.replies.insert(id, Reply { requested_at, at: now, finish });
                 }
             }
             Output::Connect { process, address } => {
-                let place: usize = address.parse().unwrap_or(0);
-                self.keys.insert((entry, process), place);
-                self.relink(entry, place);
+                let index: usize = address.parse().unwrap_or(0);
+                self.indexes.insert((entry, process), index);
+                self.relink(entry, index);
             }
             Output::Disconnect { .. } => {}
         }
     }
 
     fn send(&mut self, entry: usize, process: ProcessKey, body: Body) -> bool {
-        let Some(place) = self.keys.get(&(entry, process)).copied() else { return false };
-        let link = self.links.get(&(entry, place)).copied().unwrap_or_default();
+        let Some(index) = self.indexes.get(&(entry, process)).copied() else { return false };
+        let link = self.links.get(&(entry, index)).copied().unwrap_or_default();
         if link.up {
-            let happening = Happening::ToProcess { process: place, entry, epoch: link.epoch, body };
-            self.schedule(self.delay_us, happening);
+            let kind = EventKind::FrameToProcess { process: index, entry, epoch: link.epoch, body };
+            self.schedule(self.delay_us, kind);
         }
         link.up
     }
@@ -543,16 +545,16 @@
         match output {
             AdmissionOutput::Send { link, body } => {
                 let (entry, epoch) = ((link >> 32) as usize, link & 0xffff_ffff);
-                let happening = Happening::ToEntry { entry, process, epoch, body };
-                self.schedule(self.delay_us, happening);
+                let kind = EventKind::FrameToEntry { entry, process, epoch, body };
+                self.schedule(self.delay_us, kind);
             }
             AdmissionOutput::Run(run) => self.start(process, &run),
         }
     }
 
     fn start(&mut self, process: usize, run: &Run) {
-        let behaviour = self.places[process].behaviour;
-        let life = self.places[process].life;
+        let behaviour = self.processes[process].behaviour;
+        let incarnation = self.processes[process].incarnation;
         if behaviour != Behaviour::Unreachable {
             *self.runs.entry(run.offer.id).or_default() += 1;
             self.starts[process] += 1;
@@ -566,16 +568,16 @@
             Behaviour::Silent => return,
         };
         let offer = run.offer;
-        self.schedule(after, Happening::Done { process, life, offer, behaviour });
+        self.schedule(after, EventKind::Done { process, incarnation, offer, behaviour });
     }
 }
 
-/// The address of a process is its number.
+/// Returns the address of a process, which is its number.
 fn address(process: usize) -> String {
     process.to_string()
 }
 
-/// The name of a link at a process: the entry and how often the link was made.
+/// Returns the identifier of a link at a process, made of the entry and the epoch.
 fn link_id(entry: usize, epoch: u64) -> u64 {
     ((entry as u64) << 32) | epoch
 }
--- a/crates/pond-test/src/sample.rs
+++ b/crates/pond-test/src/sample.rs
@@ -1,9 +1,9 @@
-//! Small units and VMs.
+//! Sample units and VMs.
 
 use pond_proto::{Job, Kind, Labels, Millis, Presence, Selector, Service, Size, Unit, Vm};
 use pond_state::Meta;
 
-/// A job of one processor and 1000 MiB.
+/// Returns a job with one processor and 1000 MiB.
 pub fn job(name: &str) -> Unit {
     Unit {
         name: name.to_owned(),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A service of one processor and 1000 MiB a replica.
+/// Returns a service with one processor and 1000 MiB per replica.
 pub fn service(name: &str, replicas: u32) -> Unit {
     let kind = Kind::Service(Service {
         replicas,
@@ -33,7 +33,7 @@
     Unit { kind, labels, priority: 100, ..job(name) }
 }
 
-/// A VM of four processors and 4000 MiB.
+/// Returns a VM with four processors and 4000 MiB.
 pub fn vm(name: &str) -> Vm {
     Vm {
         name: name.to_owned(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// An order of an operator under an identity.
+/// Returns the metadata of an order by an operator with the given request identity.
 pub fn meta(request: &str) -> Meta {
     Meta { who: "operator".to_owned(), at: Millis(1), request: request.to_owned(), expect: None }
 }
