--- a/crates/pond-link/src/config.rs
+++ b/crates/pond-link/src/config.rs
@@ -24,12 +24,12 @@
 
 impl Config {
     /// Creates a configuration with default limits and without a token.
-    pub fn new(role: Role, name: &str, data_centre: &str, life: Life) -> Config {
+    pub fn new(role: Role, name: &str, data_centre: &str, incarnation: Life) -> Config {
         let hello = Hello {
             version: VERSION,
             role: role as i32,
             name: name.to_owned(),
-            life: life.0,
+            life: incarnation.0,
             data_centre: data_centre.to_owned(),
             token: String::new(),
             address: String::new(),
--- a/crates/pond-platform/src/contract.rs
+++ b/crates/pond-platform/src/contract.rs
@@ -82,12 +82,12 @@
     }
 
     async fn stamp(&self) -> Result<Stamp, String> {
-        let order = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
-        let answer = self.platform.lease(self.worker, order).await;
+        let request = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
+        let answer = self.platform.lease(self.worker, request).await;
         answer.map(|answer| answer.stamp).map_err(|error| error.to_string())
     }
 
-    fn start_order(&self, stamp: Stamp, lease_ms: u64) -> Start {
+    fn start_request(&self, stamp: Stamp, lease_ms: u64) -> Start {
         Start {
             term: TERM,
             stamp,
@@ -101,42 +101,42 @@
         }
     }
 
-    async fn try_start(&self, task: TaskKey, order: Start) -> Result<TaskState, Error> {
-        let answer = self.platform.start(self.worker, task, order).await?;
+    async fn try_start(&self, task: TaskKey, request: Start) -> Result<TaskState, Error> {
+        let answer = self.platform.start(self.worker, task, request).await?;
         Ok(answer.status.state)
     }
 
     /// Starts a task and checks that it runs.
     async fn start_running(&self, task: TaskKey) -> Result<(), String> {
-        let order = self.start_order(self.stamp().await?, LEASE_MS);
-        let state = self.try_start(task, order).await.map_err(|error| error.to_string())?;
+        let request = self.start_request(self.stamp().await?, LEASE_MS);
+        let state = self.try_start(task, request).await.map_err(|error| error.to_string())?;
         expect(state == TaskState::Running, || format!("{state:?}"))
     }
 
     /// Returns the state and share of a task as listed in the next answer to a lease.
     async fn listed(&self, task: TaskKey) -> Result<Option<(TaskState, u32)>, String> {
-        let order = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
-        let answer = self.platform.lease(self.worker, order).await;
+        let request = Lease { term: TERM, stamp: None, lease_ms: LEASE_MS, tasks: Vec::new() };
+        let answer = self.platform.lease(self.worker, request).await;
         let tasks = answer.map_err(|error| error.to_string())?.tasks;
         let found = tasks.into_iter().find(|status| status.task == task);
         Ok(found.map(|status| (status.state, status.share)))
     }
 
     async fn stop(&self, task: TaskKey) -> Result<bool, String> {
-        let order = Stop { term: TERM, grace_ms: 0 };
-        let answer = self.platform.stop(self.worker, task, order).await;
+        let request = Stop { term: TERM, grace_ms: 0 };
+        let answer = self.platform.stop(self.worker, task, request).await;
         answer.map(|answer| answer.stopped).map_err(|error| error.to_string())
     }
 
     async fn stamp_of_other_incarnation(&self) -> Result<(), String> {
         let stamp = self.stamp().await?;
         let other_stamp = Stamp { incarnation: stamp.incarnation ^ 1, ms: stamp.ms };
-        let result = self.try_start(self.task(0), self.start_order(other_stamp, LEASE_MS)).await;
+        let result = self.try_start(self.task(0), self.start_request(other_stamp, LEASE_MS)).await;
         expect_refusal(result, RefusalCode::StaleStamp)
     }
 
     async fn stale_stamp(&self) -> Result<(), String> {
-        let result = self.try_start(self.task(0), self.start_order(self.stamp().await?, 0)).await;
+        let result = self.try_start(self.task(0), self.start_request(self.stamp().await?, 0)).await;
         expect_refusal(result, RefusalCode::StaleStamp)
     }
 
@@ -151,14 +151,14 @@
     }
 
     async fn too_large(&self) -> Result<(), String> {
-        let mut order = self.start_order(self.stamp().await?, LEASE_MS);
-        order.size = Size::new(u32::MAX / 2, 10, 0);
-        expect_refusal(self.try_start(self.task(2), order).await, RefusalCode::NoRoom)
+        let mut request = self.start_request(self.stamp().await?, LEASE_MS);
+        request.size = Size::new(u32::MAX / 2, 10, 0);
+        expect_refusal(self.try_start(self.task(2), request).await, RefusalCode::NoRoom)
     }
 
     async fn throttles(&self) -> Result<(), String> {
-        let order = Throttle { term: TERM, share: 30 };
-        let answer = self.platform.throttle(self.worker, self.task(1), order).await;
+        let request = Throttle { term: TERM, share: 30 };
+        let answer = self.platform.throttle(self.worker, self.task(1), request).await;
         answer.map_err(|error| error.to_string())?;
         let listed = self.listed(self.task(1)).await?;
         expect(listed == Some((TaskState::Running, 30)), || format!("{listed:?}"))
@@ -167,8 +167,8 @@
     async fn checkpoints(&self) -> Result<(), String> {
         let mut last = None;
         for _ in 0..2 {
-            let order = Checkpoint { term: TERM };
-            let answer = self.platform.checkpoint(self.worker, self.task(1), order).await;
+            let request = Checkpoint { term: TERM };
+            let answer = self.platform.checkpoint(self.worker, self.task(1), request).await;
             let checkpoint = answer.map_err(|error| error.to_string())?.checkpoint;
             let holds = checkpoint.is_some() && checkpoint >= last;
             expect(holds, || format!("{last:?} then {checkpoint:?}"))?;
@@ -190,28 +190,28 @@
     }
 
     async fn start_after_stop(&self) -> Result<(), String> {
-        let order = self.start_order(self.stamp().await?, LEASE_MS);
-        expect_refusal(self.try_start(self.task(1), order).await, RefusalCode::Ended)
+        let request = self.start_request(self.stamp().await?, LEASE_MS);
+        expect_refusal(self.try_start(self.task(1), request).await, RefusalCode::Ended)
     }
 
     async fn stop_before_start(&self) -> Result<(), String> {
         self.stop(self.task(3)).await?;
-        let order = self.start_order(self.stamp().await?, LEASE_MS);
-        expect_refusal(self.try_start(self.task(3), order).await, RefusalCode::Ended)
+        let request = self.start_request(self.stamp().await?, LEASE_MS);
+        expect_refusal(self.try_start(self.task(3), request).await, RefusalCode::Ended)
     }
 
     async fn no_task(&self) -> Result<(), String> {
-        let order = Throttle { term: TERM, share: 30 };
+        let request = Throttle { term: TERM, share: 30 };
         expect_refusal(
-            self.platform.throttle(self.worker, self.task(9), order).await,
+            self.platform.throttle(self.worker, self.task(9), request).await,
             RefusalCode::NoTask,
         )
     }
 
     /// Polls the worker until a short lease has expired.
     async fn expires(&self) -> Result<(), String> {
-        let order = self.start_order(self.stamp().await?, 200);
-        let started = self.try_start(self.task(4), order).await;
+        let request = self.start_request(self.stamp().await?, 200);
+        let started = self.try_start(self.task(4), request).await;
         started.map_err(|error| error.to_string())?;
         for _ in 0..100_000 {
             let listed = self.listed(self.task(4)).await?;
--- a/crates/pond-standin/src/server.rs
+++ b/crates/pond-standin/src/server.rs
@@ -85,11 +85,11 @@
         });
     }
 
-    async fn start(&self, task: TaskKey, order: Start) -> Result<StartAnswer, Refusal> {
-        let (slots, connections) = (order.slots, order.connections);
+    async fn start(&self, task: TaskKey, request: Start) -> Result<StartAnswer, Refusal> {
+        let (slots, connections) = (request.slots, request.connections);
         let (status, program) = {
             let mut worker = self.worker();
-            let status = worker.start(task, order)?;
+            let status = worker.start(task, request)?;
             let program = worker.tasks().get(&task).map(|hosted| hosted.program.clone());
             (status, program)
         };
@@ -116,16 +116,18 @@
     async fn task_call(&self, task: TaskKey, verb: &str, call: &Call) -> Reply {
         match verb {
             "start" => match parse::<Start>(call) {
-                Ok(order) => to_reply(self.start(task, order).await),
+                Ok(request) => to_reply(self.start(task, request).await),
                 Err(error) => bad_request(&error),
             },
-            "checkpoint" => {
-                handle_order(call, |order: Checkpoint| self.worker().checkpoint(task, order.term))
-            }
-            "throttle" => handle_order(call, |order: Throttle| -> Result<TaskStatus, Refusal> {
-                self.worker().throttle(task, order.term, order.share)
+            "checkpoint" => handle_request(call, |request: Checkpoint| {
+                self.worker().checkpoint(task, request.term)
             }),
-            "stop" => handle_order(call, |order| self.worker().stop(task, &order)),
+            "throttle" => {
+                handle_request(call, |request: Throttle| -> Result<TaskStatus, Refusal> {
+                    self.worker().throttle(task, request.term, request.share)
+                })
+            }
+            "stop" => handle_request(call, |request| self.worker().stop(task, &request)),
             _ => not_found(),
         }
     }
@@ -137,7 +139,7 @@
         match (&call.method, segments.as_slice()) {
             (&Method::GET, ["v1", "usage"]) => Reply::json(StatusCode::OK, &self.worker().usage()),
             (&Method::POST, ["v1", "lease"]) => {
-                handle_order(&call, |order: Lease| self.worker().lease(&order))
+                handle_request(&call, |request: Lease| self.worker().lease(&request))
             }
             (&Method::POST, ["v1", "tasks", task, verb]) => match task.parse() {
                 Ok(task) => self.task_call(TaskKey(task), verb, &call).await,
@@ -167,12 +169,12 @@
     }
 }
 
-fn handle_order<O: DeserializeOwned, T: Serialize>(
+fn handle_request<O: DeserializeOwned, T: Serialize>(
     call: &Call,
     execute: impl FnOnce(O) -> Result<T, Refusal>,
 ) -> Reply {
     match parse(call) {
-        Ok(order) => to_reply(execute(order)),
+        Ok(request) => to_reply(execute(request)),
         Err(error) => bad_request(&error),
     }
 }
--- a/crates/pond-standin/src/worker.rs
+++ b/crates/pond-standin/src/worker.rs
@@ -171,10 +171,10 @@
     }
 
     /// Renews the leases of the named tasks and returns the status of all tasks.
-    pub fn lease(&mut self, order: &Lease) -> Result<LeaseAnswer, Refusal> {
-        self.check_term(order.term)?;
-        if let Some(Ok(end)) = order.stamp.map(|stamp| self.lease_end(stamp, order.lease_ms)) {
-            for task in &order.tasks {
+    pub fn lease(&mut self, request: &Lease) -> Result<LeaseAnswer, Refusal> {
+        self.check_term(request.term)?;
+        if let Some(Ok(end)) = request.stamp.map(|stamp| self.lease_end(stamp, request.lease_ms)) {
+            for task in &request.tasks {
                 if let Some(hosted) = self.tasks.get_mut(task) {
                     hosted.lease_until = hosted.lease_until.max(end);
                 }
@@ -189,8 +189,8 @@
     /// # Errors
     /// If the term is outdated, the task was stopped before, the lease has expired, or resources
     /// are missing.
-    pub fn start(&mut self, task: TaskKey, order: Start) -> Result<TaskStatus, Refusal> {
-        self.check_term(order.term)?;
+    pub fn start(&mut self, task: TaskKey, request: Start) -> Result<TaskStatus, Refusal> {
+        self.check_term(request.term)?;
         if let Some(hosted) = self.tasks.get(&task) {
             return Ok(hosted.status(task));
         }
@@ -198,8 +198,8 @@
             let message = format!("{task} was stopped");
             return Err(Refusal { code: RefusalCode::Ended, message });
         }
-        let lease_until = self.lease_end(order.stamp, order.lease_ms)?;
-        let allocated_after = self.allocated().plus(order.size);
+        let lease_until = self.lease_end(request.stamp, request.lease_ms)?;
+        let allocated_after = self.allocated().plus(request.size);
         if !allocated_after.fits(self.size) {
             let message = format!("{} are taken of {}", self.allocated(), self.size);
             return Err(Refusal { code: RefusalCode::NoRoom, message });
@@ -210,14 +210,14 @@
             accelerators: self.peak.accelerators.max(allocated_after.accelerators),
         };
         let hosted = HostedTask {
-            program: Program::parse(&order.program),
+            program: Program::parse(&request.program),
             state: TaskState::Running,
             share: 100,
-            progress_ms: order.resume_from.unwrap_or(0) as f64,
-            checkpoint: order.resume_from,
+            progress_ms: request.resume_from.unwrap_or(0) as f64,
+            checkpoint: request.resume_from,
             endpoint: None,
             lease_until,
-            start: order,
+            start: request,
         };
         let status = hosted.status(task);
         self.tasks.insert(task, hosted);
@@ -260,8 +260,8 @@
     }
 
     /// Stops a task permanently, so that it can never be started again.
-    pub fn stop(&mut self, task: TaskKey, order: &Stop) -> Result<StopAnswer, Refusal> {
-        self.check_term(order.term)?;
+    pub fn stop(&mut self, task: TaskKey, request: &Stop) -> Result<StopAnswer, Refusal> {
+        self.check_term(request.term)?;
         let Some(hosted) = self.tasks.remove(&task) else {
             let checkpoint = *self.stopped.entry(task).or_default();
             return Ok(StopAnswer { stopped: true, checkpoint, ending: None });
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -413,7 +413,8 @@
         Millis((self.time - suspended_ms) * rate / 1000)
     }
 
-    /// Suspends the machine of a replica for `wait` milliseconds. Messages to it arrive when it resumes.
+    /// Suspends the machine of a replica for `wait` milliseconds. Messages to it arrive when it
+    /// resumes.
     pub fn suspend(&mut self, id: u64, wait: u64) {
         let (until, clocks_stop) = (self.time + wait, self.faults.clocks_stop);
         let Some(node) = self.nodes.get_mut(&id) else { return };
--- a/crates/pond-test/src/request_path.rs
+++ b/crates/pond-test/src/request_path.rs
@@ -314,8 +314,8 @@
         self.handle_outputs();
     }
 
-    /// Cuts a link for `wait` microseconds so that only the entry notices. The process does not learn of
-    /// the loss.
+    /// Cuts a link for `wait` microseconds so that only the entry notices. The process still receives
+    /// frames that were sent before.
     pub fn cut_link_at_entry(&mut self, entry: usize, process: usize, wait: u64) {
         let link = self.links.entry((entry, process)).or_default();
         link.up = false;
