--- a/crates/pond-job/src/job.rs
+++ b/crates/pond-job/src/job.rs
@@ -66,12 +66,12 @@
 }
 
 impl Task {
-    /// Whether the task still needs a worker.
+    /// Returns whether the task still needs a worker.
     pub fn is_pending(&self) -> bool {
         !self.done && self.worker.is_none()
     }
 
-    /// Whether the task may have crashed workers.
+    /// Returns whether the task may have crashed workers.
     pub fn is_suspect(&self) -> bool {
         self.suspicion.as_ref().is_some_and(|suspicion| suspicion.suspect)
     }
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Whether all steps before a step are done, in one occurrence of the job.
+    /// Returns whether all steps before a step are done, in one occurrence of the job.
     pub fn is_step_ready(&self, occurrence: usize, step: usize) -> bool {
         let (Some(steps), Some(spec)) = (self.times.get(occurrence), self.spec.steps.get(step))
         else {
--- a/crates/pond-job/src/lead/advice.rs
+++ b/crates/pond-job/src/lead/advice.rs
@@ -24,12 +24,13 @@
 /// must still reach the worker.
 const TICKET_MARGIN_DIVISOR: Span = 4;
 
-/// A step at one time of a job.
+/// A step in one occurrence of a job. A repeated job has several occurrences, any other job has
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepName {
     /// The job.
     pub job: u64,
-    /// Index of the time of the job.
+    /// Index of the occurrence of the job.
     pub time: u32,
     /// Index of the step.
     pub step: u32,
--- a/crates/pond-job/src/lead/candidate.rs
+++ b/crates/pond-job/src/lead/candidate.rs
@@ -32,8 +32,9 @@
 /// for a worker that already serves weighs more.
 const OVERLOAD_PENALTY: i64 = 10;
 
-/// Time after which a started run has shown whether it takes the worker down, in milliseconds. It
-/// covers the time to survive and, before that, the order, the call and the start.
+/// Time after which a started run has shown whether it takes the worker down at its start, in
+/// milliseconds. It consists of the startup window and 200 ms for the order, the call and the
+/// start.
 const START_OBSERVED_MS: Span = STARTUP_WINDOW_MS + 200;
 
 /// A worker as a candidate for tasks. State that depends only on its runs is rebuilt when one of
@@ -58,8 +59,8 @@
     reservations: Vec<(StepName, Size)>,
     /// Capacity occupied by runs that end by themselves.
     pub finite_size: Size,
-    /// Processors that are expected to be idle after the use of all tasks, best-effort tasks
-    /// included, in thousandths of a processor.
+    /// Processors that are expected to stay idle while all tasks run, best-effort tasks included,
+    /// in thousandths of a processor.
     pub idle_milli_cpu: i64,
     /// Serving runs on the worker.
     serving_runs: Vec<ServingRun>,
@@ -472,7 +473,8 @@
     (share * 100.0) as i64
 }
 
-/// Returns the processors that a busy task uses, in thousandths of a processor.
+/// Returns the processors that a task is expected to use while it is busy, in thousandths of a
+/// processor.
 fn expected_use(step: &Step) -> i64 {
     let requested = i64::from(step.milli_cpu);
     if step.serves() { requested * SERVING_USE_PERCENT / 100 } else { requested }
--- a/crates/pond-job/src/lead/cause.rs
+++ b/crates/pond-job/src/lead/cause.rs
@@ -3,10 +3,10 @@
 //! By Bayes' rule: a task that takes workers down would certainly have caused this loss. Otherwise
 //! the loss was caused by a task of another job that had just started there, or the worker crashed
 //! spontaneously at that moment. With `p` for each job that had just started there and `b` for the
-//! probability of a spontaneous crash in that time, the loss had the probability `1 - (1 - b) *
-//! product(1 - p)`, and each `p` is divided by it. If spontaneous crashes are rare, two losses of a
-//! task that started alone make it almost certainly the cause. If workers crash all the time, or
-//! several tasks started together, it takes more losses.
+//! probability of a spontaneous crash in that time, the loss had the probability
+//! `1 - (1 - b) * product(1 - p)`, and each `p` is divided by it. If spontaneous crashes are rare,
+//! two losses of a task that started alone make it almost certainly the cause. If workers crash all
+//! the time, or several tasks started together, it takes more losses.
 
 use std::collections::BTreeMap;
 
@@ -84,6 +84,7 @@
 }
 
 /// Returns the time window in which a spontaneous crash would look like this loss, in milliseconds.
+/// `judged_within_ms` is how long after its start a run counts as a possible cause.
 pub fn window_ms(alive_at_start: bool, judged_within_ms: Span) -> Span {
     if alive_at_start { judged_within_ms } else { judged_within_ms + MAX_OUTAGE_MS }
 }
--- a/crates/pond-job/src/lead/colocation.rs
+++ b/crates/pond-job/src/lead/colocation.rs
@@ -30,7 +30,8 @@
     row.percent == 100
 }
 
-/// Returns the share of a worker's processors, both in thousandths of a processor.
+/// Returns `milli_cpu` as a share of a worker with `of` processors, both in thousandths of a
+/// processor.
 pub(super) fn share(milli_cpu: u32, of: u32) -> f64 {
     f64::from(milli_cpu) / f64::from(of.max(1))
 }
--- a/crates/pond-job/src/lead/duration.rs
+++ b/crates/pond-job/src/lead/duration.rs
@@ -148,8 +148,8 @@
         self.jobs.get(queue).map(|mean| mean.sum / mean.weight)
     }
 
-    /// Returns the work of the counted tasks at a time of a job, in thousandths of a processor
-    /// times milliseconds.
+    /// Returns the work of the counted tasks in an occurrence of a job, in thousandths of a
+    /// processor times milliseconds.
     pub fn work(&self, job: &Job, time: usize, counts: impl Fn(&Task) -> bool) -> f64 {
         let steps = job.spec.steps.iter().zip(job.times.get(time).into_iter().flatten());
         let of_step = |(step, tasks): (&Step, &Vec<Task>)| {
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -315,7 +315,8 @@
         self.outputs.push(Output::Propose(Change::Ended { worker, ends, unstarted }));
     }
 
-    /// Updates the health of a worker from ends.
+    /// Updates the health of a worker from the ends of its runs and from runs that it did not
+    /// start, and records on which workers tasks failed.
     fn record_ends(
         &mut self,
         state: &State,
--- a/crates/pond-job/src/lead/interference.rs
+++ b/crates/pond-job/src/lead/interference.rs
@@ -15,8 +15,9 @@
 use crate::estimates::{self, Estimates};
 use crate::state::State;
 
-/// Best-effort tasks are placed only where the expected utilization stays this far below the
-/// target: loads grow by a few hundredths within the second until the next report.
+/// Best-effort tasks are placed only where the expected utilization stays this far below the one at
+/// which targets are missed: loads grow by a few hundredths within the second until the next
+/// report.
 const UTILIZATION_MARGIN: f64 = 0.05;
 
 /// A best-effort task that adds less than this to a utilization is not held back, however high
@@ -27,10 +28,11 @@
 /// its use remains.
 const USE_DECAY: f64 = 0.5;
 
-/// Assumed utilizations per share of the worker's processors. About half of all pairs of images do
-/// not interfere; the others add up to five times their share. Each worker sends about two reports
-/// per second, but the effect of one image on another hardly changes. Keeping the certainty lets
-/// more best-effort work finish in time.
+/// Prior assumptions about the utilization that best-effort images add, per share of the worker's
+/// processors. About half of all pairs of images do not interfere; the others add up to five times
+/// their share. Each worker sends about two reports per second, but the effect of one image on
+/// another hardly changes, so the variance grows slowly: estimates that stay certain let more
+/// best-effort work finish in time.
 const REGRESSION_TUNING: Tuning = Tuning { mean: 0.8, variance: 2.5, growth: 0.0001 };
 
 /// Learned interference, by the image of the serving tasks.
@@ -78,8 +80,8 @@
         budgets.iter().map(|budget| self.added(budget, share)).fold(0.0, f64::max)
     }
 
-    /// Returns by how much one more such task is expected to raise the utilization above the
-    /// target, for the serving tasks that are affected most.
+    /// Returns by how much the utilization with one more such task is expected to exceed what the
+    /// targets allow, as the maximum over the serving tasks.
     pub fn excess(&self, budgets: &[Budget], share: f64) -> f64 {
         let excess = |budget: &Budget| {
             budget.serving.load + (budget.added + self.added(budget, share)) - budget.allowed
@@ -276,8 +278,8 @@
         self.images.key(name)
     }
 
-    /// Returns by how much the utilization is expected to exceed the target for the serving tasks
-    /// that are affected most; negative while all meet their targets.
+    /// Returns by how much the utilization is expected to exceed what the targets allow, as the
+    /// maximum over the serving tasks; negative while all meet their targets.
     pub fn excess(&self, serving: &[ServingLoad], best_effort_tasks: &[BestEffort]) -> f64 {
         let excess = |serving: &ServingLoad| {
             let added = best_effort_tasks
@@ -337,8 +339,9 @@
         Impact { coefficients: self.models.iter().map(coefficient).collect() }
     }
 
-    /// Returns the indices of the best-effort tasks that must go for the serving tasks to meet
-    /// their targets, most harmful first and no more than necessary; empty if the targets are met.
+    /// Returns the indices of the best-effort tasks that must be removed for the serving tasks to
+    /// meet their targets, most harmful first and no more than necessary; empty if the targets are
+    /// met.
     pub fn culprits(
         &self,
         serving: &[ServingLoad],
@@ -353,7 +356,7 @@
             if serving.is_empty() || self.excess(serving, &remaining) <= limit {
                 return culprits;
             }
-            // If any must go, those that stay should leave the same margin as a placement.
+            // If any must be removed, the others should leave the same margin as after a placement.
             limit = -UTILIZATION_MARGIN;
             let Some(worst) = self.most_harmful(serving, &remaining) else { return culprits };
             culprits.push(indices.remove(worst));
--- a/crates/pond-job/src/lead/output.rs
+++ b/crates/pond-job/src/lead/output.rs
@@ -1,4 +1,5 @@
-//! Outputs of a leader, and the times that its decisions depend on.
+//! Outputs of a leader, and the times that its decisions depend on. The leader does no I/O itself;
+//! the shell, which is the code around it, carries out its outputs.
 
 use pond_proto::Span;
 use pond_proto::fleet::Order;
@@ -116,7 +117,7 @@
         /// Obstacles for the first of the tasks.
         obstacles: Obstacles,
     },
-    /// A task has waited too long because of mere estimates and is started nevertheless.
+    /// A task that only estimates kept waiting has waited too long and is started nevertheless.
     Forced {
         /// The run.
         run: RunName,
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -31,8 +31,8 @@
 use crate::job::Task;
 use crate::state::State;
 
-/// Capacity is ample while more than this share of it is free, in percent. Platforms consider half
-/// as ample, and the free share varies by a few percent.
+/// Capacity is ample while more than this share of it is free, in percent. Platforms consider it
+/// ample if at least half is free, and the free share varies by a few percent.
 const AMPLE_FREE_PERCENT: u64 = 40;
 
 /// Maximum number of forced tasks on a worker while jobs can wait for their turn. More of them
@@ -68,7 +68,8 @@
     max_forced: usize,
     /// Whether capacity that is reserved for others may be used.
     uses_reserved: bool,
-    /// Whether attempts may be risked.
+    /// Whether a task may be placed on an unhealthy worker even if a failure there costs one of its
+    /// last attempts.
     spends_attempts: bool,
 }
 
@@ -256,8 +257,8 @@
             admitted && candidate.forced < tolerance.max_forced && !lacking
         };
         let avoided = self.avoided.get(&task);
-        // A suspect is not isolated only if there is no other way, since all tasks that start
-        // together share the blame.
+        // A suspect starts next to other recent starts only if there is no other way, since all of
+        // them would share the blame for a loss.
         let unsuited = |candidate: &Candidate| {
             let failed = avoided.is_some_and(|avoided| avoided.contains(&candidate.incarnation));
             (candidate.closed() || (suspect && !candidate.isolates(group.id)), failed)
--- a/crates/pond-job/src/lead/plan.rs
+++ b/crates/pond-job/src/lead/plan.rs
@@ -89,9 +89,10 @@
         }
     }
 
-    /// Returns whether serving tasks have to wait, either for further ones to pack them together or
-    /// for workers that have not reported to this leader yet. Best-effort tasks wait with them: if
-    /// they took the workers in the meantime, they would have to move again within a second.
+    /// Returns whether serving tasks have to wait, either for further ones so that they are packed
+    /// together, or for workers that have not reported to this leader yet. Best-effort tasks wait
+    /// with them: if they took the workers in the meantime, they would have to move again within a
+    /// second.
     fn batches_serving(&mut self, state: &State, now: Millis, ready: &[Group<'_>]) -> bool {
         if ready.iter().all(|group| group.serving.is_none()) {
             self.batching_since = None;
--- a/crates/pond-job/src/lead/progress.rs
+++ b/crates/pond-job/src/lead/progress.rs
@@ -14,11 +14,13 @@
 /// A run without progress for this many tenths of its estimate is stalled.
 const STALL_ESTIMATE_TENTHS: u64 = 2;
 
-/// Limit for best-effort runs, in milliseconds. It is longer because they may be slowed down in
-/// favour of serving runs.
+/// A best-effort run without progress for this long is stalled, in milliseconds. The limit is
+/// longer because such runs may be slowed down in favour of serving runs. It also applies to any
+/// run that has completed its work but has not ended.
 const BEST_EFFORT_STALL_MS: Span = 6_000;
 
-/// A long-running run should be working after this time, in milliseconds.
+/// A long-running run that is not working yet is stalled after this time without progress, in
+/// milliseconds.
 const LONG_RUNNING_START_MS: Span = 5_000;
 
 /// Last reported progress of a run, and since when it has not changed.
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -13,7 +13,8 @@
 use crate::job::{Job, Task, critical_path_ms};
 use crate::state::State;
 
-/// A job is worthless if it ends later than this many times its span after it was due.
+/// A job is worthless if it ends later than this many times its span after it was due. The span is
+/// the time from when the job is due until when it should be done.
 const WORTHLESS_SPANS: u64 = 3;
 
 /// Share of a job's value that does not depend on its work, according to the users' specification.
@@ -25,7 +26,7 @@
     pub urgency: Urgency,
     /// Id of the job.
     pub id: u64,
-    /// Index of the time of the job.
+    /// Index of the occurrence of the job.
     pub time: usize,
     /// Index of the step.
     pub step_index: usize,
@@ -154,7 +155,8 @@
     Urgency { priority: job.priority, prospect, remaining, target_at }
 }
 
-/// Returns the remaining work at a time of a job relative to the value of the job, in hundredths.
+/// Returns the remaining work of an occurrence of a job relative to the value of the job, in
+/// hundredths.
 ///
 /// The value of a job depends on its work, and in part is the same for all jobs of its queue. So
 /// jobs that are nearly done are finished first, and of jobs that have not started the small ones
--- a/crates/pond-job/src/lead/suspect.rs
+++ b/crates/pond-job/src/lead/suspect.rs
@@ -83,7 +83,8 @@
         candidates: &mut [Candidate],
         starts: &mut Vec<Start>,
     ) {
-        let waiting = |group: &&Group<'_>| !group.step.gang && group.tasks().iter().any(waits);
+        let waiting =
+            |group: &&Group<'_>| !group.step.gang && group.tasks().iter().any(is_waiting_suspect);
         let mut groups: Vec<&Group<'_>> = ready.iter().filter(waiting).collect();
         if groups.is_empty() {
             return;
@@ -95,7 +96,9 @@
         groups.sort_by_key(|group| Reverse((most_suspicious(group), waited(group))));
         let mut slots = open_slots(candidates);
         for group in groups {
-            for (index, task) in group.tasks().iter().enumerate().filter(|(_, task)| waits(task)) {
+            for (index, task) in
+                group.tasks().iter().enumerate().filter(|(_, task)| is_waiting_suspect(task))
+            {
                 if starts.len() >= MAX_STARTS {
                     return;
                 }
@@ -232,7 +235,8 @@
     ) -> Option<Obstacles> {
         let placed = |task: TaskName| starts.iter().any(|start| start.run.task == task);
         let tasks = group.tasks().iter().enumerate();
-        let names = tasks.filter(|(_, task)| waits(task)).map(|(index, _)| group.task(index));
+        let names =
+            tasks.filter(|(_, task)| is_waiting_suspect(task)).map(|(index, _)| group.task(index));
         let name = names.into_iter().find(|name| !placed(*name))?;
         Some(self.obstacles(now, group, name, candidates))
     }
@@ -240,13 +244,13 @@
 
 /// Returns for how many losses the most suspicious waiting task of a group was a likely cause.
 fn most_suspicious(group: &Group<'_>) -> u32 {
-    let suspicions = group.tasks().iter().filter(|task| waits(task));
+    let suspicions = group.tasks().iter().filter(|task| is_waiting_suspect(task));
     let likely = suspicions.filter_map(|task| Some(task.suspicion.as_ref()?.likely));
     likely.max().unwrap_or(0)
 }
 
 /// Returns whether a task is a suspect that needs a worker.
-fn waits(task: &Task) -> bool {
+fn is_waiting_suspect(task: &Task) -> bool {
     task.is_pending() && task.is_suspect()
 }
 
--- a/crates/pond-job/src/lead/utilization.rs
+++ b/crates/pond-job/src/lead/utilization.rs
@@ -1,9 +1,9 @@
 //! Relation between the tail latency of a serving task and the utilization of its worker.
 //!
-//! Tail latencies grow as in a queue: at a spare share of `1 - utilization`, a task answers slower
-//! than on an idle worker by that factor. So tail latencies reveal little while there is spare time
-//! and rise steeply when hardly any is left. Utilizations, however, add up: the task's own load and
-//! a part from each best-effort run on the worker.
+//! Tail latencies grow as in a queue: the tail latency of a task is that on an idle worker divided
+//! by the spare share of time, `1 - utilization`. So tail latencies reveal little while there is
+//! spare time and rise steeply when hardly any is left. Utilizations, however, add up: the task's
+//! own load and a part from each best-effort run on the worker.
 
 /// Tail latencies cannot distinguish utilizations above this.
 pub const SATURATED_UTILIZATION: f64 = 0.95;
@@ -23,7 +23,8 @@
 /// reported.
 const MIN_TAIL_DEVIATION_MS: f64 = 0.5;
 
-/// Minimum standard deviation of a utilization; the tail latencies cover a changing half second.
+/// Minimum standard deviation of a utilization: each tail latency covers half a second in which the
+/// utilization changes.
 const MIN_UTILIZATION_DEVIATION: f64 = 0.03;
 
 /// Conversion between tail latencies and utilizations for the serving tasks of one image.
--- a/crates/pond-job/src/lead/worker.rs
+++ b/crates/pond-job/src/lead/worker.rs
@@ -13,7 +13,7 @@
 /// Orders about a run since the link was opened.
 #[derive(Clone, Copy, Debug)]
 pub struct Orders {
-    /// Whether the last order was to keep it running, as opposed to stopping it.
+    /// Whether the last order was to start or keep the run, as opposed to stopping it.
     pub keep_running: bool,
     /// When the last order was sent.
     pub at: Millis,
@@ -163,7 +163,7 @@
         self.rows.contains_key(&run) || self.ended.contains(&run)
     }
 
-    /// Stops sending orders for this incarnation.
+    /// Marks this incarnation as unreachable, so that it gets no more orders.
     pub fn disconnect(&mut self) {
         self.link = None;
         self.answers = false;
--- a/crates/pond-job/src/state/evacuation.rs
+++ b/crates/pond-job/src/state/evacuation.rs
@@ -9,7 +9,7 @@
 use crate::change::Reply;
 
 impl State {
-    /// Whether a data centre is evacuated, so that nothing is started in it.
+    /// Returns whether a data centre is evacuated, so that nothing is started in it.
     pub fn is_evacuated(&self, data_centre: &str) -> bool {
         self.evacuated.contains_key(data_centre)
     }
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -262,8 +262,8 @@
         Reply::Accepted
     }
 
-    /// Whether a job's specification is acceptable: steps depend only on earlier steps, and the number of tasks is
-    /// limited.
+    /// Returns whether a job's specification is acceptable: steps depend only on earlier steps, and the number of
+    /// tasks is limited.
     pub fn is_acceptable(spec: &Spec) -> bool {
         let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
         let tasks: usize = spec.steps.iter().map(|step| step.tasks as usize).sum();
--- a/crates/pond-job/src/suspicion.rs
+++ b/crates/pond-job/src/suspicion.rs
@@ -32,8 +32,8 @@
 /// Total number of losses below which a task is not given up, however probable it is as their cause.
 const MIN_LOSSES: u32 = 2;
 
-/// Probability, from 0 to 1, that a task crashes its workers at which it is given up. Giving up an innocent task
-/// costs its caller the whole job and is weighted like the loss of fifty more workers.
+/// A task is given up if it crashes its workers with at least this probability, from 0 to 1. Giving up an innocent
+/// task costs its caller the whole job and is weighted like the loss of fifty more workers.
 const GIVE_UP_PROBABILITY: f64 = 0.98;
 
 /// Number of losses after which a task is given up if one of them was conclusive or if it was the likely cause of
@@ -41,11 +41,11 @@
 /// given up in any case: users tolerate five starts.
 const MAX_LOSSES: u32 = 5;
 
-/// Where the probability that a task crashes its workers is known, from 0 to 1, the number of losses gives up the
+/// If the probability that a task crashes its workers is known, from 0 to 1, [`MAX_LOSSES`] losses give up the
 /// task only at or above this value.
 const EVEN_ODDS: f64 = 0.5;
 
-/// Number of losses, out of [`MAX_LOSSES`], that the task must be as likely to have caused as anything else.
+/// Number of losses, out of [`MAX_LOSSES`], of which the task must have been a likely cause.
 const LIKELY_LOSSES: u32 = 3;
 
 /// Number of losses after which a task that only ran on the lost workers becomes a suspect, even if other runs had
@@ -94,12 +94,12 @@
         self
     }
 
-    /// Whether the run had just begun, or it is unknown for how long it had run.
+    /// Returns whether the run had just begun, or it is unknown for how long it had run.
     pub fn just_begun(&self) -> bool {
         self.survived_ms < STARTUP_WINDOW_MS
     }
 
-    /// Whether the loss is reported to operators: the run may have taken the worker down.
+    /// Returns whether the loss is reported to operators: the run may have taken the worker down.
     pub fn is_reportable(&self) -> bool {
         self.verdict != Verdict::Beside || self.just_begun()
     }
@@ -153,7 +153,7 @@
         self.failed_starts += u32::from(self.losses >= MIN_LOSSES_IF_CONCLUSIVE);
     }
 
-    /// Whether the task is given up.
+    /// Returns whether the task is given up.
     ///
     /// Verdicts rate how likely the task caused each loss, based on what else went down and what was reported. If
     /// nothing is reported, losses could go on indefinitely. The number of starts of which none survived needs no
@@ -171,7 +171,7 @@
             || self.failed_starts >= MAX_LOSSES
     }
 
-    /// Whether the task was the likely cause of several losses, or had just begun at several.
+    /// Returns whether the task was a likely cause of several losses, or had just begun at several.
     pub fn is_repeat_suspect(&self) -> bool {
         self.likely.max(self.failed_starts) > 1
     }
