--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -150,7 +150,8 @@
         case.runs.iter().filter(|(lost, _)| is_active(state, lost.run)).filter_map(blame).collect()
     }
 
-    /// Collects the possible causes of a loss other than each task that had just started there.
+    /// Collects the possible causes of a loss: a spontaneous crash and the jobs whose tasks had just
+    /// started there.
     fn causes(&self, state: &State, now: Millis, case: &Case<'_>) -> Causes {
         let started = || case.runs.iter().filter(|(lost, ms)| just_started(state, lost.run, *ms));
         let attributable = case.uncorrelated
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -45,10 +45,10 @@
 /// place.
 pub(super) const MAX_WAIT_MS: Span = 2_000;
 
-/// Maximum time that a due job waits until the number of forced tasks on a worker allows one more,
-/// in milliseconds: with more jobs than places the wait would be unbounded. Together with the
-/// maximum wait it is half a second less than platforms tolerate, to leave time for a commit, an
-/// order and a start.
+/// Maximum time that a due job waits for a worker with fewer than [`MAX_FORCED`] forced tasks, in
+/// milliseconds: with more jobs than places the wait would be unbounded. Together with the maximum
+/// wait it is half a second less than platforms tolerate, to leave time for a commit, an order and
+/// a start.
 const MAX_TURN_WAIT_MS: Span = 500;
 
 /// Maximum wait while capacity is scarce, in milliseconds. Waiting is normal then, and a forced
