--- a/crates/pond-agent/src/core/answers.rs
+++ b/crates/pond-agent/src/core/answers.rs
@@ -10,8 +10,8 @@
 use crate::run::{Phase, Run};
 use crate::worker::{Answer, Call, Refusal, Reply};
 
-/// Number of start calls without an answer after which a run is given up. With the timeouts and the
-/// waits between the calls this takes about 3 s.
+/// Number of start calls that stay unanswered, or that an unhealthy worker refuses, after which a
+/// run is given up. With the timeouts and the waits between unanswered calls this takes about 3 s.
 const MAX_START_ATTEMPTS: u32 = 3;
 
 /// Time before an unanswered call is repeated, in milliseconds. It doubles each time, so that a
--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -14,7 +14,8 @@
 /// several seconds.
 const LIST_WAIT_MS: Span = 1_000;
 
-/// The same while best-effort and serving runs are co-located: their figures cover half a second.
+/// The same while best-effort and serving runs are co-located, in milliseconds. The pace of the
+/// best-effort runs depends on figures that cover half a second each.
 const SHORT_LIST_WAIT_MS: Span = 450;
 
 /// Time between reports while nothing changes, in milliseconds. The leader expects one per second.
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Handles a registration. Nothing is started after a draining worker has registered.
+    /// Handles a registration. Once the worker has registered as draining, nothing more is started.
     pub fn registered(&mut self, now: Millis, registration: Registration) {
         if self.ended.contains(&registration.incarnation)
             || self.mismatch(now, &registration).is_some()
--- a/crates/pond-agent/src/pacing.rs
+++ b/crates/pond-agent/src/pacing.rs
@@ -28,7 +28,7 @@
 
 /// Time of high tail latency after which all best-effort work is halted, in milliseconds. Platforms
 /// tolerate about 4 s. Up to 1 s of it passes before a high tail is first seen, and 0.5 s before
-/// the halt takes effect.
+/// the effect of the halt is visible.
 const HALT_AFTER_MS: Span = 2_200;
 
 /// Time between two steps down, in milliseconds: one new figure arrives in between.
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -15,7 +15,7 @@
     Starting {
         /// The start order.
         order: StartOrder,
-        /// Number of calls so far that got no answer.
+        /// Number of start calls so far that failed and were to be repeated.
         attempts: u32,
     },
     /// The worker has started it.
@@ -89,8 +89,8 @@
         self.confirmed_at.get_or_insert(now);
     }
 
-    /// Returns whether a later incarnation of the worker may still carry out a start call: no list
-    /// of this incarnation has shown the run, or more than one start call was made.
+    /// Returns whether a later incarnation of the worker may still carry out a start call: one was
+    /// made and no list of this incarnation has shown the run, or more than one was made.
     pub fn is_unresolved(&self) -> bool {
         self.start_calls > 1 || self.in_flight()
     }
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -122,8 +122,8 @@
     harness.order(Order { lease_end_ms: 55_000, ..Order::default() });
     harness.list(&[], &[]);
     harness.advance(60_000);
-    let list_id = harness.calls.iter().rev().find(|(_, call)| is_list(call));
-    assert!(matches!(list_id, Some((_, Call::List { lease_end_ms: 56_000, .. }))));
+    let last_list = harness.calls.iter().rev().find(|(_, call)| is_list(call));
+    assert!(matches!(last_list, Some((_, Call::List { lease_end_ms: 56_000, .. }))));
 }
 
 #[test]
@@ -370,7 +370,7 @@
     assert!(harness.gone().left);
 }
 
-/// A report from another sender may name an existing incarnation.
+/// A registration from another sender may name a known incarnation.
 #[test]
 fn registration_with_another_pool_or_address_does_not_change_an_incarnation() {
     let report_after = |change: fn(&mut Registration)| {
@@ -415,8 +415,8 @@
     assert_eq!(harness.last().milli_cpu, 1_000);
 }
 
-/// The leader counts leases by the worker's clock. After a clock far ahead it would see no
-/// progress.
+/// The leader counts leases by the worker's clock. If a clock far ahead were accepted, the worker's
+/// true clock would never appear to advance again.
 #[test]
 fn registration_with_a_clock_or_sequence_far_ahead_changes_nothing() {
     for (clock_ms, sequence) in [(u64::MAX, 2), (50_000 + 3_600_000, 2), (51_000, u64::MAX)] {
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -28,8 +28,9 @@
 /// The same after any number of unanswered calls: the answer timeout and the longest wait.
 const RETRY_MS: Span = 2_400;
 
-/// Time from a confirmed stop of a run that continues until the next call, in milliseconds. A stop
-/// takes 200 ms and is given 500 ms. Two answers come before it.
+/// Time from a confirmed stop until the stop is called again because the run continues, in
+/// milliseconds. A stop takes 200 ms and is given 500 ms. The answers to the stop and to the list
+/// after it take one step each.
 const STOP_REPEATED_WITHIN_MS: Span = 520;
 
 /// The longest lease in these tests, in milliseconds.
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -7,13 +7,14 @@
 use pond_proto::Span;
 use pond_proto::fleet::RunRow;
 use pond_proto::job::{How, Phase, RunName, Step};
-use support::{Harness, spec, step, task, terms};
+use support::{Harness, spec, step, task, timing};
 
 /// Time between the reports of an agent while nothing changes, in milliseconds.
 const REPORT_MS: Span = 900;
 
-/// Time between two orders to stop a run, in milliseconds, while reports show the run. The agent
-/// repeats its calls itself, so this covers lost orders. A report may come just too early.
+/// Longest time between two orders to stop a run, in milliseconds, while reports show the run. The
+/// agent repeats its calls itself, so this covers lost orders. The order is repeated with a report.
+/// A report may come just before the order is due, which leaves it to the next one.
 const REPEAT_MS: Span = 2 * REPORT_MS;
 
 /// The same for a run that is placed on the worker, whenever the reports come, in milliseconds.
@@ -398,7 +399,7 @@
     let mut harness = Harness::new();
     harness.submit_spec(1, spec(vec![step(3, 100), step(2, 100)]));
     harness.cancel(1);
-    harness.leader = Leader::new(9, terms(), harness.now);
+    harness.leader = Leader::new(9, timing(), harness.now);
     let runs: Vec<RunName> = [(0, 0), (0, 2), (1, 1)]
         .map(|(step, index)| RunName { task: task(1, step, index), number: 1 })
         .into();
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -16,7 +16,7 @@
     RunName { task: task(job, 0, index), number: 1 }
 }
 
-/// Returns the count of an obstacle in the last line about a job.
+/// Returns the count of an obstacle in the last decision that lets a job wait.
 fn obstacle_count(harness: &Harness, job: u64, kind: Obstacle) -> Option<usize> {
     harness.decisions.iter().rev().find_map(|decision| match decision {
         Decision::Waiting { job: about, obstacles, .. } if *about == job => {
--- a/crates/pond-job/tests/evacuations.rs
+++ b/crates/pond-job/tests/evacuations.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Whether faults and orders are over and nothing is evacuated.
+/// Returns whether faults and orders are over and nothing is evacuated.
 fn is_calm(simulation: &Simulation) -> bool {
     let evacuated = DATA_CENTRES.iter().any(|name| simulation.state.is_evacuated(name));
     !evacuated
--- a/crates/pond-job/tests/leases.rs
+++ b/crates/pond-job/tests/leases.rs
@@ -76,7 +76,7 @@
     let mut harness = Harness::new().with_vm("a", 1_000);
     harness.submit(1, vec![step(1, 500)]);
     harness.run_until_idle();
-    harness.leader = pond_job::Leader::new(8, support::terms(), harness.now);
+    harness.leader = pond_job::Leader::new(8, support::timing(), harness.now);
     let vm = harness.vms.remove("a").unwrap();
     harness.vms.insert("a2".to_owned(), vm);
     harness.report("a2");
--- a/crates/pond-job/tests/simulation/evacuation.rs
+++ b/crates/pond-job/tests/simulation/evacuation.rs
@@ -19,8 +19,8 @@
 /// The share of acknowledgements that are lost.
 const ACKS_LOST: f64 = 0.4;
 
-/// A machine counts as reachable once nothing has disturbed it for this long, in milliseconds. The
-/// accepted limit is 3 s or more.
+/// A machine counts as reachable once nothing has disturbed it for this long, in milliseconds.
+/// Users accept 3 s or more.
 const REACHABLE_MS: Span = 3_000;
 
 /// A worker that did not answer may carry out starts for this long, in milliseconds.
@@ -57,7 +57,7 @@
         self.evacuations.orders.entry(data_centre).or_insert(Order { evacuate, due });
     }
 
-    /// Whether an order has not been acknowledged.
+    /// Returns whether an order has not been acknowledged.
     pub fn has_pending_orders(&self) -> bool {
         !self.evacuations.orders.is_empty()
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether no run may start on a machine now.
+    /// Returns whether no run may start on a machine now.
     pub fn closed_to_starts(&self, i: usize) -> bool {
         let Evacuations { orders, acknowledged, disturbed, .. } = &self.evacuations;
         let name = self.machines[i].data_centre;
--- a/crates/pond-job/tests/simulation/fault.rs
+++ b/crates/pond-job/tests/simulation/fault.rs
@@ -1,4 +1,4 @@
-//! The faults, and their end.
+//! Faults, and how they start and end.
 
 use pond_job::State;
 use pond_proto::{Millis, Span};
--- a/crates/pond-job/tests/simulation/machine.rs
+++ b/crates/pond-job/tests/simulation/machine.rs
@@ -15,7 +15,7 @@
 struct Pending {
     incarnation: String,
     token: u64,
-    look: u64,
+    list_id: u64,
     call: Call,
     /// `None` for a list call, which is answered when it is due or when a run has ended.
     reply: Option<Reply>,
@@ -199,7 +199,7 @@
         workload: &Workload,
         incarnation: String,
         token: u64,
-        look: u64,
+        list_id: u64,
         call: Call,
     ) {
         let times_out_at = now + call.timeout_ms();
@@ -216,7 +216,7 @@
                 (None, _) => (Some(Reply::Unknown), times_out_at),
             },
         };
-        self.pending.push(Pending { incarnation, token, look, call, reply, due });
+        self.pending.push(Pending { incarnation, token, list_id, call, reply, due });
     }
 
     fn deliver_answers(&mut self, now: Millis, workload: &Workload) {
@@ -225,7 +225,7 @@
         let ready =
             |pending: &mut Pending| pending.due <= now || (pending.reply.is_none() && ended);
         let due: Vec<Pending> = self.pending.extract_if(.., ready).collect();
-        for Pending { incarnation, token, look, call, reply, .. } in due {
+        for Pending { incarnation, token, list_id, call, reply, .. } in due {
             let matching =
                 worker.filter(|worker| id_of(&worker.incarnation) == id_of(&incarnation));
             let reply = match (reply, matching) {
@@ -237,7 +237,7 @@
                 }
             };
             let clock_ms = matching.map(|worker| worker.clock_ms(now));
-            self.agent.answer(now, &incarnation, token, look, &call, Answer { clock_ms, reply });
+            self.agent.answer(now, &incarnation, token, list_id, &call, Answer { clock_ms, reply });
         }
     }
 }
--- a/crates/pond-job/tests/simulation/mod.rs
+++ b/crates/pond-job/tests/simulation/mod.rs
@@ -18,7 +18,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::support::{ADVISED, BATCH, HOST, PATH, configuration, terms};
+use crate::support::{ADVISED, BATCH, HOST, PATH, configuration, timing};
 use evacuation::{DATA_CENTRES, Evacuations};
 use fault::Fault;
 use machine::Machine;
@@ -311,7 +311,7 @@
             return;
         }
         self.term += 1;
-        let leader = Leader::new(self.term, terms(), self.now);
+        let leader = Leader::new(self.term, timing(), self.now);
         self.leader = Some(leader.with_estimates(self.state.estimates(), self.now));
     }
 
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -19,7 +19,7 @@
 const IN_FLIGHT_MS: Span = 100;
 
 /// In a full pool, waits of long-running tasks are measured from this long after a worker crash, in
-/// milliseconds. This is the accepted limit.
+/// milliseconds. Users accept that the pool takes this long to settle.
 const CRASH_SETTLING_MS: Span = 4_000;
 
 /// The number of decisions that are shown about a job that waits too long.
@@ -222,9 +222,9 @@
         waiting
     }
 
-    /// Whether all that remains of a job is placed on workers that are down. Until they are back,
-    /// or their leases expire, the leader cannot know that nothing of the job runs, and there is
-    /// nothing else of it to start.
+    /// Returns whether all that remains of a job is placed on workers that are down. Until they are
+    /// back, or their leases expire, the leader cannot know that nothing of the job runs, and there
+    /// is nothing else of it to start.
     fn is_placed_on_down_workers(&self, id: u64, job: &Job) -> bool {
         let down = self.machines.iter().filter(|machine| machine.worker.is_none());
         let down: Vec<String> = down.map(|machine| format!("{}-", machine.name)).collect();
@@ -253,7 +253,7 @@
         self.machines.iter().filter_map(|machine| machine.worker.as_ref())
     }
 
-    /// Whether less than half of the pool's resources are in use.
+    /// Returns whether less than half of the pool's resources are in use.
     fn half_free(&self) -> bool {
         let sum = |sum: Size, size: Size| sum.plus(size);
         let used = self.workers().map(Worker::used).fold(Size::default(), sum);
@@ -261,8 +261,8 @@
         used.milli_cpu * 2 < room.milli_cpu && used.memory_mib * 2 < room.memory_mib
     }
 
-    /// Whether twice the room is free that a task of a step needs, or that all tasks of a gang
-    /// need.
+    /// Returns whether twice the room is free that a task of a step needs, or that all tasks of a
+    /// gang need.
     fn fits_twice(&self, id: u64, step: &Step) -> bool {
         let needed = if step.gang { step.tasks } else { 1 };
         let allowed = self.workers().filter(|worker| self.workload.allows(id, &worker.incarnation));
@@ -382,7 +382,7 @@
     room.min(step.most_per_worker.saturating_sub(same_step.count() as u32))
 }
 
-/// Whether a decision is about a job.
+/// Returns whether a decision is about a job.
 fn concerns(decision: &Decision, id: u64) -> bool {
     match decision {
         Decision::Waiting { job, .. } => *job == id,
--- a/crates/pond-job/tests/simulation/workload.rs
+++ b/crates/pond-job/tests/simulation/workload.rs
@@ -58,7 +58,7 @@
         self.jobs.get(&task.job)?.spec.steps.get(task.step as usize)
     }
 
-    /// Whether the adviser allows a job on an incarnation of a worker.
+    /// Returns whether the adviser allows a job on an incarnation of a worker.
     pub fn allows(&self, id: u64, incarnation: &str) -> bool {
         let advised = self.jobs.get(&id).is_some_and(|submission| submission.advised);
         !advised || self.hash_fraction(&[id, hash(id_of(incarnation))]) < ALLOWED_SHARE
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -31,7 +31,7 @@
     milli_cpu: u32,
 }
 
-/// The serving run meets its target, and the agent has paused the best-effort runs.
+/// The serving run meets its target, and the agent has halted the best-effort runs.
 const IDLE: Figures = Figures { tail_ms: 6, milli_cpu: 0 };
 
 /// Advances the time by half a second: the worker starts what it was ordered to, its runs make
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -147,7 +147,7 @@
         self.machines[index].agent_restarted |= self.agents_crash;
     }
 
-    /// Whether a crashed worker will be back within this time.
+    /// Returns whether a crashed worker will be back within this time.
     pub fn is_back_within(&self, span: Span) -> bool {
         let soon = self.harness.now + span;
         let due = |machine: &Machine| machine.down.is_some_and(|(_, back)| back <= soon);
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -19,7 +19,7 @@
 pub const BATCH: &str = "/batch/";
 pub const ADVISED: &str = "/advised/";
 
-pub fn terms() -> Timing {
+pub fn timing() -> Timing {
     Timing { lease_ms: 6_000, drift_permille: 20, timer_slack_ms: 100, retention_ms: 60_000 }
 }
 
@@ -101,7 +101,7 @@
         let mut state = State::new();
         state.apply(Change::Configure(configuration(1)));
         let now = Millis(100_000);
-        let leader = Leader::new(7, terms(), Millis(now.0 - 2_000));
+        let leader = Leader::new(7, timing(), Millis(now.0 - 2_000));
         let (vms, decisions, proposals) = (BTreeMap::new(), Vec::new(), Vec::new());
         Harness { state, leader, now, vms, decisions, proposals, questions: Vec::new() }
     }
@@ -190,7 +190,7 @@
 
     /// Replaces the leader by another replica, which knows only the log.
     pub fn replace_leader(&mut self) {
-        let leader = Leader::new(8, terms(), self.now);
+        let leader = Leader::new(8, timing(), self.now);
         self.leader = leader.with_estimates(self.state.estimates(), self.now);
     }
 
--- a/crates/pond-job/tests/suspects.rs
+++ b/crates/pond-job/tests/suspects.rs
@@ -74,9 +74,10 @@
 /// other workers crashed at the same time.
 const COLOCATED_SEED: u64 = 385;
 
-/// Seeds in which an innocent task was given up, with all crashes reported and with hardly any
-/// reported.
+/// Seeds in which an innocent task was given up.
 const INNOCENT_SEEDS: [u64; 8] = [107, 117, 587, 725, 790, 982, 1006, 1846];
+
+/// The same where hardly anything is reported about lost workers.
 const UNREPORTED_INNOCENT_SEEDS: [u64; 2] = [141, 1642];
 
 /// Seeds in which a job waited for too long after the last fault.
@@ -104,14 +105,15 @@
 static OUTCOMES: LazyLock<Vec<Outcome>> =
     LazyLock::new(|| outcomes("SUSPECT_SEEDS", SEEDS, simulate));
 
-/// The same where hardly anything is reported about workers that crash under a task.
+/// The same where hardly anything is reported about workers that crash under a task, and with
+/// `COLOCATED_SEED` where it is.
 static UNREPORTED_OUTCOMES: LazyLock<Vec<Outcome>> = LazyLock::new(|| {
     let mut outcomes = outcomes("SUSPECT_SEEDS", SEEDS, simulate_unreported);
     outcomes.push(simulate(COLOCATED_SEED));
     outcomes
 });
 
-/// Whether workers crash only under tasks with this seed.
+/// Returns whether workers crash only under tasks with this seed.
 fn has_only_task_crashes(seed: u64) -> bool {
     seed.is_multiple_of(2)
 }
--- a/crates/pond-job/tests/unhealthy.rs
+++ b/crates/pond-job/tests/unhealthy.rs
@@ -90,7 +90,7 @@
     let mut harness = in_backoff();
     // Each probe fails, so that the backoff grows to its maximum.
     for job in [21, 22] {
-        // The backoff ends.
+        // Wait until the backoff is over.
         (0..10).for_each(|_| advance(&mut harness, &["a"]));
         harness.submit(job, vec![step(1, 1_000)]);
         let from = harness.now;
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -1,5 +1,5 @@
 //! How long a run may be placed without running when orders, stops, reports or proposals are lost
-//! or leaders change. Times are of the injected clock.
+//! or leaders change. All times are of the simulated clock.
 
 mod support;
 
@@ -7,9 +7,9 @@
 use pond_proto::Span;
 use pond_proto::fleet::EndRow;
 use pond_proto::job::{How, Phase, RunName, Step};
-use support::{Harness, step, task, terms};
+use support::{Harness, step, task, timing};
 
-/// Step of the injected clock, in milliseconds.
+/// Step of the simulated clock, in milliseconds.
 const STEP_MS: Span = 50;
 
 /// Time between reports of an agent without changes, in milliseconds.
@@ -195,7 +195,7 @@
 #[test]
 fn lost_end_counts_although_higher_ones_are_committed_first() {
     // Guards against an end that is never committed because its proposal was lost and a higher one
-    // was committed: the worker is ordered to drop it, and its task runs again. This happens if only
+    // was committed: the worker is told to forget it, and its task runs again. This happens if only
     // ends above the proposed ones are proposed while the state takes all ends up to the highest
     // committed one as known.
     let mut harness = Harness::new().with_vm("a", 1_000);
@@ -242,7 +242,7 @@
 fn lost_proposal_of_a_worker_loss_is_repeated_every_three_seconds() {
     let mut harness = running();
     harness.add_vm("b", 1_000);
-    let lease_over_ms = terms().lease_expiry_ms();
+    let lease_over_ms = timing().lease_expiry_ms();
     let lost = |change: &Change| matches!(change, Change::WorkerLost { .. });
     let proposed = |harness: &Harness| harness.proposals.iter().any(lost);
     let took = wait_until(&mut harness, 20_000, &["b"], lost, proposed);
@@ -352,7 +352,7 @@
         harness.report("a");
         harness.run_until_idle();
         harness.state = State::decode(&harness.state.encode().unwrap()).unwrap();
-        harness.leader = Leader::new(9, terms(), harness.now);
+        harness.leader = Leader::new(9, timing(), harness.now);
         harness.advance(1, &["a"]);
     }
     assert_eq!(harness.state.last_committed_end("a"), 1_200);
@@ -404,7 +404,7 @@
     harness.add_vm("b", 1_000);
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
-    let lease_over_ms = terms().lease_expiry_ms();
+    let lease_over_ms = timing().lease_expiry_ms();
     assert!(
         took.is_some_and(|took| (lease_over_ms..=lease_over_ms + 150).contains(&took)),
         "{took:?}"
@@ -420,7 +420,7 @@
     harness.replace_leader();
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
-    let lease_over_ms = terms().lease_expiry_ms();
+    let lease_over_ms = timing().lease_expiry_ms();
     assert!(
         took.is_some_and(|took| (lease_over_ms..=lease_over_ms + 150).contains(&took)),
         "{took:?}"
@@ -475,8 +475,8 @@
     assert_eq!((questions.len(), named), (1, incarnations.to_vec()));
 }
 
-/// Returns the log lines about runs that are not listed: the run, for how long, and how often it
-/// was ordered.
+/// Returns the decisions about runs that are not listed: the run, for how long it has been missing,
+/// in milliseconds, and how often it was ordered.
 fn absences(harness: &Harness) -> Vec<(RunName, Span, u32)> {
     let line = |decision: &Decision| match decision {
         Decision::Absent { run, absent_ms, orders, .. } => Some((*run, *absent_ms, *orders)),
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -48,7 +48,7 @@
     search: Search,
     /// Links that are open or being opened.
     links: BTreeMap<LinkKey, Link>,
-    terms: Arc<Config>,
+    config: Arc<Config>,
     events: mpsc::Sender<Event>,
     log: Logger,
 }
@@ -63,14 +63,14 @@
     /// Starts to search for the leader on the current runtime.
     pub fn start(
         addresses: Vec<String>,
-        terms: Config,
+        config: Config,
         events: mpsc::Sender<Event>,
         log: Logger,
         now: Millis,
     ) -> Uplink {
-        let terms = Arc::new(terms.with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
-        let search = Search::new(addresses, terms.hello.life, now);
-        let mut uplink = Uplink { search, links: BTreeMap::new(), terms, events, log };
+        let config = Arc::new(config.with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
+        let search = Search::new(addresses, config.hello.life, now);
+        let mut uplink = Uplink { search, links: BTreeMap::new(), config, events, log };
         uplink.execute();
         uplink
     }
@@ -183,7 +183,7 @@
             event!(self.log, LINK_REFUSED, "why" => format!("invalid address: {address}"));
             return;
         };
-        let task = tokio::spawn(dial(parsed, link, self.terms.clone(), self.events.clone()));
+        let task = tokio::spawn(dial(parsed, link, self.config.clone(), self.events.clone()));
         self.links.insert(link, Link { task, sender: None });
     }
 }
--- a/crates/pond-uplink/src/search.rs
+++ b/crates/pond-uplink/src/search.rs
@@ -310,8 +310,8 @@
         self.dial(now, replica);
     }
 
-    /// Returns whether one more link may be opened, if necessary after closing one that led
-    /// nowhere.
+    /// Returns whether one more link may be opened, if necessary after closing the least useful
+    /// one.
     fn make_room(&mut self, now: Millis) -> bool {
         self.links.len() < MAX_LINKS || self.close_least_useful(now, LEADERLESS_MS)
     }
@@ -322,11 +322,11 @@
     /// kind is closed first.
     fn close_least_useful(&mut self, now: Millis, leaderless_ms: Span) -> bool {
         let named = |found: &Link| self.named.is_some_and(|named| named.replica == found.replica);
-        let useless = |found: &Link| match found.up {
+        let can_close = |found: &Link| match found.up {
             false => now.since(found.since) >= FIRST_DIAL_WAIT_MS && !named(found),
             true => found.term < self.term || now.since(found.since) >= leaderless_ms,
         };
-        let found = self.links.iter().filter(|(_, found)| useless(found));
+        let found = self.links.iter().filter(|(_, found)| can_close(found));
         let first = found.min_by_key(|(_, found)| (found.up, found.term, found.since));
         let Some(first) = first.map(|(link, _)| *link) else { return false };
         let replica = &mut self.replicas[self.links[&first].replica];
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -40,9 +40,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot listen");
         let address = listener.local_addr().expect("no local address");
         let (sender, events) = mpsc::channel(QUEUE_LEN);
-        let terms = Config::new(Role::Control, "control", "here", Life(1))
+        let config = Config::new(Role::Control, "control", "here", Life(1))
             .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
-        tokio::spawn(accept(listener, Arc::new(terms), sender));
+        tokio::spawn(accept(listener, Arc::new(config), sender));
         Replica { address, events, lead, clients: Vec::new() }
     }
 
@@ -80,9 +80,9 @@
     /// Starts at the first address.
     fn start(addresses: &[SocketAddr]) -> Process {
         let (events, links) = mpsc::channel(QUEUE_LEN);
-        let terms = Config::new(Role::Entry, "entry", "here", Life(0));
+        let config = Config::new(Role::Entry, "entry", "here", Life(0));
         let addresses = addresses.iter().map(SocketAddr::to_string).collect();
-        let uplink = Uplink::start(addresses, terms, events, pond_log::silent(), Millis(0));
+        let uplink = Uplink::start(addresses, config, events, pond_log::silent(), Millis(0));
         Process { uplink, links, start: Instant::now() }
     }
 
@@ -159,7 +159,7 @@
 /// repeated request arrives and is answered. `others` are further replicas that the process starts
 /// from.
 async fn check_recovery(
-    swallowed: Blackhole,
+    blackhole: Blackhole,
     others: &[SocketAddr],
     proxy: BlackholeProxy,
     mut leader: Replica,
@@ -168,37 +168,37 @@
     let first = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 1))
         .await
         .expect("not within the limit");
-    proxy.drop_bytes(swallowed);
+    proxy.drop_bytes(blackhole);
     // The process cannot know yet that the request or its reply gets lost.
     assert!(process.send_request(2));
-    if swallowed == Blackhole::FromServer {
+    if blackhole == Blackhole::FromServer {
         assert_eq!(leader.next_request().await, (first, 2));
         leader.send_reply(first, 2);
     }
     let second = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 2)).await;
-    assert_ne!(second.expect("not within the limit"), first, "{swallowed:?}");
+    assert_ne!(second.expect("not within the limit"), first, "{blackhole:?}");
     let third = timeout(RECOVERY_LIMIT, exchange(&mut process, &mut leader, 3)).await;
     third.expect("not within the limit");
 }
 
 #[tokio::test]
 async fn link_to_the_only_replica_is_restored() {
-    for swallowed in Blackhole::ALL {
+    for blackhole in Blackhole::ALL {
         let leader = Replica::start(leading()).await;
         let proxy = BlackholeProxy::start(leader.address).await;
-        check_recovery(swallowed, &[], proxy, leader).await;
+        check_recovery(blackhole, &[], proxy, leader).await;
     }
 }
 
 #[tokio::test]
 async fn leader_is_found_again_through_another_replica() {
-    for swallowed in Blackhole::ALL {
+    for blackhole in Blackhole::ALL {
         let leader = Replica::start(leading()).await;
         let proxy = BlackholeProxy::start(leader.address).await;
         let follows = Lead { leader: proxy.address().to_string(), ..Lead::default() };
         let mut other = Replica::start(follows).await;
         let address = other.address;
         tokio::spawn(async move { other.next_request().await });
-        check_recovery(swallowed, &[address], proxy, leader).await;
+        check_recovery(blackhole, &[address], proxy, leader).await;
     }
 }
--- a/crates/pond-uplink/tests/simulation/mod.rs
+++ b/crates/pond-uplink/tests/simulation/mod.rs
@@ -39,7 +39,7 @@
 const BUSY_MS: Span = 30;
 
 /// Number of dials that its accept queue holds meanwhile. Further dials get no answer.
-const QUEUE: usize = 128;
+const ACCEPT_QUEUE_LEN: usize = 128;
 
 /// A scenario.
 #[derive(Clone, Copy, Debug)]
@@ -116,7 +116,7 @@
     elected: Millis,
     /// The replica that leads after the fault.
     new_leader: usize,
-    /// Dials queued there while it is busy.
+    /// Number of dials queued at the new leader while it is busy.
     queued: usize,
 }
 
@@ -257,7 +257,7 @@
             replica == self.new_leader && now >= self.elected && now < self.elected + BUSY_MS;
         if busy && !self.scenario.reset {
             self.queued += 1;
-            return match self.queued <= QUEUE {
+            return match self.queued <= ACCEPT_QUEUE_LEN {
                 true => (self.elected + BUSY_MS, Event::Up(link)),
                 false => (now + SILENCE_MS, Event::Down(link)),
             };
