--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -1,6 +1,6 @@
 //! Measures three control replicas on the loopback interface with real disk syncs.
 //!
-//! `cargo bench -p pond-control --bench control` writes the tables of docs/MEASUREMENTS.md.
+//! `cargo bench -p pond-control --bench control` prints the tables of docs/MEASUREMENTS.md.
 
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -234,14 +234,16 @@
     let (events, mut happened) = mpsc::channel(65_536);
     let mut key = 0;
     for node in 0..FOLLOWERS {
-        let terms =
+        let link_config =
             Config::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
-        let terms = terms.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
-        let terms = Arc::new(
-            terms.with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT),
+        let link_config =
+            link_config.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
+        let link_config = Arc::new(
+            link_config
+                .with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT),
         );
         for replica in &replicas {
-            tokio::spawn(dial(replica.internal, LinkKey(key), terms.clone(), events.clone()));
+            tokio::spawn(dial(replica.internal, LinkKey(key), link_config.clone(), events.clone()));
             key += 1;
         }
     }
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -124,13 +124,13 @@
         let address = internal.local_addr().map(|address| address.to_string());
         let token = read_token(settings)?;
         let limits = settings.limits;
-        let terms =
+        let link_config =
             Config::new(Role::Control, &settings.name, &settings.data_centre, Life::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_address(&address.unwrap_or_default())
                 .with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
                 .with_token(&token);
-        let terms = Arc::new(terms);
+        let link_config = Arc::new(link_config);
         // There is one link for each pair of replicas: the one whose name sorts first dials.
         let dialled: Vec<SocketAddr> = settings
             .replicas
@@ -142,10 +142,10 @@
         self.threads.spawn("links", move || async move {
             let (events, mut queue) = mpsc::channel(MAX_LINK_EVENTS);
             let Ok(listener) = tokio::net::TcpListener::from_std(internal) else { return };
-            tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
+            tokio::spawn(pond_link::accept(listener, link_config.clone(), events.clone()));
             for (i, address) in dialled.into_iter().enumerate() {
                 let link = LinkKey(i as u64);
-                tokio::spawn(pond_link::dial(address, link, terms.clone(), events.clone()));
+                tokio::spawn(pond_link::dial(address, link, link_config.clone(), events.clone()));
             }
             drop(events);
             while let Some(event) = queue.recv().await {
--- a/crates/pond-control/src/reconcile/reconciler/work.rs
+++ b/crates/pond-control/src/reconcile/reconciler/work.rs
@@ -149,15 +149,14 @@
         is_drained: &dyn Fn(&str, u64) -> Option<bool>,
     ) {
         let process = record.vm.endpoint_process.as_deref();
-        let is_drained = match process.filter(|_| task.endpoint.is_some()) {
+        let drained = match process.filter(|_| task.endpoint.is_some()) {
             None => true,
             Some(process) => is_drained(process, task.key.0).unwrap_or(false),
         };
-        if !is_drained && wall.since(task.since) < self.times.drain_ms {
+        if !drained && wall.since(task.since) < self.times.drain_ms {
             return;
         }
-        let why =
-            if is_drained { "it has finished its requests" } else { "it drained for too long" };
+        let why = if drained { "it has finished its requests" } else { "it drained for too long" };
         let decision = Decision::new(wall, Action::Stop, why).with_vm(&record.vm.name);
         self.propose(task.key, Change::Steer { at: wall, task: task.key, decision });
     }
--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -43,8 +43,8 @@
     pub name: String,
     /// The names and operator addresses of all replicas.
     pub replicas: Vec<pond_settings::Replica>,
-    /// Writes the durable files; it holds letters back until the writes that they depend on are
-    /// durable.
+    /// Writes the durable files; it holds messages to other replicas back until the writes that they
+    /// depend on are durable.
     pub writer: Writer<Letter>,
     /// The contents that were recovered from them.
     pub recovered: Recovered,
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Flushes pending writes, then sends the letters that depend on them. While the disk is full,
+    /// Flushes pending writes, then sends the messages that depend on them. While the disk is full,
     /// this replica abstains.
     fn write(&mut self) -> Result<(), pond_store::Error> {
         let was_full = self.parts.writer.full();
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -33,7 +33,7 @@
         let listener = listen(endpoint.internal)?;
         let address = listener.local_addr().unwrap_or(endpoint.internal);
         let limits = settings.limits;
-        let terms =
+        let link_config =
             Config::new(Role::Endpoint, &settings.name, &settings.data_centre, Life::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_address(&address.to_string())
@@ -47,7 +47,7 @@
             let inputs = Inputs {
                 listener,
                 replicas,
-                terms,
+                link_config,
                 stop: stopped,
                 stop_timeout: Duration::from_millis(limits.stop_ms),
                 max_answer_bytes: limits.body_bytes,
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -35,7 +35,7 @@
     /// The control replicas.
     pub replicas: Vec<Replica>,
     /// Identity of this process and limits of its links.
-    pub terms: Config,
+    pub link_config: Config,
     /// Requests a graceful shutdown.
     pub stop: oneshot::Receiver<()>,
     /// Longest duration of a graceful shutdown.
@@ -66,14 +66,14 @@
 /// Serves entries until a shutdown is requested and all offers have ended, or the shutdown takes too
 /// long.
 pub async fn run(inputs: Inputs) {
-    let Inputs { listener, replicas, terms, mut stop, stop_timeout, max_answer_bytes, log } =
+    let Inputs { listener, replicas, link_config, mut stop, stop_timeout, max_answer_bytes, log } =
         inputs;
-    let own_address = terms.hello.address.clone();
-    let terms = Arc::new(terms);
+    let own_address = link_config.hello.address.clone();
+    let link_config = Arc::new(link_config);
     let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
     let (results, mut completed) = mpsc::channel(MAX_QUEUED_RESULTS);
-    let control = Control::start(&replicas, &terms, &events, log.clone());
-    tokio::spawn(accept(listener, terms, events));
+    let control = Control::start(&replicas, &link_config, &events, log.clone());
+    tokio::spawn(accept(listener, link_config, events));
     let mut serve = Serve {
         admission: Admission::new(&own_address),
         control,
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -40,9 +40,10 @@
         let listener = listen(entry.callers)?;
         let address = listener.local_addr().unwrap_or(entry.callers);
         let limits = settings.limits;
-        let terms = Config::new(Role::Entry, &settings.name, &settings.data_centre, Life::random())
-            .with_limits(limits.frame_bytes, limits.link_queue)
-            .with_token(&read_token(settings)?);
+        let link_config =
+            Config::new(Role::Entry, &settings.name, &settings.data_centre, Life::random())
+                .with_limits(limits.frame_bytes, limits.link_queue)
+                .with_token(&read_token(settings)?);
         let metrics =
             Metrics::start(settings.metrics, "entry").map_err(|source| Error::Thread { source })?;
         let (sender, submissions) = mpsc::channel(MAX_QUEUED);
@@ -57,7 +58,7 @@
             max_body_bytes: limits.body_bytes,
         };
         process.start_callers(listener, limits, caller)?;
-        process.start_router(settings, terms, submissions, metrics)?;
+        process.start_router(settings, link_config, submissions, metrics)?;
         event!(process.log, STARTED, "callers" => address.to_string());
         Ok(process)
     }
@@ -86,13 +87,13 @@
     fn start_router(
         &mut self,
         settings: &Settings,
-        terms: Config,
+        link_config: Config,
         submissions: mpsc::Receiver<Submission>,
         metrics: Metrics,
     ) -> Result<(), Error> {
         let log = self.log.clone();
         let replicas = settings.replicas.clone();
-        let inputs = Inputs { replicas, terms, submissions, log, metrics };
+        let inputs = Inputs { replicas, link_config, submissions, log, metrics };
         self.threads.spawn("route", move || route::run(inputs))
     }
 
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -45,7 +45,7 @@
     /// The control replicas.
     pub replicas: Vec<Replica>,
     /// Identity of this process and limits of its links.
-    pub terms: Config,
+    pub link_config: Config,
     /// Requests from the callers' thread. The entry stops when the channel is closed.
     pub submissions: mpsc::Receiver<Submission>,
     /// The logger.
@@ -66,7 +66,7 @@
     router: Router,
     control: Control,
     links: BTreeMap<LinkKey, ProcessLink>,
-    terms: Arc<Config>,
+    link_config: Arc<Config>,
     events: mpsc::Sender<Event>,
     waiting: HashMap<RequestId, oneshot::Sender<(RequestId, Finish)>>,
     next_number: u64,
@@ -77,16 +77,17 @@
 
 /// Routes requests until `submissions` is closed and the last request has ended.
 pub async fn run(inputs: Inputs) {
-    let Inputs { replicas, terms, mut submissions, log, metrics } = inputs;
-    let terms = Arc::new(terms);
+    let Inputs { replicas, link_config, mut submissions, log, metrics } = inputs;
+    let link_config = Arc::new(link_config);
     let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
-    let control = Control::start(&replicas, &terms, &events, log.clone());
-    let router = Router::new(&terms.hello.data_centre, Tuning::default(), terms.hello.life);
+    let control = Control::start(&replicas, &link_config, &events, log.clone());
+    let router =
+        Router::new(&link_config.hello.data_centre, Tuning::default(), link_config.hello.life);
     let mut route = Route {
         router,
         control,
         links: BTreeMap::new(),
-        terms,
+        link_config,
         events,
         waiting: HashMap::new(),
         next_number: 0,
@@ -125,7 +126,7 @@
     fn submit(&mut self, submission: Submission) {
         let now = self.now();
         self.next_number += 1;
-        let id = RequestId { life: self.terms.hello.life, number: self.next_number };
+        let id = RequestId { life: self.link_config.hello.life, number: self.next_number };
         self.waiting.insert(id, submission.reply);
         let request = Request {
             id,
@@ -252,8 +253,8 @@
 
     fn connect(&mut self, process: ProcessKey, address: &str) {
         let Ok(address) = address.parse() else { return };
-        let (terms, events) = (self.terms.clone(), self.events.clone());
-        let dial_task = tokio::spawn(dial(address, link_key(process), terms, events));
+        let (link_config, events) = (self.link_config.clone(), self.events.clone());
+        let dial_task = tokio::spawn(dial(address, link_key(process), link_config, events));
         self.links.insert(link_key(process), ProcessLink { process, sender: None, dial_task });
     }
 
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -55,17 +55,18 @@
     /// Starts connecting to all replicas, on the current Tokio runtime.
     pub fn start(
         replicas: &[Replica],
-        terms: &Arc<Config>,
+        link_config: &Arc<Config>,
         events: &mpsc::Sender<Event>,
         log: Logger,
     ) -> Control {
-        let slow = terms.as_ref().clone().with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
-        let terms = Arc::new(slow);
+        let with_slow_heartbeat =
+            link_config.as_ref().clone().with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
+        let link_config = Arc::new(with_slow_heartbeat);
         let mut peers = BTreeMap::new();
         for (i, replica) in replicas.iter().enumerate() {
             let link = LinkKey(i as u64);
             let address = replica.internal;
-            tokio::spawn(dial(address, link, terms.clone(), events.clone()));
+            tokio::spawn(dial(address, link, link_config.clone(), events.clone()));
             let (address, name) = (address.to_string(), replica.name.clone());
             peers.insert(link, Peer { address, name, sender: None });
         }
--- a/crates/pond-http/src/call.rs
+++ b/crates/pond-http/src/call.rs
@@ -16,7 +16,7 @@
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// Address of the sender, if a server received the request and the connection still had one.
+    /// Address of the sender. `None` in a client, and in a server if the sender disconnected at once.
     pub peer: Option<SocketAddr>,
 }
 
--- a/crates/pond-http/src/stall.rs
+++ b/crates/pond-http/src/stall.rs
@@ -15,9 +15,10 @@
 const STALL_TIMEOUT: Duration = Duration::from_millis(6_500);
 
 /// Size of the kernel's send buffer of a connection, in bytes; the kernel doubles it for its own
-/// overhead. It reports progress only once a third of the buffer is free again: with the megabytes it
-/// uses by default on fast links, a caller that reads 100 kB a second would seem stalled. The size
-/// also limits the memory for slow callers: 4,096 of them use at most half a gigabyte, instead of 16.
+/// overhead. The kernel reports progress only once a third of the buffer is free again. With its
+/// default buffers of several megabytes on fast links, a caller that reads 100 kB a second would seem
+/// stalled. The size also limits the memory for slow callers: 4,096 of them use at most half a
+/// gigabyte, instead of 16.
 const SEND_BUFFER_BYTES: usize = 64 << 10;
 
 /// A connection whose writes fail when the peer accepts nothing for [`STALL_TIMEOUT`].
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -26,8 +26,8 @@
     pub policy: PolicyKind,
     /// Share of the requests that may be sent a second time, as a retry or hedge (0 to 1).
     pub retry_share: f64,
-    /// Maximum number of attempts of a repeatable request whose endpoints fail. Refused offers are
-    /// made again regardless of it.
+    /// Number of offers after which a repeatable request is not retried when its endpoint fails.
+    /// Refused offers count, but a refused request is offered again regardless of the limit.
     pub attempts: u32,
     /// Whether slow repeatable requests are hedged, that is, sent to a second endpoint.
     pub hedge: bool,
--- a/crates/pond-sched/benches/colocation.rs
+++ b/crates/pond-sched/benches/colocation.rs
@@ -1,6 +1,6 @@
 //! Compares schedulers on the two example installations, in virtual time.
 //!
-//! `cargo bench -p pond-sched --bench colocation [-- CASE]` writes the tables of docs/MEASUREMENTS.md.
+//! `cargo bench -p pond-sched --bench colocation [-- CASE]` prints the tables of docs/MEASUREMENTS.md.
 
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
     Unit { kind, size, ..job(name) }
 }
 
-fn truth(run_ms: u64) -> JobProfile {
+fn profile(run_ms: u64) -> JobProfile {
     JobProfile { run_ms: run_ms as f64, usage: 0.8, fails: false }
 }
 
@@ -52,7 +52,7 @@
 /// queries. Decoding photos slows down the first, comparing them the second; combinations without
 /// interference exist.
 fn matching() -> Scenario {
-    let harm = [
+    let interference = [
         (("counter-query", "decode"), 0.35),
         (("counter-query", "compare"), 0.02),
         (("counter-query", "index"), 0.01),
@@ -75,21 +75,21 @@
         jobs: vec![
             (
                 a_job("decode", Size::new(8_000, 24_000, 0), 8 * MINUTE, Some(60 * MINUTE)),
-                truth(8 * MINUTE),
+                profile(8 * MINUTE),
                 12,
             ),
             (
                 a_job("compare", Size::new(8_000, 30_000, 0), 12 * MINUTE, Some(90 * MINUTE)),
-                truth(12 * MINUTE),
+                profile(12 * MINUTE),
                 12,
             ),
             (
                 a_job("index", Size::new(4_000, 10_000, 0), 5 * MINUTE, Some(60 * MINUTE)),
-                truth(5 * MINUTE),
+                profile(5 * MINUTE),
                 12,
             ),
         ],
-        interference: owned_pairs(&harm),
+        interference: owned_pairs(&interference),
         baseline_us: BTreeMap::from([
             ("counter-query".to_owned(), 15_000.0),
             ("status".to_owned(), 8_000.0),
@@ -106,7 +106,7 @@
 /// Ledgerline: ten VMs of 16 processors, each with checkouts, which schedule rebuilds slow down. No
 /// VM is free of checkouts, so moving work does not help.
 fn ledgerline() -> Scenario {
-    let harm = [
+    let interference = [
         (("checkout", "rebuild"), 0.30),
         (("checkout", "report"), 0.10),
         (("checkout", "export"), 0.03),
@@ -117,31 +117,31 @@
         jobs: vec![
             (
                 a_job("rebuild", Size::new(6_000, 20_000, 0), 10 * MINUTE, Some(60 * MINUTE)),
-                truth(10 * MINUTE),
+                profile(10 * MINUTE),
                 8,
             ),
             (
                 a_job("report", Size::new(4_000, 10_000, 0), 6 * MINUTE, Some(60 * MINUTE)),
-                truth(6 * MINUTE),
+                profile(6 * MINUTE),
                 10,
             ),
             (
                 a_job("export", Size::new(2_000, 8_000, 0), 4 * MINUTE, Some(60 * MINUTE)),
-                truth(4 * MINUTE),
+                profile(4 * MINUTE),
                 10,
             ),
         ],
-        interference: owned_pairs(&harm),
+        interference: owned_pairs(&interference),
         baseline_us: BTreeMap::from([("checkout".to_owned(), 10_000.0)]),
         ..matching()
     }
 }
 
-fn owned_pairs(harm: &[((&str, &str), f64)]) -> BTreeMap<(String, String), f64> {
-    let pair = |((service, job), harm): &((&str, &str), f64)| {
-        ((service.to_string(), job.to_string()), *harm)
+fn owned_pairs(interference: &[((&str, &str), f64)]) -> BTreeMap<(String, String), f64> {
+    let pair = |((service, job), interference): &((&str, &str), f64)| {
+        ((service.to_string(), job.to_string()), *interference)
     };
-    harm.iter().map(pair).collect()
+    interference.iter().map(pair).collect()
 }
 
 /// Load that rises and falls by a tenth with a period of half an hour.
@@ -154,26 +154,29 @@
     if ms % (10 * MINUTE) < 2 * MINUTE { 3.0 } else { 1.0 }
 }
 
-fn cases(scene: &Scenario) -> Vec<(&'static str, Scenario)> {
+fn cases(scenario: &Scenario) -> Vec<(&'static str, Scenario)> {
     let scale = |factor: f64| {
-        let mut scene = scene.clone();
-        for (_, truth, _) in &mut scene.jobs {
-            truth.run_ms *= factor;
-            truth.usage = (truth.usage * factor).min(1.0);
+        let mut scenario = scenario.clone();
+        for (_, profile, _) in &mut scenario.jobs {
+            profile.run_ms *= factor;
+            profile.usage = (profile.usage * factor).min(1.0);
         }
-        scene
+        scenario
     };
     let lost = Some(("rack-1".to_owned(), 40 * MINUTE));
     vec![
-        ("quiet", scene.clone()),
-        ("day load", Scenario { load: day, ..scene.clone() }),
-        ("noisy waves", Scenario { noise, ..scene.clone() }),
+        ("quiet", scenario.clone()),
+        ("day load", Scenario { load: day, ..scenario.clone() }),
+        ("noisy waves", Scenario { noise, ..scenario.clone() }),
         ("run times 4x too short", scale(0.25)),
         ("run times 4x too long", scale(4.0)),
-        ("reports 30 s late", Scenario { lag_ms: 30_000, ..scene.clone() }),
-        ("reports 60 s late", Scenario { lag_ms: 60_000, ..scene.clone() }),
-        ("a VM fails everything", Scenario { faulty_vm: Some("vm-3".to_owned()), ..scene.clone() }),
-        ("a rack is lost", Scenario { lost_rack: lost.clone(), ..scene.clone() }),
+        ("reports 30 s late", Scenario { lag_ms: 30_000, ..scenario.clone() }),
+        ("reports 60 s late", Scenario { lag_ms: 60_000, ..scenario.clone() }),
+        (
+            "a VM fails everything",
+            Scenario { faulty_vm: Some("vm-3".to_owned()), ..scenario.clone() },
+        ),
+        ("a rack is lost", Scenario { lost_rack: lost.clone(), ..scenario.clone() }),
         (
             "all at once",
             Scenario {
@@ -182,7 +185,7 @@
                 lag_ms: 30_000,
                 faulty_vm: Some("vm-3".to_owned()),
                 lost_rack: lost,
-                ..scene.clone()
+                ..scenario.clone()
             },
         ),
     ]
@@ -208,26 +211,27 @@
     // An argument selects the cases whose names contain it; without one, all cases run.
     let wanted = std::env::args().skip(1).find(|word| !word.starts_with('-'));
     let wanted = wanted.unwrap_or_default();
-    for (name, scene) in [("Found Property Matching", matching()), ("Ledgerline", ledgerline())] {
+    for (name, scenario) in [("Found Property Matching", matching()), ("Ledgerline", ledgerline())]
+    {
         println!("\n### {name}\n");
         println!(
             "| case | scheduler | p50 | p99 | within objective | batch h/h | evictions | work \
              lost min | deadlines met | failed runs |"
         );
         println!("|---|---|---|---|---|---|---|---|---|---|");
-        for (case, scene) in cases(&scene) {
+        for (case, scenario) in cases(&scenario) {
             if !case.contains(&wanted) {
                 continue;
             }
             for (scheduler, tuning) in schedulers() {
-                row(case, scheduler, scene.clone(), tuning);
+                row(case, scheduler, scenario.clone(), tuning);
             }
         }
     }
 }
 
-fn row(case: &str, scheduler: &str, scene: Scenario, tuning: Tuning) {
-    let mut run = Colocation::new(scene, tuning);
+fn row(case: &str, scheduler: &str, scenario: Scenario, tuning: Tuning) {
+    let mut run = Colocation::new(scenario, tuning);
     run.run(RUN_MS);
     let mut outcome = run.outcome.clone();
     assert_eq!(outcome.overcommitted, 0, "a VM was given too much");
--- a/crates/pond-sched/benches/placement.rs
+++ b/crates/pond-sched/benches/placement.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of a placement for several numbers of VMs and tasks.
 //!
-//! `cargo bench -p pond-sched --bench placement` writes the table of docs/MEASUREMENTS.md.
+//! `cargo bench -p pond-sched --bench placement` prints the table of docs/MEASUREMENTS.md.
 
 use std::time::Instant;
 
--- a/crates/pond-sched/src/plan.rs
+++ b/crates/pond-sched/src/plan.rs
@@ -457,10 +457,10 @@
     ) -> Option<Change> {
         let unit = record.unit.name.clone();
         self.unplaceable.insert(unit.clone(), Unplaceable { room: self.room(state), at: now });
-        let inputs = matches!(record.standing, Standing::Aside { .. })
+        let already_recorded = matches!(record.standing, Standing::Aside { .. })
             && record.decisions.back().is_some_and(|last| last.why == why);
         let decision = Decision::new(now, Action::SetAside, why);
-        (!inputs).then_some(Change::SetAside { at: now, unit, decision })
+        (!already_recorded).then_some(Change::SetAside { at: now, unit, decision })
     }
 }
 
--- a/crates/pond-sched/src/throttle.rs
+++ b/crates/pond-sched/src/throttle.rs
@@ -186,11 +186,11 @@
         let protected = self.protected(inputs, vm.key, &colocated);
         let worst = protected.iter().max_by(|a, b| latency_ratio(a).total_cmp(&latency_ratio(b)));
         let Some(worst) = worst else { return Vec::new() };
-        let latency_ratio = latency_ratio(worst);
-        if latency_ratio > self.tuning.throttle_above {
+        let ratio = latency_ratio(worst);
+        if ratio > self.tuning.throttle_above {
             return self.slow(interference, vm, worst, &batch, now);
         }
-        if latency_ratio < self.tuning.release_below {
+        if ratio < self.tuning.release_below {
             let released = self.release(interference, vm, &protected, &batch, now);
             if !released.is_empty() {
                 return released;
@@ -210,7 +210,8 @@
             let victim = interference.victim(info.kind);
             let baseline = interference.baseline(victim)?;
             let expected = baseline * interference.slowdown(victim, colocated);
-            // A measurement from before the last change does not reflect the current batch work.
+            // Measurements from before the last change, and for a second after it, may not reflect
+            // the current batch work.
             let latency = self.latencies.get(&task.key).filter(|m| m.at >= stable_at);
             let now_us = latency.map_or(expected, |latency| latency.p99_us);
             Some(Protected { unit: task.unit.clone(), victim, objective_us, baseline, now_us })
@@ -275,12 +276,12 @@
         let coefficient = |task: &Steerable<'_>, service: &Protected| {
             interference.estimate(service.victim, task.colocated.kind).mean.max(0.001)
         };
-        let worst = |task: &Steerable<'_>| {
+        let max_coefficient = |task: &Steerable<'_>| {
             protected.iter().map(|service| coefficient(task, service)).fold(0.0, f64::max)
         };
         let mut throttled: Vec<&Steerable<'_>> =
             batch.iter().filter(|task| task.share < 100).collect();
-        throttled.sort_by(|a, b| worst(a).total_cmp(&worst(b)));
+        throttled.sort_by(|a, b| max_coefficient(a).total_cmp(&max_coefficient(b)));
         let Some(task) = throttled.first() else { return Vec::new() };
         let step = protected
             .iter()
--- a/crates/pond-sched/tests/decisions.rs
+++ b/crates/pond-sched/tests/decisions.rs
@@ -217,20 +217,21 @@
 }
 
 /// Three VMs with one service each, and jobs of two kinds, one of which slows the service down.
-fn scene() -> Scenario {
-    let mut guarded = service("query", 3);
-    guarded.labels = Labels::from([(Unit::KIND.to_owned(), "query".to_owned())]);
+fn scenario() -> Scenario {
+    let mut protected = service("query", 3);
+    protected.labels = Labels::from([(Unit::KIND.to_owned(), "query".to_owned())]);
     let jobs = |name: &str| Unit {
         kind: Kind::Job(Job { run_ms: 2 * MINUTE, deadline_ms: None, retries: 30 }),
         ..job(name)
     };
-    let truth = JobProfile { run_ms: 2.0 * MINUTE as f64, usage: 0.8, fails: false };
-    let harm = |job: &str, harm| (("query".to_owned(), job.to_owned()), harm);
+    let profile = JobProfile { run_ms: 2.0 * MINUTE as f64, usage: 0.8, fails: false };
+    let interference =
+        |job: &str, interference| (("query".to_owned(), job.to_owned()), interference);
     Scenario {
         vms: (0..3).map(|i| vm(&format!("vm-{i}"))).collect(),
-        services: vec![guarded],
-        jobs: vec![(jobs("loud"), truth, 3), (jobs("calm"), truth, 3)],
-        interference: BTreeMap::from([harm("loud", 0.8), harm("calm", 0.02)]),
+        services: vec![protected],
+        jobs: vec![(jobs("loud"), profile, 3), (jobs("calm"), profile, 3)],
+        interference: BTreeMap::from([interference("loud", 0.8), interference("calm", 0.02)]),
         baseline_us: BTreeMap::from([("query".to_owned(), 14_000.0)]),
         lag_ms: 5_000,
         load: |_| 1.0,
@@ -241,8 +242,8 @@
     }
 }
 
-fn within(scene: Scenario, tuning: Tuning) -> f64 {
-    let mut run = Colocation::new(scene, tuning);
+fn within(scenario: Scenario, tuning: Tuning) -> f64 {
+    let mut run = Colocation::new(scenario, tuning);
     run.run(10 * MINUTE);
     run.outcome = Default::default();
     run.run(30 * MINUTE);
@@ -258,20 +259,20 @@
         throttle: off,
         first_fit: false,
     };
-    let bare = within(scene(), unprotected);
-    let full = within(scene(), Tuning::default());
+    let bare = within(scenario(), unprotected);
+    let full = within(scenario(), Tuning::default());
     assert!(bare < 0.8 && full > 0.97, "{bare} without, {full} with");
 }
 
 #[test]
 fn delayed_reports_are_attributed_to_the_work_that_ran_then() {
-    let full = within(Scenario { lag_ms: 60_000, ..scene() }, Tuning::default());
+    let full = within(Scenario { lag_ms: 60_000, ..scenario() }, Tuning::default());
     assert!(full > 0.95, "{full}");
 }
 
 #[test]
 fn only_the_interfering_kind_is_slowed() {
-    let mut run = Colocation::new(scene(), Tuning::default());
+    let mut run = Colocation::new(scenario(), Tuning::default());
     run.run(40 * MINUTE);
     let shares = |kind: &str| {
         let tasks = run.state.tasks().filter(|task| task.unit.starts_with(kind));
@@ -303,14 +304,14 @@
     fn noise(ms: u64) -> f64 {
         if ms % (10 * MINUTE) < 2 * MINUTE { 4.0 } else { 1.0 }
     }
-    let mut run = Colocation::new(Scenario { noise, ..scene() }, Tuning::default());
+    let mut run = Colocation::new(Scenario { noise, ..scenario() }, Tuning::default());
     run.run(60 * MINUTE);
     assert!(run.outcome.evictions <= 20, "{} moves in an hour", run.outcome.evictions);
 }
 
 #[test]
 fn no_job_is_moved_more_often_than_the_cap() {
-    let mut run = Colocation::new(scene(), Tuning::default());
+    let mut run = Colocation::new(scenario(), Tuning::default());
     run.run(60 * MINUTE);
     assert!(run.state.units().all(|record| record.moves <= 3));
     assert_eq!(run.outcome.overcommitted, 0);
@@ -318,7 +319,7 @@
 
 #[test]
 fn vm_that_fails_every_job_is_quarantined_and_probed_later() {
-    let bad = Scenario { faulty_vm: Some("vm-1".to_owned()), ..scene() };
+    let bad = Scenario { faulty_vm: Some("vm-1".to_owned()), ..scenario() };
     let mut run = Colocation::new(bad, Tuning::default());
     run.run(60 * MINUTE);
     let failures = run.failures();
@@ -329,14 +330,14 @@
 
 #[test]
 fn job_that_fails_everywhere_is_given_up_and_no_vm_is_blamed() {
-    let mut scene = scene();
+    let mut scenario = scenario();
     let broken = Unit {
         kind: Kind::Job(Job { run_ms: MINUTE, deadline_ms: None, retries: 6 }),
         ..job("broken")
     };
-    let truth = JobProfile { run_ms: 1000.0, usage: 0.5, fails: true };
-    scene.jobs.push((broken, truth, 4));
-    let mut run = Colocation::new(scene, Tuning::default());
+    let profile = JobProfile { run_ms: 1000.0, usage: 0.5, fails: true };
+    scenario.jobs.push((broken, profile, 4));
+    let mut run = Colocation::new(scenario, Tuning::default());
     run.run(60 * MINUTE);
     assert_eq!(run.given_up(), 4);
     assert!(run.state.vms().all(|vm| vm.failed.len() < 3));
@@ -345,7 +346,7 @@
 
 #[test]
 fn every_slow_down_is_explained() {
-    let mut run = Colocation::new(scene(), Tuning::default());
+    let mut run = Colocation::new(scenario(), Tuning::default());
     run.run(10 * MINUTE);
     let slowed = run.state.units().find(|record| {
         record.decisions.iter().any(|decision| matches!(decision.action, Action::Slow(_)))
--- a/crates/pond-state/src/change.rs
+++ b/crates/pond-state/src/change.rs
@@ -41,7 +41,7 @@
     },
     /// The liveness of a VM changed.
     Judged {
-        /// When the leader received it.
+        /// When the leader decided it.
         at: Millis,
         /// The VM.
         vm: VmKey,
@@ -52,7 +52,7 @@
     },
     /// The scheduler places a replica of a unit on a VM.
     Place {
-        /// When the leader received it.
+        /// When the leader decided it.
         at: Millis,
         /// The unit.
         unit: UnitName,
@@ -65,7 +65,7 @@
     },
     /// The scheduler found no VM for a unit.
     SetAside {
-        /// When the leader received it.
+        /// When the leader decided it.
         at: Millis,
         /// The unit.
         unit: UnitName,
@@ -74,7 +74,7 @@
     },
     /// The scheduler warns about a unit.
     Warn {
-        /// When the leader received it.
+        /// When the leader decided it.
         at: Millis,
         /// The unit.
         unit: UnitName,
@@ -83,7 +83,7 @@
     },
     /// The scheduler throttles, pauses, moves or stops a task.
     Steer {
-        /// When the leader received it.
+        /// When the leader decided it.
         at: Millis,
         /// The task.
         task: TaskKey,
@@ -92,7 +92,7 @@
     },
     /// A worker has started a task.
     Started {
-        /// When the leader received it.
+        /// When the leader learned of it.
         at: Millis,
         /// The task.
         task: TaskKey,
@@ -108,7 +108,7 @@
     },
     /// A task has certainly ended.
     Ended {
-        /// When the leader received it.
+        /// When the leader learned of it.
         at: Millis,
         /// The task.
         task: TaskKey,
@@ -239,7 +239,7 @@
         rmp_serde::from_slice(bytes)
     }
 
-    /// Returns when the leader received the change; zero for changes without a time.
+    /// Returns the leader's time of the change; zero for changes without a time.
     pub fn at(&self) -> Millis {
         match self {
             Change::Order { meta, .. } => meta.at,
--- a/crates/pond-state/src/place.rs
+++ b/crates/pond-state/src/place.rs
@@ -197,8 +197,8 @@
         Reply::Noted
     }
 
-    /// Attributes a failure to the VM or to the unit: a VM fails many units, a faulty unit fails on
-    /// several VMs.
+    /// Attributes a failure to the VM or to the unit: on a faulty VM many units fail, and a faulty unit
+    /// fails on several VMs.
     fn attribute_failure(&mut self, task: &Task, end: &End) {
         let clock = self.clock;
         if *end == End::Done
@@ -236,7 +236,7 @@
             return;
         }
         if end == End::Lost {
-            // The first loss does not count against the unit: the replica is placed again at once.
+            // A single early loss does not count against the unit: the replica is placed again at once.
             let early = task.started.is_none_or(|at| clock.since(at) < EARLY_LOSS_MS);
             record.losses = if early { record.losses + 1 } else { 0 };
             if record.losses > 1 {
--- a/crates/pond-state/src/vm.rs
+++ b/crates/pond-state/src/vm.rs
@@ -11,12 +11,12 @@
 pub enum Liveness {
     /// The VM is listed and its worker answers.
     Live,
-    /// The VM is not both listed and answering; it accepts no new work.
+    /// The VM is missing from the list, or its worker does not answer; it accepts no new work.
     #[default]
     Suspect,
     /// The VM is leaving; its work is moved.
     Leaving,
-    /// Every lease on the VM has certainly expired.
+    /// The VM is missing from the list, and every lease on it has certainly expired.
     Gone,
 }
 
