--- a/crates/pond-http/src/server.rs
+++ b/crates/pond-http/src/server.rs
@@ -30,7 +30,7 @@
 pub struct Limits {
     /// Maximum number of open connections; further ones wait to be accepted.
     pub max_connections: usize,
-    /// Longest time to receive the head of a request, and again its body.
+    /// Longest time to receive the head of a request, and the same again for its body.
     pub read_timeout: Duration,
     /// Largest body, in bytes.
     pub max_body_bytes: usize,
--- a/crates/pond-http/tests/limits.rs
+++ b/crates/pond-http/tests/limits.rs
@@ -1,4 +1,5 @@
-//! How the server handles slow, large and incomplete requests, and the client incomplete answers.
+//! How the server handles slow, large and incomplete requests, and how the client handles incomplete
+//! answers.
 
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -147,7 +147,7 @@
 
     /// Applies an update of the configuration.
     ///
-    /// Returns false if the update does not follow on the version in force.
+    /// Returns false if the update starts from another version than the one in force.
     pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
--- a/crates/pond-route/src/budget.rs
+++ b/crates/pond-route/src/budget.rs
@@ -11,7 +11,7 @@
 }
 
 impl Budget {
-    /// Creates a full budget that allows `share` retries a request, such as 0.1.
+    /// Creates a full budget that allows `share` retries per request, such as 0.1.
     pub fn new(share: f64) -> Budget {
         Budget { share, tokens: MAX_TOKENS }
     }
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -34,7 +34,8 @@
         let verdict = decision.verdict();
         let Some(id) = self.tickets.remove(&decision.ticket) else { return };
         let Some(pending) = self.pending.get_mut(&id).filter(|p| p.stage == Stage::Claiming) else {
-            // The caller has left; `expire` has already asked control to free a granted claim.
+            // The request has already ended. Unless another request held the claim, `expire` has asked
+            // control to free it.
             return;
         };
         match verdict {
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -179,8 +179,8 @@
 
     /// Applies an update of the configuration.
     ///
-    /// Returns false if the update does not follow on the version in force. Updates that are not newer
-    /// than the version in force are ignored, whichever leader sent them.
+    /// Returns false if the update starts from another version than the one in force. Updates that are
+    /// not newer than the version in force are ignored, whichever leader sent them.
     pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
--- a/crates/pond-sched/src/throttle.rs
+++ b/crates/pond-sched/src/throttle.rs
@@ -21,8 +21,8 @@
     pub target: f64,
     /// Slowed work is released when all services are below this share of their objectives.
     pub release_below: f64,
-    /// Minimum time between two actions on one VM, in milliseconds, in addition to the delay of
-    /// reports.
+    /// Minimum time between two actions on one VM, in milliseconds. Reports may arrive later;
+    /// until one from after the last action is there, the expected latency is used instead.
     pub cooldown_ms: Span,
     /// Time for which a task must have been slowed or paused before it is moved, in milliseconds.
     pub move_after_ms: Span,
@@ -30,7 +30,7 @@
     pub probe_after_ms: Span,
     /// Maximum number of moves of one job.
     pub max_moves_per_job: u32,
-    /// Period in which at most a fiftieth of all tasks, but at least one, is moved, in
+    /// Period in which at most a fiftieth of all tasks may be moved, or one task if that is more, in
     /// milliseconds.
     pub move_window_ms: Span,
 }
--- a/crates/pond-state/src/change.rs
+++ b/crates/pond-state/src/change.rs
@@ -166,7 +166,7 @@
     },
     /// Drains VMs, or puts them back into use.
     Drain {
-        /// Which VMs.
+        /// Selects the VMs.
         selector: Selector,
         /// True to drain them, false to put them back into use.
         drained: bool,
