--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -26,8 +26,8 @@
     pub policy: PolicyKind,
     /// Share of the requests that may be sent a second time, as a retry or hedge (0 to 1).
     pub retry_share: f64,
-    /// Maximum number of attempts of a repeatable request whose endpoints fail. Refused offers are
-    /// made again regardless of it.
+    /// Number of offers after which a repeatable request is not retried when its endpoint fails.
+    /// Refused offers count, but a refused request is offered again regardless of the limit.
     pub attempts: u32,
     /// Whether slow repeatable requests are hedged, that is, sent to a second endpoint.
     pub hedge: bool,
@@ -179,8 +179,8 @@
 
     /// Applies an update of the configuration.
     ///
-    /// Returns false if the update does not follow on the version in force. Updates that are not newer
-    /// than the version in force are ignored, whichever leader sent them.
+    /// Returns false if the update starts from another version than the one in force. Updates that are
+    /// not newer than the version in force are ignored, whichever leader sent them.
     pub fn apply_view(&mut self, now: Micros, delta: Delta) -> bool {
         if delta.to <= self.version {
             return true;
