--- a/crates/pond-replica/src/callers.rs
+++ b/crates/pond-replica/src/callers.rs
@@ -1,4 +1,5 @@
-//! Requests of callers, forwarded by entries, and the answers to all who wait for a proposal.
+//! Handles requests of callers, which entries forward, and reports the result of each proposal to
+//! whoever waits for it.
 
 use pond_job::{Change, Leader, Reply, State};
 use pond_link::LinkKey;
--- a/crates/pond-replica/src/formation.rs
+++ b/crates/pond-replica/src/formation.rs
@@ -62,7 +62,7 @@
 
     /// Returns the next change of members that a leader should make. A replica that returned with
     /// another disk is removed, then added; one that is not a member is added. A replica is added only
-    /// once this one can reach it, even if it has presented itself before.
+    /// once this one can reach it, which may be some time after it has presented itself.
     pub fn next_change(
         &self,
         members: &Members,
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -72,7 +72,7 @@
             (false, false) => {}
             (false, true) => self.disk_became_full(),
             (true, true) => self.disk_stays_full(),
-            (true, false) => self.disk_has_room(),
+            (true, false) => self.disk_recovered(),
         }
         Ok(())
     }
@@ -101,7 +101,7 @@
             "for_ms" => self.full_since.map_or(0, |since| now.since(since)));
     }
 
-    fn disk_has_room(&mut self) {
+    fn disk_recovered(&mut self) {
         let since = self.full_since.take();
         self.full_logged_at = None;
         self.metrics.gauge("disk_full", 0);
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -40,7 +40,7 @@
     dialled: BTreeMap<String, Peer>,
     /// Addresses by disk identity.
     addresses: BTreeMap<u64, String>,
-    terms: Arc<Config>,
+    config: Arc<Config>,
     events: mpsc::Sender<Event>,
     log: Logger,
 }
@@ -54,14 +54,14 @@
         log: Logger,
     ) -> Peers {
         let own = settings.internal.to_string();
-        let terms = Config::new(WireRole::Control, &own, &settings.data_centre, Life::random())
+        let config = Config::new(WireRole::Control, &own, &settings.data_centre, Life::random())
             .with_limits(MAX_FRAME_BYTES, LINK_QUEUE)
             .with_address(&own)
             .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
-        let terms = Arc::new(terms);
-        tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
+        let config = Arc::new(config);
+        tokio::spawn(pond_link::accept(listener, config.clone(), events.clone()));
         let (dialled, addresses) = (BTreeMap::new(), BTreeMap::new());
-        let mut peers = Peers { own_address: own, dialled, addresses, terms, events, log };
+        let mut peers = Peers { own_address: own, dialled, addresses, config, events, log };
         peers.add_addresses(&settings.seeds);
         peers
     }
@@ -77,8 +77,8 @@
                 continue;
             };
             let link = LinkKey(self.dialled.len() as u64);
-            let (terms, events) = (self.terms.clone(), self.events.clone());
-            tokio::spawn(pond_link::dial(parsed, link, terms, events));
+            let (config, events) = (self.config.clone(), self.events.clone());
+            tokio::spawn(pond_link::dial(parsed, link, config, events));
             let peer = Peer { link, sender: None, down_since: Some(Millis(0)) };
             self.dialled.insert(address.clone(), peer);
         }
--- a/crates/pond-replica/src/pending.rs
+++ b/crates/pond-replica/src/pending.rs
@@ -54,8 +54,8 @@
         self.proposed.remove(&ticket)
     }
 
-    /// Removes the proposal at an applied position. Returns whether the applied entry is the proposed one
-    /// (its term may differ), and who waits for it.
+    /// Removes the proposal at an applied position. Returns whether the applied entry is the proposed one,
+    /// which it is not if its term differs, and who waits for it.
     pub fn applied(&mut self, index: u64, term: u64) -> Option<(bool, Waiter)> {
         let (expected, waiter) = self.appended.remove(&index)?;
         Some((expected == term, waiter))
--- a/crates/pond-replica/tests/evacuations.rs
+++ b/crates/pond-replica/tests/evacuations.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use support::{BOUND, leader, listeners, start_task};
+use support::{RECOVERY_TIMEOUT, leader, listeners, start_task};
 
 /// Time within which an order would be carried out.
 const EXECUTION_TIME: Duration = Duration::from_millis(300);
@@ -63,7 +63,7 @@
             }
         }
     };
-    timeout(BOUND, bound).await.expect("the address is free")
+    timeout(RECOVERY_TIMEOUT, bound).await.expect("the address is free")
 }
 
 fn order(begins: bool) -> Evacuation {
@@ -86,7 +86,7 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(BOUND, sent).await.expect("an acknowledgement in time");
+    timeout(RECOVERY_TIMEOUT, sent).await.expect("an acknowledgement in time");
 }
 
 async fn evacuated(handles: &[Handle]) -> Vec<String> {
@@ -115,7 +115,7 @@
         (replicas.seeds, replicas.disks)
     });
     // Shutting down the runtime ends all replicas.
-    before.shutdown_timeout(BOUND);
+    before.shutdown_timeout(RECOVERY_TIMEOUT);
     for (seed, disk) in (7..).zip(&disks) {
         disk.crash(Crash::KeepRandom(seed));
     }
--- a/crates/pond-replica/tests/full.rs
+++ b/crates/pond-replica/tests/full.rs
@@ -10,11 +10,11 @@
 use pond_store::Memory;
 use tokio::time::{sleep, timeout};
 
-use support::{BOUND, leader, listeners, start};
+use support::{RECOVERY_TIMEOUT, leader, listeners, start};
 
 /// Time for which disks are full. Longer than two elections, so a leader that only waited for its disk
 /// would have been replaced twice.
-const FULL: Duration = Duration::from_secs(3);
+const DISK_FULL_TIME: Duration = Duration::from_secs(3);
 
 /// Time between an operator's attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -50,7 +50,7 @@
             sleep(RETRY_INTERVAL).await;
         }
     };
-    timeout(BOUND, accepted).await.expect("accepted in time")
+    timeout(RECOVERY_TIMEOUT, accepted).await.expect("accepted in time")
 }
 
 #[tokio::test]
@@ -61,7 +61,7 @@
     fill(&disks[first]);
     // The leader may still get this one accepted, with the disks of the other two.
     configure(&handles, 2).await;
-    sleep(FULL).await;
+    sleep(DISK_FULL_TIME).await;
     let next = configure(&handles, 3).await;
     assert_ne!(next, first);
     free(&disks[first]);
@@ -79,10 +79,10 @@
     disks.iter().for_each(fill);
     let order = Configuration { version: 2, ..Configuration::default() };
     for handle in &handles {
-        let answer = timeout(FULL, handle.configure(order.clone())).await;
+        let answer = timeout(DISK_FULL_TIME, handle.configure(order.clone())).await;
         assert!(!matches!(answer, Ok(Ok(()))), "accepted without disk space");
     }
-    sleep(FULL).await;
+    sleep(DISK_FULL_TIME).await;
     disks.iter().for_each(free);
     configure(&handles, 3).await;
 }
--- a/crates/pond-replica/tests/operators.rs
+++ b/crates/pond-replica/tests/operators.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use support::{BOUND, leader, listeners, start_task};
+use support::{RECOVERY_TIMEOUT, leader, listeners, start_task};
 
 /// Time after which followers have noticed the silence of the leader, which sends heartbeats every 100 ms.
 /// Elections begin after 500 ms at the earliest.
@@ -45,7 +45,7 @@
             assert_ne!(answer, Err(named));
         }
         let left: Vec<Handle> = others.iter().map(|i| handles[*i].clone()).collect();
-        timeout(BOUND, leader(&left)).await.expect("another leader");
+        timeout(RECOVERY_TIMEOUT, leader(&left)).await.expect("another leader");
     }
 }
 
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-use support::{BOUND, REPLICAS, leader, listeners, start};
+use support::{RECOVERY_TIMEOUT, REPLICAS, leader, listeners, start};
 
 /// Time in which both ends of a link notice that one direction is silent. The end that notices first is
 /// silent itself from then on.
@@ -44,15 +44,15 @@
 
 #[tokio::test]
 async fn quorum_elects_a_leader_after_all_links_fell_silent() {
-    for swallowed in Blackhole::ALL {
+    for blackhole in Blackhole::ALL {
         let (proxies, handles) = start_behind_proxies().await;
         leader(&handles).await;
-        let taken: Vec<usize> = proxies.iter().map(BlackholeProxy::accepted).collect();
-        proxies.iter().for_each(|proxy| proxy.drop_bytes(swallowed));
+        let accepted: Vec<usize> = proxies.iter().map(BlackholeProxy::accepted).collect();
+        proxies.iter().for_each(|proxy| proxy.drop_bytes(blackhole));
         sleep(SILENCE_NOTICED).await;
         leader(&handles).await;
-        for (proxy, taken) in proxies.iter().zip(taken) {
-            assert!(proxy.accepted() > taken, "{swallowed:?}: no replica redialled");
+        for (proxy, accepted) in proxies.iter().zip(accepted) {
+            assert!(proxy.accepted() > accepted, "{blackhole:?}: no replica redialled");
         }
     }
 }
@@ -65,10 +65,10 @@
 }
 
 impl JoiningReplica {
-    fn terms(address: SocketAddr) -> Arc<pond_link::Config> {
-        let terms = pond_link::Config::new(Role::Control, "newcomer", "here", Life(JOINING_ID));
+    fn config(address: SocketAddr) -> Arc<pond_link::Config> {
+        let config = pond_link::Config::new(Role::Control, "newcomer", "here", Life(JOINING_ID));
         Arc::new(
-            terms
+            config
                 .with_address(&address.to_string())
                 .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
         )
@@ -77,8 +77,8 @@
     fn start(address: SocketAddr, proxies: &[BlackholeProxy]) -> JoiningReplica {
         let (events, dialled) = mpsc::channel(64);
         for (i, proxy) in proxies.iter().enumerate() {
-            let (terms, events) = (JoiningReplica::terms(address), events.clone());
-            tokio::spawn(dial(proxy.address(), LinkKey(i as u64), terms, events));
+            let (config, events) = (JoiningReplica::config(address), events.clone());
+            tokio::spawn(dial(proxy.address(), LinkKey(i as u64), config, events));
         }
         JoiningReplica { address, dialled, senders: Vec::new() }
     }
@@ -87,7 +87,7 @@
     async fn present(&mut self) {
         let mut up = 0;
         while up < REPLICAS {
-            let event = timeout(BOUND, self.dialled.recv()).await.expect("in time");
+            let event = timeout(RECOVERY_TIMEOUT, self.dialled.recv()).await.expect("in time");
             let EventKind::Up { sender, .. } = event.expect("an event").kind else { continue };
             assert!(sender.send(Body::Quorum(self.presence())));
             self.senders.push(sender);
@@ -106,7 +106,7 @@
 /// Waits for a message that only members receive.
 async fn becomes_member(listener: TcpListener, address: SocketAddr) {
     let (events, mut accepted) = mpsc::channel(64);
-    tokio::spawn(accept(listener, JoiningReplica::terms(address), events));
+    tokio::spawn(accept(listener, JoiningReplica::config(address), events));
     let mut senders = Vec::new();
     loop {
         match accepted.recv().await.expect("an event").kind {
@@ -141,5 +141,7 @@
     proxies.iter().for_each(|proxy| proxy.drop_bytes(Blackhole::FromServer));
     joining.present().await;
     sleep(SILENCE_NOTICED).await;
-    timeout(BOUND, becomes_member(listener, address)).await.expect("it is added in time");
+    timeout(RECOVERY_TIMEOUT, becomes_member(listener, address))
+        .await
+        .expect("it is added in time");
 }
--- a/crates/pond-replica/tests/support/mod.rs
+++ b/crates/pond-replica/tests/support/mod.rs
@@ -18,7 +18,7 @@
 
 /// Time within which replicas must be linked again and have a leader: two silence timeouts of 0.8 s and
 /// an election of up to 1 s. The rest allows for a busy machine.
-pub const BOUND: Duration = Duration::from_secs(10);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time between checks for a leader.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -71,7 +71,7 @@
     let adviser = Arc::new(NoAdviser);
     let started = Replica::start(settings, files, listener, adviser, Clock::new(), metrics, log);
     let (replica, handle) = started.expect("it starts");
-    let task = tokio::spawn(async move { replica.run().await.expect("its files last") });
+    let task = tokio::spawn(async move { replica.run().await.expect("it stops without an error") });
     (handle, task)
 }
 
@@ -87,7 +87,7 @@
             sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(BOUND, led).await.expect("a leader in time")
+    timeout(RECOVERY_TIMEOUT, led).await.expect("a leader in time")
 }
 
 /// Opens the listeners of all replicas. Returns them with their addresses.
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -85,7 +85,7 @@
         Ok((store, Recovered { id, hard, snapshot, entries, truncated_bytes }))
     }
 
-    /// Sets the size of segments, in bytes.
+    /// Sets the size of a segment, in bytes, from which on the next batch starts a new segment.
     pub fn with_segment_bytes(mut self, bytes: usize) -> Store {
         self.segment_bytes = bytes;
         self
--- a/crates/pond-store/tests/recovery.rs
+++ b/crates/pond-store/tests/recovery.rs
@@ -211,7 +211,7 @@
         prop_assert!(recovered.entries.len() >= 15);
     }
 
-    /// Arbitrary bytes in position of a segment are rejected or read as an empty segment.
+    /// Arbitrary bytes in place of a segment are rejected or read as an empty segment.
     #[test]
     fn garbage_is_never_read_as_entries(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut disk = Memory::new();
