--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -14,7 +14,7 @@
 use pond_control::Process;
 use pond_http::{Call, Client, Method};
 use pond_link::{EventKind, LinkKey, Terms, dial};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::operator::{Origin, QuotaOrder, Status};
 use pond_proto::quorum::{Entry, Kind};
 use pond_proto::wire::{Body, Role as WireRole, ViewAck};
@@ -234,7 +234,8 @@
     let (events, mut happened) = mpsc::channel(65_536);
     let mut key = 0;
     for node in 0..FOLLOWERS {
-        let terms = Terms::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
+        let terms =
+            Terms::new(WireRole::Endpoint, &format!("node-{node}"), "here", Incarnation::random());
         let terms = terms.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
         let terms = Arc::new(
             terms.with_times(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT),
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -9,7 +9,7 @@
 use pond_log::{Logger, event};
 use pond_platform::{HttpPlatform, Platform};
 use pond_process::{Error, Threads, listen, read_token};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::quorum::Member;
 use pond_proto::wire::Role;
 use pond_settings::{Process as Settings, Role as SettingsRole};
@@ -125,7 +125,7 @@
         let token = read_token(settings)?;
         let limits = settings.limits;
         let terms =
-            Terms::new(Role::Control, &settings.name, &settings.data_centre, Life::random())
+            Terms::new(Role::Control, &settings.name, &settings.data_centre, Incarnation::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_address(&address.unwrap_or_default())
                 .with_times(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
--- a/crates/pond-control/src/replica/orders.rs
+++ b/crates/pond-control/src/replica/orders.rs
@@ -30,7 +30,7 @@
             service: ask.service,
             key: ask.key,
             digest: ask.digest,
-            holder: Holder { incarnation: ask.id.life, number: ask.id.number },
+            holder: Holder { incarnation: ask.id.incarnation, number: ask.id.number },
         };
         self.propose(now, change, Waiter::Claim { link, ticket });
     }
@@ -45,7 +45,7 @@
             at: self.parts.clock.wall(),
             service: end.service,
             key: end.key,
-            holder: Holder { incarnation: end.id.life, number: end.id.number },
+            holder: Holder { incarnation: end.id.incarnation, number: end.id.number },
             not_run: end.not_run,
             answer,
         };
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -6,7 +6,7 @@
 use pond_link::Terms;
 use pond_log::{Logger, event};
 use pond_process::{Error, Threads, listen, read_token};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::Role;
 use pond_settings::{Process as Settings, Role as SettingsRole};
 use tokio::sync::oneshot;
@@ -33,11 +33,15 @@
         let listener = listen(endpoint.internal)?;
         let address = listener.local_addr().unwrap_or(endpoint.internal);
         let limits = settings.limits;
-        let terms =
-            Terms::new(Role::Endpoint, &settings.name, &settings.data_centre, Life::random())
-                .with_limits(limits.frame_bytes, limits.link_queue)
-                .with_address(&address.to_string())
-                .with_token(&read_token(settings)?);
+        let terms = Terms::new(
+            Role::Endpoint,
+            &settings.name,
+            &settings.data_centre,
+            Incarnation::random(),
+        )
+        .with_limits(limits.frame_bytes, limits.link_queue)
+        .with_address(&address.to_string())
+        .with_token(&read_token(settings)?);
         let (stop, stopped) = oneshot::channel();
         let replicas = settings.replicas.clone();
         let thread_log = log.clone();
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -135,7 +135,7 @@
             EventKind::Up { hello, sender, .. } => {
                 self.senders.insert(link, sender);
                 event!(self.log, LINK_UP, "peer" => hello.name);
-                self.admission.link_up(link.0, hello.life);
+                self.admission.link_up(link.0, hello.incarnation);
             }
             EventKind::Down(error) => {
                 // Links to control are handled above, so this link was accepted from an entry.
@@ -222,7 +222,7 @@
     put("content-type", &run.content.content_type);
     put("idempotency-key", &run.content.key);
     let id = run.offer.id;
-    put("pondbay-request", &format!("{:016x}-{}", id.life, id.number));
+    put("pondbay-request", &format!("{:016x}-{}", id.incarnation, id.number));
     let mut call = Call::new(Method::POST, &path, run.content.body);
     call.headers = headers;
     call
--- a/crates/pond-entry/src/caller.rs
+++ b/crates/pond-entry/src/caller.rs
@@ -80,7 +80,7 @@
 }
 
 fn id_value(id: RequestId) -> HeaderValue {
-    let text = format!("{:016x}-{}", id.life, id.number);
+    let text = format!("{:016x}-{}", id.incarnation, id.number);
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("-"))
 }
 
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -8,7 +8,7 @@
 use pond_link::Terms;
 use pond_log::{Logger, Metrics, event};
 use pond_process::{Error, Threads, listen, read_token};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::Role;
 use pond_settings::{Process as Settings, Role as SettingsRole};
 use tokio::sync::mpsc;
@@ -40,9 +40,10 @@
         let listener = listen(entry.callers)?;
         let address = listener.local_addr().unwrap_or(entry.callers);
         let limits = settings.limits;
-        let terms = Terms::new(Role::Entry, &settings.name, &settings.data_centre, Life::random())
-            .with_limits(limits.frame_bytes, limits.link_queue)
-            .with_token(&read_token(settings)?);
+        let terms =
+            Terms::new(Role::Entry, &settings.name, &settings.data_centre, Incarnation::random())
+                .with_limits(limits.frame_bytes, limits.link_queue)
+                .with_token(&read_token(settings)?);
         let metrics =
             Metrics::start(settings.metrics, "entry").map_err(|source| Error::Thread { source })?;
         let (sender, submissions) = mpsc::channel(MAX_QUEUED);
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -81,7 +81,7 @@
     let terms = Arc::new(terms);
     let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
     let control = Control::start(&replicas, &terms, &events, log.clone());
-    let router = Router::new(&terms.hello.data_centre, Tuning::default(), terms.hello.life);
+    let router = Router::new(&terms.hello.data_centre, Tuning::default(), terms.hello.incarnation);
     let mut route = Route {
         router,
         control,
@@ -125,7 +125,7 @@
     fn submit(&mut self, submission: Submission) {
         let now = self.now();
         self.next_number += 1;
-        let id = RequestId { life: self.terms.hello.life, number: self.next_number };
+        let id = RequestId { incarnation: self.terms.hello.incarnation, number: self.next_number };
         self.waiting.insert(id, submission.reply);
         let request = Request {
             id,
@@ -163,7 +163,7 @@
             EventKind::Up { hello, sender, .. } => {
                 link.sender = Some(sender);
                 event!(self.log, LINK_UP, "peer" => hello.name);
-                self.router.link_up(now, process, hello.life);
+                self.router.link_up(now, process, hello.incarnation);
             }
             EventKind::Down(error) => {
                 if link.sender.take().is_some() {
--- a/crates/pond-link/src/terms.rs
+++ b/crates/pond-link/src/terms.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::{Hello, Role, VERSION};
 
 /// Who this process is and how its links are limited.
@@ -24,12 +24,12 @@
 
 impl Terms {
     /// Terms with default limits.
-    pub fn new(role: Role, name: &str, data_centre: &str, life: Life) -> Terms {
+    pub fn new(role: Role, name: &str, data_centre: &str, life: Incarnation) -> Terms {
         let hello = Hello {
             version: VERSION,
             role: role as i32,
             name: name.to_owned(),
-            life: life.0,
+            incarnation: life.0,
             data_centre: data_centre.to_owned(),
             token: String::new(),
             address: String::new(),
--- a/crates/pond-link/tests/hostile.rs
+++ b/crates/pond-link/tests/hostile.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pond_link::{Error, Event, EventKind, Terms, accept};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::{Beat, Body, Frame, Hello, Role, VERSION};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 fn terms() -> Terms {
-    Terms::new(Role::Endpoint, "endpoint", "here", Life(1))
+    Terms::new(Role::Endpoint, "endpoint", "here", Incarnation(1))
         .with_limits(4096, 16)
         .with_token("secret")
         .with_times(Duration::from_millis(50), Duration::from_millis(300))
@@ -24,7 +24,7 @@
         version: VERSION,
         role: Role::Entry as i32,
         name: "entry".to_owned(),
-        life: 2,
+        incarnation: 2,
         token: "secret".to_owned(),
         ..Hello::default()
     }
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pond_link::{Error, Event, EventKind, LinkKey, Sender, Terms, accept, dial};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::{Beat, Body, Role};
 use pond_test::{SwallowProxy, Swallowed};
 use tokio::net::TcpListener;
@@ -77,7 +77,7 @@
 }
 
 fn terms(role: Role, life: u64) -> Arc<Terms> {
-    Arc::new(Terms::new(role, "name", "here", Life(life)).with_times(BEAT, SILENCE))
+    Arc::new(Terms::new(role, "name", "here", Incarnation(life)).with_times(BEAT, SILENCE))
 }
 
 /// A dialled link through a proxy, and its two ends: the dialling and the listening one.
--- a/crates/pond-proto/src/key.rs
+++ b/crates/pond-proto/src/key.rs
@@ -28,12 +28,12 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
-impl Life {
+impl Incarnation {
     /// Draws a new life from the operating system's randomness.
-    pub fn random() -> Life {
-        Life(rand::random())
+    pub fn random() -> Incarnation {
+        Incarnation(rand::random())
     }
 }
 
--- a/crates/pond-proto/src/lib.rs
+++ b/crates/pond-proto/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod view;
 pub mod wire;
 
-pub use key::{Life, TaskKey, VmKey};
+pub use key::{Incarnation, TaskKey, VmKey};
 pub use label::Labels;
 pub use outcome::Outcome;
 pub use selector::{Operator, Selector, Term};
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -17,7 +17,7 @@
 pub struct RequestId {
     /// The life of the entry that took the request in.
     #[prost(fixed64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Its number within that life.
     #[prost(uint64, tag = "2")]
     pub number: u64,
@@ -51,7 +51,7 @@
     pub name: String,
     /// The sender's life.
     #[prost(fixed64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The sender's data centre.
     #[prost(string, tag = "5")]
     pub data_centre: String,
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -11,7 +11,7 @@
 use pond_log::{Logger, event};
 use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Present};
 use pond_proto::wire::{Body, Role as WireRole};
-use pond_proto::{Life, Millis};
+use pond_proto::{Incarnation, Millis};
 use pond_quorum::Input;
 use pond_uplink::{HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 use tokio::net::TcpListener;
@@ -54,10 +54,11 @@
         log: Logger,
     ) -> Peers {
         let own = settings.internal.to_string();
-        let terms = Terms::new(WireRole::Control, &own, &settings.data_centre, Life::random())
-            .with_limits(MAX_FRAME_BYTES, LINK_QUEUE)
-            .with_address(&own)
-            .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
+        let terms =
+            Terms::new(WireRole::Control, &own, &settings.data_centre, Incarnation::random())
+                .with_limits(MAX_FRAME_BYTES, LINK_QUEUE)
+                .with_address(&own)
+                .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let terms = Arc::new(terms);
         tokio::spawn(pond_link::accept(listener, terms.clone(), events.clone()));
         let (dialled, addresses) = (BTreeMap::new(), BTreeMap::new());
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pond_link::{Event, EventKind, LinkKey, accept, dial};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Member, Present};
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
@@ -66,7 +66,8 @@
 
 impl JoiningReplica {
     fn terms(address: SocketAddr) -> Arc<pond_link::Terms> {
-        let terms = pond_link::Terms::new(Role::Control, "newcomer", "here", Life(JOINING_ID));
+        let terms =
+            pond_link::Terms::new(Role::Control, "newcomer", "here", Incarnation(JOINING_ID));
         Arc::new(
             terms
                 .with_address(&address.to_string())
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -247,7 +247,7 @@
         for endpoint in self.endpoints.values_mut() {
             let offers = &mut self.offers;
             endpoint.queue.retain(|offer| {
-                let dropped = offer.id.life == incarnation;
+                let dropped = offer.id.incarnation == incarnation;
                 if dropped {
                     offers.remove(offer);
                 }
@@ -258,7 +258,7 @@
 
     /// Handles an offer of an entry. Offers on any but the newest link of its incarnation are ignored.
     pub fn offer(&mut self, now: Micros, link: Link, offer: Offer) {
-        let incarnation = offer.id.life;
+        let incarnation = offer.id.incarnation;
         if self.links.get(&incarnation) != Some(&link) {
             return;
         }
@@ -283,7 +283,7 @@
     /// Drops the results of requests below `oldest_open`, which their entry has completed.
     fn forget_completed(&mut self, incarnation: u64, oldest_open: u64) {
         while let Some((_, offer)) = self.retained.front() {
-            if offer.id.life != incarnation || offer.id.number >= oldest_open {
+            if offer.id.incarnation != incarnation || offer.id.number >= oldest_open {
                 return;
             }
             self.forget_oldest();
@@ -313,9 +313,9 @@
     }
 
     fn refuse(&mut self, offer: OfferId, task: u64, refusal: Refusal) {
-        let grant = self.grant(task, offer.id.life);
+        let grant = self.grant(task, offer.id.incarnation);
         let refuse = Refuse { offer, refusal: refusal as i32, grant };
-        self.send_to_entry(offer.id.life, Body::Refuse(refuse));
+        self.send_to_entry(offer.id.incarnation, Body::Refuse(refuse));
     }
 
     fn send_to_entry(&mut self, incarnation: u64, body: Body) {
@@ -338,7 +338,7 @@
                 continue;
             }
             endpoint.running += 1;
-            *endpoint.running_by_entry.entry(offer_id.id.life).or_default() += 1;
+            *endpoint.running_by_entry.entry(offer_id.id.incarnation).or_default() += 1;
             let address = endpoint.address.clone();
             let deadline = record.deadline;
             let State::Queued { arrived, .. } = record.state else { continue };
@@ -354,7 +354,7 @@
 
     /// Handles a revocation by an entry: a queued offer is refused, a running one continues.
     pub fn revoke(&mut self, link: Link, offer: OfferId) {
-        if self.links.get(&offer.id.life) != Some(&link) {
+        if self.links.get(&offer.id.incarnation) != Some(&link) {
             return;
         }
         let queued = self.offers.get(&offer).and_then(|record| match record.state {
@@ -388,10 +388,10 @@
             service_us: saturating_u32(now.since(started)),
             queue_us: saturating_u32(started.since(arrived)),
             load: self.load(task),
-            grant: self.grant(task, offer.id.life),
+            grant: self.grant(task, offer.id.incarnation),
         };
         self.retain_result(offer, State::Done(answer.clone()));
-        self.send_to_entry(offer.id.life, Body::Answer(answer));
+        self.send_to_entry(offer.id.incarnation, Body::Answer(answer));
     }
 
     /// Handles a call that certainly did not reach the endpoint: the offer did not run.
@@ -406,7 +406,7 @@
     pub fn answer_lost(&mut self, now: Micros, offer: OfferId) {
         if self.release(now, offer).is_some() {
             self.retain_result(offer, State::Lost);
-            self.send_to_entry(offer.id.life, Body::Broken(Broken { offer }));
+            self.send_to_entry(offer.id.incarnation, Body::Broken(Broken { offer }));
         }
     }
 
@@ -416,10 +416,10 @@
         let State::Running { task, arrived, started } = record.state else { return None };
         if let Some(endpoint) = self.endpoints.get_mut(&task) {
             endpoint.running = endpoint.running.saturating_sub(1);
-            if let Some(running) = endpoint.running_by_entry.get_mut(&offer.id.life) {
+            if let Some(running) = endpoint.running_by_entry.get_mut(&offer.id.incarnation) {
                 *running -= 1;
                 if *running == 0 {
-                    endpoint.running_by_entry.remove(&offer.id.life);
+                    endpoint.running_by_entry.remove(&offer.id.incarnation);
                 }
             }
             if endpoint.removed && endpoint.running == 0 {
@@ -474,7 +474,7 @@
     /// Answers an entry that asks for the fate of offers made on an earlier link.
     pub fn report_fates(&mut self, link: Link, ask: FateAsk) {
         for offer in ask.offers {
-            if self.links.get(&offer.id.life) != Some(&link) {
+            if self.links.get(&offer.id.incarnation) != Some(&link) {
                 continue;
             }
             let (fate, answer) = match self.offers.get(&offer).map(|record| &record.state) {
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -181,7 +181,9 @@
     };
     type Forgery = fn(RequestId) -> (RequestId, u32);
     let table: [(&str, Forgery); 4] = [
-        ("of another incarnation of the entry", |id| (RequestId { life: id.life + 1, ..id }, 1)),
+        ("of another incarnation of the entry", |id| {
+            (RequestId { incarnation: id.incarnation + 1, ..id }, 1)
+        }),
         ("of another number", |id| (RequestId { number: id.number + 1, ..id }, 1)),
         ("of an offer that was never made", |id| (id, 7)),
         ("of offer zero", |id| (id, 0)),
@@ -331,7 +333,7 @@
     let delta = view::Delta { to: 1, endpoints: vec![endpoint], ..view::Delta::default() };
     admission.apply_view(Micros(0), delta);
     admission.link_up(1, 7);
-    let id = |number| RequestId { life: 7, number };
+    let id = |number| RequestId { incarnation: 7, number };
     for (number, remaining_ms) in [(1, 1000), (2, 5)] {
         let offer = Offer { id: id(number), attempt: 1, task: 1, remaining_ms, ..Offer::default() };
         admission.offer(Micros(0), 1, offer);
--- a/crates/pond-test/src/path.rs
+++ b/crates/pond-test/src/path.rs
@@ -271,7 +271,7 @@
         deadline_ms: u64,
     ) -> RequestId {
         self.next_number += 1;
-        let id = RequestId { life: entry as u64 + 100, number: self.next_number };
+        let id = RequestId { incarnation: entry as u64 + 100, number: self.next_number };
         let now = Micros(self.now);
         let content = Content {
             service: SERVICE.to_owned(),
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -69,7 +69,7 @@
         now: Millis,
     ) -> Uplink {
         let terms = Arc::new(terms.with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT));
-        let search = Search::new(addresses, terms.hello.life, now);
+        let search = Search::new(addresses, terms.hello.incarnation, now);
         let mut uplink = Uplink { search, links: BTreeMap::new(), terms, events, log };
         uplink.execute();
         uplink
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -8,7 +8,7 @@
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, accept};
 use pond_proto::fleet::{Ask, Lead, Tell};
 use pond_proto::wire::{Body, Role};
-use pond_proto::{Life, Millis};
+use pond_proto::{Incarnation, Millis};
 use pond_test::{SwallowProxy, Swallowed};
 use pond_uplink::{HEARTBEAT_INTERVAL, Notification, SILENCE_TIMEOUT, Uplink};
 use tokio::net::TcpListener;
@@ -40,7 +40,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot listen");
         let address = listener.local_addr().expect("no local address");
         let (sender, events) = mpsc::channel(QUEUE_LEN);
-        let terms = Terms::new(Role::Control, "control", "here", Life(1))
+        let terms = Terms::new(Role::Control, "control", "here", Incarnation(1))
             .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         tokio::spawn(accept(listener, Arc::new(terms), sender));
         Replica { address, events, lead, clients: Vec::new() }
@@ -80,7 +80,7 @@
     /// Starts at the first address.
     fn start(addresses: &[SocketAddr]) -> Process {
         let (events, links) = mpsc::channel(QUEUE_LEN);
-        let terms = Terms::new(Role::Entry, "entry", "here", Life(0));
+        let terms = Terms::new(Role::Entry, "entry", "here", Incarnation(0));
         let addresses = addresses.iter().map(SocketAddr::to_string).collect();
         let uplink = Uplink::start(addresses, terms, events, pond_log::silent(), Millis(0));
         Process { uplink, links, start: Instant::now() }
