--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -119,7 +119,7 @@
                     Call::Start {
                         run: *name,
                         text: order.text.clone(),
-                        checkpoint: order.save.clone(),
+                        checkpoint: order.checkpoint.clone(),
                         ticket: order.ticket.clone(),
                         lease_end_ms,
                     }
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -117,7 +117,7 @@
         let answered_recently =
             self.start_calls > 0 && self.last_start_at.since(answered_at) <= RECENT_ANSWER_MS;
         let met = self.confirmed_at.is_some() || answered_recently;
-        RunRow { lived_ms, unsent, met, ..self.row.clone() }
+        RunRow { survived_ms: lived_ms, unsent, met, ..self.row.clone() }
     }
 
     /// Marks the run to be stopped. The stop call does not wait for the answer to a start call in
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -355,7 +355,7 @@
     let last = harness.gone();
     assert!(!last.left);
     let reported: Vec<_> =
-        last.runs.iter().map(|row| (row.run.task.index, row.lived_ms, row.unsent)).collect();
+        last.runs.iter().map(|row| (row.run.task.index, row.survived_ms, row.unsent)).collect();
     assert_eq!(reported, [(0, 600, false), (1, 0, true), (2, 0, false), (3, 0, false)]);
 }
 
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -68,7 +68,12 @@
     fn end(&mut self, name: RunName, how: How) {
         if self.running.remove(&name) {
             let number = self.ends.len() as u64 + 1;
-            self.ends.push(EndRow { number, run: name, how: how as i32, save: String::new() });
+            self.ends.push(EndRow {
+                number,
+                run: name,
+                how: how as i32,
+                checkpoint: String::new(),
+            });
         }
     }
 
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -181,7 +181,7 @@
             number: *number,
             run: run(*index),
             how: *how as i32,
-            save: String::new(),
+            checkpoint: String::new(),
         };
         let runs = running.iter().map(row).collect();
         let ends = ended.iter().map(end).collect();
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -353,7 +353,7 @@
     harness.list(&[], &[(1, 7, How::Done)]);
     harness.advance(1_000);
     assert!(harness.last().runs.iter().any(|row| row.run == run(0)));
-    let end = EndRow { number: 2, run: run(0), how: How::Done as i32, save: String::new() };
+    let end = EndRow { number: 2, run: run(0), how: How::Done as i32, checkpoint: String::new() };
     harness.order(Order { settled: 1, ..Order::default() });
     harness.answer(is_list, Reply::Listed { runs: vec![], ends: vec![end] });
     harness.advance(1_000);
--- a/crates/pond-job/src/lead/blame.rs
+++ b/crates/pond-job/src/lead/blame.rs
@@ -222,7 +222,8 @@
             |run: RunName| clearing.get(&run).is_none_or(|at| now.since(*at) >= PROPOSAL_RETRY_MS);
         let survived = report.runs.iter().filter(|row| {
             let suspicion = state.suspicion(row.run);
-            suspicion.is_some_and(|suspicion| u64::from(row.lived_ms) >= suspicion.clears_at_ms())
+            suspicion
+                .is_some_and(|suspicion| u64::from(row.survived_ms) >= suspicion.clears_at_ms())
         });
         let runs: Vec<RunName> = survived.map(|row| row.run).filter(|run| due(*run)).collect();
         if runs.is_empty() {
--- a/crates/pond-job/src/lead/cache.rs
+++ b/crates/pond-job/src/lead/cache.rs
@@ -103,8 +103,10 @@
         candidate.add(run, step, !job.phase.ended(), interference);
         candidate.forced += usize::from(forced.contains(&run));
         if let Some(suspicion) = state.suspicion(run).filter(|suspicion| suspicion.suspect) {
-            candidate
-                .add_suspect(suspicion, worker.rows.get(&run).map_or(0, |row| row.lived_ms.into()));
+            candidate.add_suspect(
+                suspicion,
+                worker.rows.get(&run).map_or(0, |row| row.survived_ms.into()),
+            );
         }
     }
     candidate
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -250,16 +250,16 @@
                 // sent according to an earlier report may have been sent since and have taken the
                 // worker down.
                 let unsent = row.unsent && end.is_some();
-                let survived_ms = (!unsent).then_some(row.lived_ms.into());
+                let survived_ms = (!unsent).then_some(row.survived_ms.into());
                 let alive_at_start = row.met && end.is_some();
-                let started = !row.unlisted || row.lived_ms > 0;
+                let started = !row.unlisted || row.survived_ms > 0;
                 LostRun {
                     run,
                     survived_ms,
                     reported: true,
                     alive_at_start,
                     started,
-                    checkpoint: row.save.clone(),
+                    checkpoint: row.checkpoint.clone(),
                 }
             }
             // If the agent reported the end but not the run, it never received the order to start
@@ -371,5 +371,5 @@
 }
 
 fn end_from(row: &EndRow) -> End {
-    End { number: row.number, run: row.run, how: row.how(), checkpoint: row.save.clone() }
+    End { number: row.number, run: row.run, how: row.how(), checkpoint: row.checkpoint.clone() }
 }
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -211,5 +211,5 @@
     let job = state.job(run.task.job)?;
     let save = job.task(run.task)?.checkpoint.clone();
     let text = job.spec.text.clone();
-    Some(StartOrder { run, text, save, watch: watch?, ticket: ticket.to_owned() })
+    Some(StartOrder { run, text, checkpoint: save, watch: watch?, ticket: ticket.to_owned() })
 }
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -59,7 +59,7 @@
     for run in runs {
         vm.runs.remove(run);
         let number = vm.ends.len() as u64 + 1;
-        vm.ends.push(EndRow { number, run: *run, how: how as i32, save: String::new() });
+        vm.ends.push(EndRow { number, run: *run, how: how as i32, checkpoint: String::new() });
     }
     harness.report(incarnation);
     harness.run_until_idle();
--- a/crates/pond-job/tests/leases.rs
+++ b/crates/pond-job/tests/leases.rs
@@ -163,7 +163,7 @@
     let link = vm.link;
     harness.vms.insert("a2".to_owned(), vm);
     harness.report("a2");
-    let end = EndRow { number: 1, run: ended, how: How::Done as i32, save: String::new() };
+    let end = EndRow { number: 1, run: ended, how: How::Done as i32, checkpoint: String::new() };
     let ended_report =
         Report { worker: "a".to_owned(), gone: true, ends: vec![end], ..Report::default() };
     harness.leader.report(&harness.state, harness.now, link, "agent-of-a", ended_report);
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -191,7 +191,7 @@
         self.last_end += 1;
         let ended = self.ended.entry(name.task).or_default();
         *ended = name.number.max(*ended);
-        let end = EndRow { number: self.last_end, run: name, how: how as i32, save };
+        let end = EndRow { number: self.last_end, run: name, how: how as i32, checkpoint: save };
         self.ends.push(end);
     }
 
@@ -272,7 +272,13 @@
                 run.step.milli_cpu
             };
             let percent = run.percent(now, self.health);
-            RunRow { run: *name, save: run.checkpoint(), percent, figure, ..RunRow::default() }
+            RunRow {
+                run: *name,
+                checkpoint: run.checkpoint(),
+                percent,
+                figure,
+                ..RunRow::default()
+            }
         };
         self.runs.iter().map(row).collect()
     }
@@ -358,6 +364,6 @@
 
     fn checkpoint(&self) -> String {
         let part = (self.worked_ms * 1_000.0 / self.total_ms).min(1_000.0) as u32;
-        if self.step.saves && !self.step.lasting { part.to_string() } else { String::new() }
+        if self.step.checkpoints && !self.step.lasting { part.to_string() } else { String::new() }
     }
 }
--- a/crates/pond-job/tests/simulation/workload.rs
+++ b/crates/pond-job/tests/simulation/workload.rs
@@ -112,7 +112,7 @@
         milli_cpu,
         memory_mib: rng.random_range(100..900),
         estimate_ms: rng.random_range(300..1_500),
-        saves: rng.random_bool(0.5),
+        checkpoints: rng.random_bool(0.5),
         ..Step::default()
     }
 }
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -193,7 +193,7 @@
         let end = machine.down.map_or(self.harness.now, |(since, _)| since);
         let row = |(run, began): (&RunName, &Millis)| {
             let lived_ms = end.since(*began) as u32;
-            RunRow { run: *run, percent: 10, lived_ms, met: true, ..RunRow::default() }
+            RunRow { run: *run, percent: 10, survived_ms: lived_ms, met: true, ..RunRow::default() }
         };
         machine.runs.iter().map(row).collect()
     }
@@ -213,7 +213,7 @@
         vm.clock_ms += REPORT_MS;
         for run in ended_runs {
             let number = vm.ends.len() as u64 + 1;
-            vm.ends.push(EndRow { number, run, how: How::Done as i32, save: String::new() });
+            vm.ends.push(EndRow { number, run, how: How::Done as i32, checkpoint: String::new() });
         }
         vm.runs = rows.into_iter().map(|row| (row.run, row)).collect();
         self.harness.report(&incarnation);
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -312,7 +312,7 @@
         let Some(vm) = self.vms.get_mut(incarnation) else { return };
         vm.runs.remove(&run);
         let number = vm.ends.len() as u64 + 1;
-        vm.ends.push(EndRow { number, run, how: how as i32, save: save.to_owned() });
+        vm.ends.push(EndRow { number, run, how: how as i32, checkpoint: save.to_owned() });
         self.report(incarnation);
         self.run_until_idle();
     }
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -243,7 +243,7 @@
 ) {
     let row = |(run, lived_ms): &(RunName, u32)| RunRow {
         run: *run,
-        lived_ms: *lived_ms,
+        survived_ms: *lived_ms,
         met,
         ..RunRow::default()
     };
--- a/crates/pond-job/tests/unhealthy.rs
+++ b/crates/pond-job/tests/unhealthy.rs
@@ -45,7 +45,7 @@
         vm.runs.remove(run);
         let number = vm.ends.len() as u64 + 1;
         let how = How::Failed as i32;
-        vm.ends.push(EndRow { number, run: *run, how, save: String::new() });
+        vm.ends.push(EndRow { number, run: *run, how, checkpoint: String::new() });
     }
     harness.report(incarnation);
     harness.run_until_idle();
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -146,7 +146,7 @@
         number: 1,
         run: run(1, 0, 1),
         how: How::Done as i32,
-        save: String::new(),
+        checkpoint: String::new(),
     });
     harness.report("a");
     harness.run_until_idle_dropping(|change| matches!(change, Change::Ended { .. }));
@@ -176,7 +176,7 @@
         vm.runs.remove(&run(1, index, 1));
         let number = u64::from(index);
         let how = How::Done as i32;
-        vm.ends.push(EndRow { number, run: run(1, index, 1), how, save: String::new() });
+        vm.ends.push(EndRow { number, run: run(1, index, 1), how, checkpoint: String::new() });
         harness.report("a");
         harness.run_until_idle();
     }
@@ -206,7 +206,7 @@
         number,
         run: run(1, index, 1),
         how: How::Done as i32,
-        save: String::new(),
+        checkpoint: String::new(),
     };
     let vm = harness.vms.get_mut("a").unwrap();
     vm.runs.remove(&run(1, 0, 1));
@@ -340,7 +340,7 @@
             number: u64::from(index) + 1,
             run: run(1, index, 1),
             how: How::Done as i32,
-            save: String::new(),
+            checkpoint: String::new(),
         })
         .collect();
     harness.vms.get_mut("a").unwrap().runs.clear();
@@ -374,7 +374,7 @@
         number: 1,
         run: run(1, 0, 1),
         how: How::Done as i32,
-        save: String::new(),
+        checkpoint: String::new(),
     });
     vm.clock_ms += 7_000;
     harness.report("a");
@@ -386,7 +386,7 @@
         number: 2,
         run: run(1, 1, 1),
         how: How::Lapsed as i32,
-        save: String::new(),
+        checkpoint: String::new(),
     });
     harness.advance(2, &["a"]);
     let tasks: Vec<(bool, u32)> = [0, 1]
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -136,7 +136,7 @@
     pub run: RunName,
     /// The newest save of its progress; empty for none.
     #[prost(string, tag = "2")]
-    pub save: String,
+    pub checkpoint: String,
     /// How far it is, in percent.
     #[prost(uint32, tag = "3")]
     pub percent: u32,
@@ -150,7 +150,7 @@
     /// For how long the worker has been known to live on since the run was first known to be there, in
     /// milliseconds.
     #[prost(uint32, tag = "6")]
-    pub lived_ms: u32,
+    pub survived_ms: u32,
     /// No call to start it can have reached the worker.
     #[prost(bool, tag = "7")]
     pub unsent: bool,
@@ -174,7 +174,7 @@
     pub how: i32,
     /// The newest save of its progress; empty for none.
     #[prost(string, tag = "4")]
-    pub save: String,
+    pub checkpoint: String,
 }
 
 /// Agent to control: all that it knows of its worker.
@@ -242,7 +242,7 @@
     pub text: String,
     /// The save to go on from; empty for none.
     #[prost(string, tag = "3")]
-    pub save: String,
+    pub checkpoint: String,
     /// How the agent should watch it.
     #[prost(message, required, tag = "4")]
     pub watch: Watch,
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -44,7 +44,8 @@
     pub after: Vec<u32>,
     /// Whether tasks save their progress and can go on from it.
     #[prost(bool, tag = "7")]
-    pub saves: bool,
+    #[serde(rename = "saves")]
+    pub checkpoints: bool,
     /// Whether all tasks must run at the same time.
     #[prost(bool, tag = "8")]
     pub gang: bool,
