--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -99,7 +99,11 @@
     fn wait_ms(&self) -> Span {
         let watches = || self.runs.values().filter_map(|run| run.watch.as_ref());
         let serves = watches().any(|watch| watch.tail_target_ms > 0);
-        if serves && watches().any(|watch| watch.fills) { SHORT_LIST_WAIT_MS } else { LIST_WAIT_MS }
+        if serves && watches().any(|watch| watch.best_effort) {
+            SHORT_LIST_WAIT_MS
+        } else {
+            LIST_WAIT_MS
+        }
     }
 
     /// Makes the call that is due for each run without a call in flight.
@@ -143,7 +147,7 @@
         });
         let mut groups: BTreeMap<String, Group> = BTreeMap::new();
         for watch in self.runs.values().filter_map(|run| run.watch.as_ref()) {
-            if watch.fills {
+            if watch.best_effort {
                 let group =
                     groups.entry(watch.image.clone()).or_insert(Group { blame_permille: 0 });
                 group.blame_permille += u64::from(watch.blame_permille);
@@ -152,7 +156,9 @@
         self.pacing.update(now, serving, &groups);
         let mut calls = Vec::new();
         for (name, run) in &mut self.runs {
-            let Some(watch) = run.watch.as_ref().filter(|watch| watch.fills) else { continue };
+            let Some(watch) = run.watch.as_ref().filter(|watch| watch.best_effort) else {
+                continue;
+            };
             let percent = self.pacing.pace(&watch.image);
             if run.phase == Phase::Running && run.pace != Some(percent) && !run.calling {
                 run.calling = true;
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -246,5 +246,5 @@
 
 pub fn best_effort(index: u32, image: &str, blame_permille: u32) -> Watch {
     let image = image.to_owned();
-    Watch { run: run(index), fills: true, image, blame_permille, ..Watch::default() }
+    Watch { run: run(index), best_effort: true, image, blame_permille, ..Watch::default() }
 }
--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -138,7 +138,7 @@
         estimate_ms: 1_000,
         image: serving_image(i),
         tail_target_ms: 18,
-        lasting: true,
+        long_running: true,
         ..Step::default()
     }
 }
@@ -150,7 +150,7 @@
         memory_mib: 500,
         estimate_ms: 10_000,
         image: best_effort_image(i),
-        fills: true,
+        best_effort: true,
         ..Step::default()
     }
 }
--- a/crates/pond-job/src/lead/candidate.rs
+++ b/crates/pond-job/src/lead/candidate.rs
@@ -143,7 +143,7 @@
     ) {
         self.serving_runs.extend(interference.placed_run(run, step, job_active));
         self.best_effort_tasks.extend(interference.best_effort(step, self.total_milli_cpu));
-        self.finite_runs += usize::from(!step.lasting);
+        self.finite_runs += usize::from(!step.long_running);
         self.occupy(run.task, step);
     }
 
@@ -188,12 +188,12 @@
         if let Some(serving) = serving {
             self.add_serving(serving, interference);
         }
-        if step.fills {
+        if step.best_effort {
             let best_effort = BestEffort { image, share: self.share(step) };
             interference.add_best_effort(&mut self.budgets, &best_effort);
             self.best_effort_tasks.push(best_effort);
         }
-        if !step.lasting {
+        if !step.long_running {
             self.finite_allowance = self.finite_allowance.saturating_sub(1);
         }
         self.occupy(task, step);
@@ -240,8 +240,9 @@
         step: &Step,
         tolerate_interference: bool,
     ) -> bool {
-        let busy =
-            !tolerate_interference && step.fills && self.idle_milli_cpu < i64::from(step.milli_cpu);
+        let busy = !tolerate_interference
+            && step.best_effort
+            && self.idle_milli_cpu < i64::from(step.milli_cpu);
         self.may_start(pool, task, step)
             && self.unhealthy_for(step).is_none()
             && step.size().fits(self.unreserved(task))
@@ -257,7 +258,7 @@
     fn occupy(&mut self, task: TaskName, step: &Step) {
         self.free = minus(self.free, step.size());
         self.idle_milli_cpu -= expected_use(step);
-        if !step.lasting {
+        if !step.long_running {
             self.finite_size = self.finite_size.plus(step.size());
         }
         *self.steps.entry(task.into()).or_default() += 1;
@@ -290,7 +291,7 @@
             Some(Obstacle::NoRoom)
         } else if !step.size().fits(self.unreserved(task)) {
             Some(Obstacle::Reserved)
-        } else if step.fills && self.idle_milli_cpu < i64::from(step.milli_cpu) {
+        } else if step.best_effort && self.idle_milli_cpu < i64::from(step.milli_cpu) {
             Some(Obstacle::Busy)
         } else {
             None
@@ -317,7 +318,7 @@
     fn unhealthy_for(&self, step: &Step) -> Option<Obstacle> {
         if self.in_backoff {
             Some(Obstacle::Backoff)
-        } else if !step.lasting && self.finite_allowance == 0 {
+        } else if !step.long_running && self.finite_allowance == 0 {
             Some(Obstacle::Probing)
         } else {
             None
@@ -425,14 +426,14 @@
     /// one more task.
     pub fn excess_with(&self, step: &Step, impact: &Impact) -> f64 {
         // Only best-effort tasks add utilization.
-        let share = if step.fills { self.share(step) } else { 0.0 };
+        let share = if step.best_effort { self.share(step) } else { 0.0 };
         impact.excess(&self.budgets, share)
     }
 
     /// Returns whether the task is best-effort and there are serving tasks that it could interfere
     /// with.
     fn may_interfere(&self, step: &Step) -> bool {
-        step.fills && !self.budgets.is_empty()
+        step.best_effort && !self.budgets.is_empty()
     }
 
     /// Returns the share of this worker's processors that a task requests.
--- a/crates/pond-job/src/lead/duration.rs
+++ b/crates/pond-job/src/lead/duration.rs
@@ -117,7 +117,7 @@
         let Some((job, step)) = job.and_then(|job| Some((job, job.step(run.task)?))) else {
             return;
         };
-        if step.lasting || step.estimate_ms == 0 {
+        if step.long_running || step.estimate_ms == 0 {
             return;
         }
         let (queue, estimate_ms) = (job.queue.clone(), step.estimate_ms);
--- a/crates/pond-job/src/lead/interference.rs
+++ b/crates/pond-job/src/lead/interference.rs
@@ -175,7 +175,9 @@
     fn recent_use(&mut self, state: &State, report: &Report) -> Vec<(Image, f64)> {
         let mut best_effort_use: BTreeMap<Image, f64> = BTreeMap::new();
         for row in report.runs.iter().filter(|row| row.figure > 0) {
-            let Some(step) = state.step(row.run.task).filter(|step| step.fills) else { continue };
+            let Some(step) = state.step(row.run.task).filter(|step| step.best_effort) else {
+                continue;
+            };
             let image = self.images.key(&step.image);
             *best_effort_use.entry(image).or_default() += share(row.figure, report.milli_cpu);
         }
@@ -264,7 +266,7 @@
     /// Returns a best-effort task on a worker with that many thousandths of a processor; `None` for
     /// other tasks.
     pub fn best_effort(&mut self, step: &Step, total_milli_cpu: u32) -> Option<BestEffort> {
-        if !step.fills {
+        if !step.best_effort {
             return None;
         }
         let image = self.images.key(&step.image);
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -95,7 +95,7 @@
             watches.push(Watch {
                 run,
                 tail_target_ms: step.tail_target_ms,
-                fills: step.fills,
+                best_effort: step.best_effort,
                 image: step.image.clone(),
                 blame_permille: permille(blame),
                 tell_ms: report_after_ms(state, run),
--- a/crates/pond-job/src/lead/overdue.rs
+++ b/crates/pond-job/src/lead/overdue.rs
@@ -85,7 +85,7 @@
     /// or before the maximum wait is over. Each unplaced long-running task counts as starved,
     /// whatever else is running.
     fn of(now: Millis, group: &Group<'_>, wait: Wait, ample: bool) -> Option<Placement> {
-        let long_running = group.step.lasting;
+        let long_running = group.step.long_running;
         let waited_ms = now.since(wait.since);
         // Users tolerate the same wait of long-running tasks however full the pool is.
         let short = ample || long_running;
@@ -230,7 +230,7 @@
         if !keeps_attempts {
             ignored_obstacles.extend(UNHEALTHY);
         }
-        if group.step.lasting {
+        if group.step.long_running {
             // The next suspect may arrive as soon as one is cleared, so waiting for a worker
             // without suspects has no bound.
             ignored_obstacles.push(Obstacle::Suspect);
@@ -288,7 +288,7 @@
         let number = tasks.iter().map(|task| task.run).max().unwrap_or(0) + 1;
         return (0..tasks.len()).filter(|_| all_waiting).map(|index| (index, number)).collect();
     }
-    if group.step.lasting {
+    if group.step.long_running {
         return waiting().map(next).collect();
     }
     waiting().min_by_key(|(_, task)| task.failures).map(next).into_iter().collect()
--- a/crates/pond-job/src/lead/plan.rs
+++ b/crates/pond-job/src/lead/plan.rs
@@ -43,7 +43,7 @@
         let mut ready = ready(state, now, wall, &mut self.interference, &self.durations);
         let mut deferred = Vec::new();
         if self.batches_serving(state, now, &ready) {
-            let proceeds = |group: &Group<'_>| group.serving.is_none() && !group.step.fills;
+            let proceeds = |group: &Group<'_>| group.serving.is_none() && !group.step.best_effort;
             (ready, deferred) = ready.into_iter().partition(proceeds);
         }
         if ready.is_empty() {
@@ -230,7 +230,7 @@
 /// Reserves capacity for the tasks of a step from `first` on. Only long-running tasks justify idle
 /// capacity: other tasks find a place sooner or later, and reserved capacity goes unused.
 fn reserve_capacity(group: &Group<'_>, first: usize, candidates: &mut [Candidate]) {
-    if !group.step.lasting {
+    if !group.step.long_running {
         return;
     }
     let waiting = |(_, task): &(usize, &Task)| task.is_pending();
--- a/crates/pond-job/src/lead/progress.rs
+++ b/crates/pond-job/src/lead/progress.rs
@@ -82,13 +82,13 @@
         return false;
     };
     let elapsed_ms = now.since(progress.since);
-    if step.lasting {
+    if step.long_running {
         return progress.percent < 100 && elapsed_ms >= LONG_RUNNING_START_MS;
     }
     if progress.percent >= 100 {
         return elapsed_ms >= BEST_EFFORT_STALL_MS;
     }
-    let limit_ms = if step.fills { BEST_EFFORT_STALL_MS } else { STALL_MS };
+    let limit_ms = if step.best_effort { BEST_EFFORT_STALL_MS } else { STALL_MS };
     // A hundredth of the work should be visible within a hundredth of the time; slow workers get
     // more.
     elapsed_ms >= limit_ms.max(step.estimate_ms * STALL_ESTIMATE_TENTHS / 10)
--- a/crates/pond-job/src/lead/rank.rs
+++ b/crates/pond-job/src/lead/rank.rs
@@ -107,8 +107,8 @@
             label: &step.required_label,
             size: step.size(),
             image: group.image,
-            best_effort: step.fills,
-            long_running: step.lasting,
+            best_effort: step.best_effort,
+            long_running: step.long_running,
         })
     }
 }
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -143,7 +143,7 @@
     });
     let target_at = due + span;
     let end = wall + remaining_ms(job, time, takes_ms);
-    let prospect = if job.spec.steps.iter().any(|step| step.lasting) || end <= target_at {
+    let prospect = if job.spec.steps.iter().any(|step| step.long_running) || end <= target_at {
         Prospect::InTime
     } else if end <= due + span * WORTHLESS_SPANS {
         Prospect::Late
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -83,7 +83,7 @@
         job.begun = true;
         let max_attempts = job.max_attempts;
         let Some(step) = job.step(run.task) else { return };
-        let (lasting, gang) = (step.lasting, step.gang);
+        let (lasting, gang) = (step.long_running, step.gang);
         let Some(task) = job.task_mut(run.task) else { return };
         if !checkpoint.is_empty() {
             task.checkpoint = checkpoint;
--- a/crates/pond-job/tests/advice.rs
+++ b/crates/pond-job/tests/advice.rs
@@ -132,7 +132,7 @@
 #[test]
 fn adviser_is_asked_about_a_worker_whose_room_is_reserved_for_the_step() {
     let mut harness = Harness::new().with_vm("a", 1_000);
-    harness.submit_advised(1, vec![Step { lasting: true, ..step(1, 1_000) }]);
+    harness.submit_advised(1, vec![Step { long_running: true, ..step(1, 1_000) }]);
     harness.run_until_idle();
     assert_eq!(harness.questions.len(), 1);
     allow(&mut harness, &["a"]);
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -167,11 +167,12 @@
 fn worker_that_is_probed_for_long_takes_work_although_a_full_healthy_one_exists() {
     let mut harness = probed_for_long();
     harness.add_vm("b", 4_000);
-    harness.submit(20, vec![Step { lasting: true, data_rack: String::new(), ..step(1, 4_000) }]);
+    harness
+        .submit(20, vec![Step { long_running: true, data_rack: String::new(), ..step(1, 4_000) }]);
     harness.run_until_idle();
     // The long-running task may have gone to either worker; make sure that `b` is full.
     if harness.worker_of(task(20, 0, 0)).as_deref() != Some("b") {
-        harness.submit(21, vec![Step { lasting: true, ..step(1, 4_000) }]);
+        harness.submit(21, vec![Step { long_running: true, ..step(1, 4_000) }]);
         harness.run_until_idle();
     }
     let b_is_full =
@@ -190,7 +191,7 @@
     harness.submit(30, vec![Step { estimate_ms: 600_000, most_per_worker: 1, ..step(2, 7_000) }]);
     harness.run_until_idle();
     advance(&mut harness, &["a", "b"], 0, 0);
-    harness.submit(31, vec![Step { lasting: true, ..step(2, 9_500) }]);
+    harness.submit(31, vec![Step { long_running: true, ..step(2, 9_500) }]);
     harness.submit(32, vec![step(1, 4_000)]);
     let waited_ms = waits_ms(&mut harness, &["a", "b"], 32);
     assert!(waited_ms <= MAX_WAIT_MS, "{waited_ms}");
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -365,7 +365,7 @@
 #[test]
 fn lease_extended_for_other_runs_is_sent_with_the_stop_of_a_late_run() {
     let (mut harness, run) = unstarted_and_cancelled();
-    harness.submit(2, vec![Step { lasting: true, ..step(1, 500) }]);
+    harness.submit(2, vec![Step { long_running: true, ..step(1, 500) }]);
     harness.run_until_idle();
     harness.start_ordered("a");
     let vm = harness.vms.get_mut("a").unwrap();
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -77,7 +77,7 @@
 fn running_work_continues_and_its_next_step_starts_elsewhere() {
     let mut harness = Harness::new().with_vm_in("north", "a", 8_000);
     harness.submit(1, vec![step(1, 1_000), Step { after: vec![0], ..step(1, 1_000) }]);
-    harness.submit(2, vec![Step { lasting: true, ..step(1, 1_000) }]);
+    harness.submit(2, vec![Step { long_running: true, ..step(1, 1_000) }]);
     harness.run_until_idle();
     harness.start_ordered("a");
     harness.report("a");
@@ -153,7 +153,7 @@
     harness.evacuate("north");
     harness.evacuate("south");
     harness.submit(1, vec![step(4, 2_000)]);
-    harness.submit(2, vec![Step { lasting: true, ..step(2, 1_000) }]);
+    harness.submit(2, vec![Step { long_running: true, ..step(2, 1_000) }]);
     harness.advance(60, &["a", "b"]);
     assert!(harness.started("a").is_empty() && harness.started("b").is_empty());
     assert_eq!(harness.phase(1), Some(Phase::Queued));
--- a/crates/pond-job/tests/order.rs
+++ b/crates/pond-job/tests/order.rs
@@ -45,7 +45,7 @@
 #[test]
 fn long_running_work_never_expires() {
     let mut harness = Harness::new();
-    harness.submit(1, vec![Step { lasting: true, ..step(1, 800) }]);
+    harness.submit(1, vec![Step { long_running: true, ..step(1, 800) }]);
     harness.advance(20, &[]);
     harness.submit(2, vec![step(1, 800)]);
     harness.add_vm("a", 1_000);
--- a/crates/pond-job/tests/placement.rs
+++ b/crates/pond-job/tests/placement.rs
@@ -101,7 +101,7 @@
     let mut harness = Harness::new().with_vm("a", 4_000);
     harness.submit_batch(1, vec![step(40, 500)]);
     harness.run_until_idle();
-    harness.submit(2, vec![Step { lasting: true, ..step(1, 3_000) }]);
+    harness.submit(2, vec![Step { long_running: true, ..step(1, 3_000) }]);
     harness.run_until_idle();
     for _ in 0..8 {
         harness.start_ordered("a");
@@ -114,7 +114,7 @@
 #[test]
 fn worker_with_long_running_runs_is_probed_after_failures() {
     let mut harness = Harness::new().with_vm("a", 4_000);
-    harness.submit(1, vec![Step { lasting: true, ..step(1, 500) }]);
+    harness.submit(1, vec![Step { long_running: true, ..step(1, 500) }]);
     harness.run_until_idle();
     harness.start_ordered("a");
     for job in 2..4 {
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -119,7 +119,7 @@
             if let Some(other) = tasks.insert(name.task, worker.incarnation.clone()) {
                 violations.push(format!("{name} runs on {} and on {other}", worker.incarnation));
             }
-            if run.step.lasting {
+            if run.step.long_running {
                 last_ran.push(name.task);
             }
         }
@@ -200,7 +200,7 @@
         for (id, job) in self.state.active().filter(|(_, job)| !job.phase.ended()) {
             for (step_index, step) in job.spec.steps.iter().enumerate() {
                 let idle = !long_running_only && !jobs_running.contains(&id);
-                if !(idle || step.lasting)
+                if !(idle || step.long_running)
                     || !job.is_step_ready(0, step_index)
                     || !self.fits_twice(id, step)
                 {
@@ -213,7 +213,7 @@
                     if idle {
                         waiting.push(Waiter::Job(id));
                     }
-                    if step.lasting && !running.contains(&task) && self.is_overdue(task) {
+                    if step.long_running && !running.contains(&task) && self.is_overdue(task) {
                         waiting.push(Waiter::Task(task));
                     }
                 }
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -254,9 +254,9 @@
                 requested
             }
         };
-        let others: f64 = self.runs.iter().filter(|(_, run)| !run.step.fills).map(used).sum();
+        let others: f64 = self.runs.iter().filter(|(_, run)| !run.step.best_effort).map(used).sum();
         let requested: f64 =
-            self.runs.values().filter(|run| run.step.fills).map(Run::requested).sum();
+            self.runs.values().filter(|run| run.step.best_effort).map(Run::requested).sum();
         ((f64::from(self.room.milli_cpu) - others).max(0.0) / requested.max(1.0)).min(1.0)
     }
 
@@ -266,7 +266,7 @@
         let row = |(name, run): (&RunName, &Run)| {
             let figure = if run.step.serves() {
                 self.tail_ms(workload, now, *name, run, rate)
-            } else if run.step.fills {
+            } else if run.step.best_effort {
                 (run.requested() * rate) as u32
             } else {
                 run.step.milli_cpu
@@ -294,7 +294,7 @@
         rate: f64,
     ) -> u32 {
         let mut utilization = Worker::load(workload, name, now);
-        for other in self.runs.values().filter(|other| other.step.fills) {
+        for other in self.runs.values().filter(|other| other.step.best_effort) {
             let share = other.requested() * rate / f64::from(self.room.milli_cpu);
             utilization += workload.interference(&run.step.image, &other.step.image) * share;
         }
@@ -324,7 +324,7 @@
     ) {
         self.gang_complete |= complete_gangs.contains(&gang_of(name));
         let works = !self.step.gang || self.gang_complete;
-        let rate = if self.step.fills { rate * self.pace } else { 1.0 };
+        let rate = if self.step.best_effort { rate * self.pace } else { 1.0 };
         if works {
             self.worked_ms += span as f64 * rate;
         }
@@ -347,7 +347,7 @@
             Some(How::Alone)
         } else if self.always_fails && self.worked_ms * 2.0 >= self.total_ms {
             Some(How::Failed)
-        } else if !self.step.lasting && self.worked_ms >= self.total_ms {
+        } else if !self.step.long_running && self.worked_ms >= self.total_ms {
             Some(How::Done)
         } else {
             None
@@ -355,7 +355,7 @@
     }
 
     fn percent(&self, now: Millis, health: Health) -> u32 {
-        if self.step.lasting {
+        if self.step.long_running {
             let warm = now.since(self.began) >= WARM_UP_MS && health != Health::Stalled;
             return if warm { 100 } else { 0 };
         }
@@ -364,6 +364,10 @@
 
     fn checkpoint(&self) -> String {
         let part = (self.worked_ms * 1_000.0 / self.total_ms).min(1_000.0) as u32;
-        if self.step.checkpoints && !self.step.lasting { part.to_string() } else { String::new() }
+        if self.step.checkpoints && !self.step.long_running {
+            part.to_string()
+        } else {
+            String::new()
+        }
     }
 }
--- a/crates/pond-job/tests/simulation/workload.rs
+++ b/crates/pond-job/tests/simulation/workload.rs
@@ -36,11 +36,11 @@
 
 impl Submission {
     pub fn is_long_running(&self) -> bool {
-        self.spec.steps.iter().any(|step| step.lasting)
+        self.spec.steps.iter().any(|step| step.long_running)
     }
 
     pub fn is_best_effort(&self) -> bool {
-        self.spec.steps.iter().any(|step| step.fills)
+        self.spec.steps.iter().any(|step| step.best_effort)
     }
 }
 
@@ -121,7 +121,7 @@
     let (tasks, milli_cpu) = (rng.random_range(2..=25), rng.random_range(1..=7) * 1_000);
     let image = choose(rng, &BEST_EFFORT_IMAGES).to_owned();
     let estimate_ms = rng.random_range(500..3_000);
-    Step { fills: true, image, estimate_ms, ..step(rng, tasks, milli_cpu) }
+    Step { best_effort: true, image, estimate_ms, ..step(rng, tasks, milli_cpu) }
 }
 
 /// Returns a step whose tasks reserve their processors; one in ten such steps has large tasks.
@@ -186,7 +186,7 @@
     let each = rng.random_range(2..=6) * 1_000;
     let tasks = (milli_cpu / each).max(1);
     let mut serving_step = Step {
-        lasting: true,
+        long_running: true,
         image: choose(rng, &SERVING_IMAGES).to_owned(),
         tail_target_ms: rng.random_range(18..80),
         memory_mib: rng.random_range(500..2_000),
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -135,7 +135,7 @@
 fn jobs_take_turns_while_room_is_scarce() {
     let mut harness = with_known_interference();
     // Three quarters of the processors are requested now.
-    harness.submit(2_000, vec![Step { lasting: true, ..step(2, 8_000) }]);
+    harness.submit(2_000, vec![Step { long_running: true, ..step(2, 8_000) }]);
     advance(&mut harness, IDLE);
     for job in 3..10 {
         harness.submit_batch(job, vec![best_effort("noisy", 40)]);
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn long_running_task_is_never_done() {
-    let mut state = state(vec![Step { lasting: true, ..step(1, 100) }]);
+    let mut state = state(vec![Step { long_running: true, ..step(1, 100) }]);
     start(&mut state, run(0, 0, 1), "a");
     end(&mut state, "a", 1, run(0, 0, 1), How::Done);
     assert_eq!(phase(&state), Phase::Running);
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -202,7 +202,8 @@
     fn report(&mut self, index: usize) {
         let (incarnation, now) = (self.machines[index].incarnation(index), self.harness.now);
         let state = &self.harness.state;
-        let is_long_running = |run: &RunName| state.step(run.task).is_some_and(|step| step.lasting);
+        let is_long_running =
+            |run: &RunName| state.step(run.task).is_some_and(|step| step.long_running);
         let done = |run: &RunName, began: &mut Millis| {
             now.since(*began) >= WORK_MS && !is_long_running(run)
         };
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -61,12 +61,12 @@
 /// A serving step with a tail latency target of 18 ms, on a quarter of a worker with 32 processors.
 pub fn serving() -> Step {
     let image = "till".to_owned();
-    Step { lasting: true, image, tail_target_ms: 18, ..step(1, 8_000) }
+    Step { long_running: true, image, tail_target_ms: 18, ..step(1, 8_000) }
 }
 
 /// Best-effort tasks of an image, each of which requests a tenth of such a worker.
 pub fn best_effort(image: &str, tasks: u32) -> Step {
-    Step { fills: true, image: image.to_owned(), ..step(tasks, 3_200) }
+    Step { best_effort: true, image: image.to_owned(), ..step(tasks, 3_200) }
 }
 
 /// A worker and its agent as the leader sees them.
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn long_running_task_is_given_up_as_well() {
-    let mut state = state(vec![Step { lasting: true, ..step(1, 100) }]);
+    let mut state = state(vec![Step { long_running: true, ..step(1, 100) }]);
     lose(&mut state, &[Verdict::Suspected, Verdict::Proven, Verdict::Proven]);
     assert_eq!(phase(&state), Phase::Failed);
 }
--- a/crates/pond-job/tests/unhealthy.rs
+++ b/crates/pond-job/tests/unhealthy.rs
@@ -103,7 +103,7 @@
         harness.cancel(job);
     }
     harness.add_vm("b", 4_000);
-    harness.submit(30, vec![Step { lasting: true, ..step(1, 4_000) }]);
+    harness.submit(30, vec![Step { long_running: true, ..step(1, 4_000) }]);
     harness.run_until_idle();
     assert_eq!(harness.worker_of(task(30, 0, 0)).as_deref(), Some("b"));
     harness.submit(31, vec![step(1, 2_000)]);
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -254,7 +254,7 @@
 
 #[test]
 fn new_leader_places_finite_tasks_after_200_ms_and_serving_ones_after_one_second() {
-    let serving = Step { lasting: true, tail_target_ms: 50, ..step(1, 100) };
+    let serving = Step { long_running: true, tail_target_ms: 50, ..step(1, 100) };
     for (waiting, known, longest) in
         [(step(1, 100), false, 300), (serving.clone(), true, 450), (serving, false, 1_050)]
     {
@@ -279,7 +279,8 @@
 
 #[test]
 fn long_running_task_that_fits_nowhere_holds_no_other_back() {
-    let long_running = |milli_cpu| Step { lasting: true, tail_target_ms: 50, ..step(1, milli_cpu) };
+    let long_running =
+        |milli_cpu| Step { long_running: true, tail_target_ms: 50, ..step(1, milli_cpu) };
     let mut harness = Harness::new().with_vm("a", 1_000);
     harness.submit(1, vec![long_running(5_000)]);
     harness.advance(3, &["a"]);
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -263,7 +263,7 @@
     pub tail_target_ms: u32,
     /// Whether it fills what others leave.
     #[prost(bool, tag = "3")]
-    pub fills: bool,
+    pub best_effort: bool,
     /// Its image; filling runs of one image are slowed down together.
     #[prost(string, tag = "4")]
     pub image: String,
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -66,7 +66,8 @@
     pub backups: bool,
     /// Whether the tasks run until the job is cancelled.
     #[prost(bool, tag = "14")]
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// Names the program that the tasks run; tasks of one image behave alike.
     #[prost(string, tag = "15")]
     pub image: String,
@@ -75,7 +76,8 @@
     pub tail_target_ms: u32,
     /// Whether the tasks only use processors that others leave unused.
     #[prost(bool, tag = "17")]
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub best_effort: bool,
     /// How many lasting tasks of the step may be away at once through planned stops.
     #[prost(uint32, tag = "18")]
     pub may_miss: u32,
@@ -84,7 +86,7 @@
 impl Step {
     /// What one task takes of a worker's room. A filling task takes no processors of it.
     pub fn size(&self) -> Size {
-        let milli_cpu = if self.fills { 0 } else { self.milli_cpu };
+        let milli_cpu = if self.best_effort { 0 } else { self.milli_cpu };
         Size::new(milli_cpu, self.memory_mib, self.accelerators)
     }
 
@@ -96,14 +98,14 @@
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let kind = if self.fills { "filling" } else { "asking" };
-        let lasting = if self.lasting { "lasting " } else { "" };
+        let kind = if self.best_effort { "filling" } else { "asking" };
+        let lasting = if self.long_running { "lasting " } else { "" };
         write!(f, "{} {lasting}tasks {kind} {} milli-cpu ", self.tasks, self.milli_cpu)?;
         write!(f, "{} MiB {} ms", self.memory_mib, self.estimate_ms)?;
         if !self.image.is_empty() {
             write!(f, " image {}", self.image)?;
         }
-        if self.lasting {
+        if self.long_running {
             write!(f, " may miss {}", self.may_miss)?;
         }
         if self.most_per_worker > 0 {
