--- a/crates/pond-agent/src/agent.rs
+++ b/crates/pond-agent/src/agent.rs
@@ -122,7 +122,7 @@
             Notification::Frame(Body::Order(order)) => {
                 event!(self.log, ORDERED, "worker" => order.worker.clone(), "term" => order.term,
                     "starts" => order.starts.len(), "stops" => order.stops.len(),
-                    "lease_end_ms" => order.lease_end_ms, "settled" => order.settled);
+                    "lease_end_ms" => order.lease_end_ms, "settled" => order.committed);
                 self.core.order(now, order);
             }
             Notification::Leader { .. } | Notification::Lost | Notification::Frame(_) => {}
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -346,7 +346,7 @@
         }
         self.term = order.term;
         self.lease_end_ms = self.lease_end_ms.max(order.lease_end_ms);
-        self.commit_ends(now, order.settled);
+        self.commit_ends(now, order.committed);
         for run in &order.forget {
             self.unstarted.remove(run);
         }
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -99,7 +99,7 @@
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.advance(1_000);
     assert_eq!(harness.last().ends.len(), 1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_000);
     assert!(harness.last().ends.is_empty());
 }
@@ -108,7 +108,7 @@
 fn worker_may_forget_only_committed_ends() {
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done), (2, 1, How::Done)]);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     for _ in 0..5 {
         harness.advance(1_000);
     }
@@ -447,7 +447,7 @@
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.start(1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(100);
     assert_eq!(harness.acknowledged.len(), 0);
     harness.answer(is_start, Reply::Done);
@@ -460,7 +460,7 @@
 fn nothing_is_started_while_an_acknowledgement_is_in_flight() {
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     assert_eq!(harness.acknowledged, [1]);
     harness.start(1);
     assert_eq!(harness.count(is_start), 0);
@@ -473,7 +473,7 @@
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.start(1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_050);
     harness.start(2);
     assert_eq!(harness.count(is_start), 1);
@@ -484,7 +484,7 @@
     let mut harness = Harness::new();
     harness.list(&[], &[(1, 0, How::Done)]);
     harness.start(1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_050);
     harness.start(2);
     harness.advance(200);
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -320,7 +320,7 @@
         harness.order_stop(0);
         harness.advance_until(100, |harness| !harness.last().ends.is_empty());
         let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        harness.order(Order { settled, ..Order::default() });
+        harness.order(Order { committed: settled, ..Order::default() });
         harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
@@ -484,7 +484,7 @@
     harness.advance(2_500);
     harness.worker.stop(run(0));
     harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().ends.len() == 1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.stops.clear();
     harness.advance(10_000);
     assert_eq!(harness.stops, []);
@@ -540,7 +540,7 @@
         harness.order(stop);
         harness.advance_until(100, |harness| !harness.last().ends.is_empty());
         let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        harness.order(Order { term: TERM + 1, settled, ..Order::default() });
+        harness.order(Order { term: TERM + 1, committed: settled, ..Order::default() });
         harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -309,7 +309,7 @@
     let late =
         harness.calls.remove(harness.calls.iter().position(|(_, call)| is_list(call)).unwrap());
     harness.list(&[], &[(1, 0, How::Done)]);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     let reply = Reply::Listed { runs: vec![row(90)], ends: vec![] };
     let answer = Answer { clock_ms: Some(51_000), reply };
     harness.core.answer(harness.now, INCARNATION, harness.token, late.0, &late.1, answer);
@@ -354,7 +354,7 @@
     harness.advance(1_000);
     assert!(harness.last().runs.iter().any(|row| row.run == run(0)));
     let end = EndRow { number: 2, run: run(0), how: How::Done as i32, checkpoint: String::new() };
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.answer(is_list, Reply::Listed { runs: vec![], ends: vec![end] });
     harness.advance(1_000);
     assert_eq!(harness.last().ends.len(), 1);
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -123,7 +123,7 @@
             worker: incarnation.to_owned(),
             term: self.term,
             lease_end_ms: worker.clock_ms + self.timing.lease_ms,
-            settled: state.last_committed_end(incarnation),
+            committed: state.last_committed_end(incarnation),
             forget: std::mem::take(&mut worker.forget).into_iter().collect(),
             starts,
             stops: stops(now, worker, &wanted),
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -291,7 +291,7 @@
     pub lease_end_ms: u64,
     /// Ends up to this number are settled.
     #[prost(uint64, tag = "4")]
-    pub settled: u64,
+    pub committed: u64,
     /// Runs to start; one that was ordered before is not started again.
     #[prost(message, repeated, tag = "5")]
     pub starts: Vec<StartOrder>,
