--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -58,7 +58,7 @@
             (WireRole::Control, Body::Quorum(letter)) => self.letter(now, letter),
             (WireRole::Control, Body::Beat(beat)) => self.compare(link, &beat),
             (_, Body::ViewAck(ack)) => self.publisher.acknowledged(link, ack),
-            (WireRole::Entry, Body::ClaimAsk(ask)) => self.claim(now, link, ask),
+            (WireRole::Entry, Body::ClaimRequest(ask)) => self.claim(now, link, ask),
             (WireRole::Entry, Body::ClaimEnd(end)) => self.end_claim(now, end),
             _ => {}
         }
--- a/crates/pond-control/src/replica/orders.rs
+++ b/crates/pond-control/src/replica/orders.rs
@@ -3,7 +3,7 @@
 use pond_link::LinkKey;
 use pond_log::event;
 use pond_proto::Millis;
-use pond_proto::wire::{Body, ClaimAsk, ClaimEnd, ClaimTell, Verdict};
+use pond_proto::wire::{Body, ClaimEnd, ClaimReply, ClaimRequest, Verdict};
 use pond_quorum::Input as QuorumInput;
 use pond_state::{Change, Holder, KeptAnswer, Meta, Order as StateOrder, Reply};
 
@@ -23,7 +23,7 @@
         self.propose(now, Change::Order { meta, order }, Waiter::Operator(reply));
     }
 
-    pub(super) fn claim(&mut self, now: Millis, link: LinkKey, ask: ClaimAsk) {
+    pub(super) fn claim(&mut self, now: Millis, link: LinkKey, ask: ClaimRequest) {
         let ticket = ask.ticket;
         let change = Change::Claim {
             at: self.parts.clock.wall(),
@@ -89,8 +89,8 @@
             }
             Waiter::Claim { link, ticket } => {
                 let verdict = Verdict::NoQuorum as i32;
-                let message = ClaimTell { ticket, verdict, answer: None };
-                self.publisher.send(link, Body::ClaimTell(message));
+                let message = ClaimReply { ticket, verdict, answer: None };
+                self.publisher.send(link, Body::ClaimReply(message));
             }
             Waiter::Own => {}
         }
@@ -115,8 +115,8 @@
                     body: kept.body,
                     ..Default::default()
                 });
-                let message = ClaimTell { ticket, verdict: decided.verdict, answer };
-                self.publisher.send(link, Body::ClaimTell(message));
+                let message = ClaimReply { ticket, verdict: decided.verdict, answer };
+                self.publisher.send(link, Body::ClaimReply(message));
             }
             Waiter::Own => {}
         }
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -8,7 +8,7 @@
 use pond_follow::{Control, Notification};
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
 use pond_log::{Logger, Metrics, event};
-use pond_proto::wire::{Body, Content, FateAsk, OfferId, RequestId};
+use pond_proto::wire::{Body, Content, FateRequest, OfferId, RequestId};
 use pond_proto::{Micros, Span};
 use pond_route::{Finish, Output, ProcessKey, Request, Router, Tuning};
 use pond_settings::Replica;
@@ -181,7 +181,7 @@
             Body::Refuse(refuse) => self.router.offer_refused(now, process, refuse),
             Body::Answer(answer) => self.router.answered(now, process, answer),
             Body::Broken(broken) => self.router.answer_lost(now, process, broken.offer),
-            Body::FateTell(tell) => self.router.fate_reported(now, process, tell),
+            Body::FateReply(tell) => self.router.fate_reported(now, process, tell),
             Body::Leave(leave) => self.router.endpoint_leaving(process, leave.task),
             _ => {}
         }
@@ -226,11 +226,11 @@
                 self.send(process, Body::Revoke(offer));
             }
             Output::AskFate { process, offers } => {
-                self.send(process, Body::FateAsk(FateAsk { offers }));
+                self.send(process, Body::FateRequest(FateRequest { offers }));
             }
             Output::Claim(ask) => {
                 let ticket = ask.ticket;
-                if !self.control.send_to_leader(Body::ClaimAsk(ask)) {
+                if !self.control.send_to_leader(Body::ClaimRequest(ask)) {
                     self.router.claim_failed(self.now(), ticket);
                 }
             }
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -7,7 +7,7 @@
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
 use pond_log::{Logger, event};
 use pond_proto::view::Delta;
-use pond_proto::wire::{Body, ClaimTell, ViewAck};
+use pond_proto::wire::{Body, ClaimReply, ViewAck};
 use pond_settings::Replica;
 use tokio::sync::mpsc;
 
@@ -26,7 +26,7 @@
     /// An update of the configuration.
     View(Delta),
     /// The decision on a claim.
-    Claim(ClaimTell),
+    Claim(ClaimReply),
     /// The leader was lost or has changed: claims sent so far will not be decided.
     LeaderLost,
 }
@@ -93,7 +93,7 @@
             EventKind::Down(error) => return self.link_down(link, &error),
             EventKind::Frame(Body::Beat(beat)) => return self.heartbeat(&beat.leader, beat.term),
             EventKind::Frame(Body::View(delta)) => return Some(Notification::View(delta)),
-            EventKind::Frame(Body::ClaimTell(tell)) => return Some(Notification::Claim(tell)),
+            EventKind::Frame(Body::ClaimReply(tell)) => return Some(Notification::Claim(tell)),
             EventKind::Frame(_) => {}
         }
         None
--- a/crates/pond-proto/src/quorum.rs
+++ b/crates/pond-proto/src/quorum.rs
@@ -103,7 +103,7 @@
 
 /// Asks for a vote, or (pre-vote) whether a vote would be given.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct VoteAsk {
+pub struct VoteRequest {
     /// Only a question: the voter's term and vote stay as they are.
     #[prost(bool, tag = "1")]
     pub pre: bool,
@@ -118,9 +118,9 @@
     pub handover: bool,
 }
 
-/// Answer to [`VoteAsk`].
+/// Answer to [`VoteRequest`].
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct VoteTell {
+pub struct VoteReply {
     /// Whether it answers a pre-vote.
     #[prost(bool, tag = "1")]
     pub pre: bool,
@@ -151,7 +151,7 @@
 
 /// Answer to [`Append`].
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct AppendTell {
+pub struct AppendReply {
     /// Whether the entries fitted.
     #[prost(bool, tag = "1")]
     pub fitted: bool,
@@ -198,7 +198,7 @@
 
 /// Answer to [`Chunk`]: where the next piece should start.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct ChunkTell {
+pub struct ChunkReply {
     /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -231,24 +231,24 @@
 /// The content of a message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// See [`VoteAsk`].
+    /// See [`VoteRequest`].
     #[prost(message, tag = "4")]
-    VoteAsk(VoteAsk),
-    /// See [`VoteTell`].
+    VoteRequest(VoteRequest),
+    /// See [`VoteReply`].
     #[prost(message, tag = "5")]
-    VoteTell(VoteTell),
+    VoteReply(VoteReply),
     /// See [`Append`].
     #[prost(message, tag = "6")]
     Append(Append),
-    /// See [`AppendTell`].
+    /// See [`AppendReply`].
     #[prost(message, tag = "7")]
-    AppendTell(AppendTell),
+    AppendReply(AppendReply),
     /// See [`Chunk`].
     #[prost(message, tag = "8")]
     Chunk(Chunk),
-    /// See [`ChunkTell`].
+    /// See [`ChunkReply`].
     #[prost(message, tag = "9")]
-    ChunkTell(ChunkTell),
+    ChunkReply(ChunkReply),
     /// See [`TakeOver`].
     #[prost(message, tag = "10")]
     TakeOver(TakeOver),
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -186,7 +186,7 @@
 
 /// Asks for the fate of open offers after a link was lost.
 #[derive(Clone, PartialEq, Message)]
-pub struct FateAsk {
+pub struct FateRequest {
     /// The offers.
     #[prost(message, repeated, tag = "1")]
     pub offers: Vec<OfferId>,
@@ -204,9 +204,9 @@
     Lost = 2,
 }
 
-/// Answer to [`FateAsk`] for one offer.
+/// Answer to [`FateRequest`] for one offer.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct FateTell {
+pub struct FateReply {
     /// Which offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
@@ -253,7 +253,7 @@
 
 /// Asks for the right to run a request that is not repeatable.
 #[derive(Clone, PartialEq, Message)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Number within the asking process.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
@@ -311,9 +311,9 @@
     NoQuorum = 6,
 }
 
-/// Answer to [`ClaimAsk`].
+/// Answer to [`ClaimRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct ClaimTell {
+pub struct ClaimReply {
     /// The ask's ticket.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
@@ -351,10 +351,10 @@
     Broken(Broken),
     /// Entry to endpoint process.
     #[prost(message, tag = "8")]
-    FateAsk(FateAsk),
+    FateRequest(FateRequest),
     /// Endpoint process to entry.
     #[prost(message, tag = "9")]
-    FateTell(FateTell),
+    FateReply(FateReply),
     /// Endpoint process to entry.
     #[prost(message, tag = "10")]
     Leave(Leave),
@@ -366,13 +366,13 @@
     ViewAck(ViewAck),
     /// Entry to control.
     #[prost(message, tag = "13")]
-    ClaimAsk(ClaimAsk),
+    ClaimRequest(ClaimRequest),
     /// Entry to control.
     #[prost(message, tag = "14")]
     ClaimEnd(ClaimEnd),
     /// Control to entry.
     #[prost(message, tag = "15")]
-    ClaimTell(ClaimTell),
+    ClaimReply(ClaimReply),
     /// Between control replicas.
     #[prost(message, tag = "16")]
     Quorum(quorum::Letter),
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -231,8 +231,10 @@
         // A pre-vote and its approval carry a term that no replica has adopted yet. A request that is
         // refused for the sake of the current leader must not raise the term either.
         let ignores_term = match &body {
-            Body::VoteAsk(request) => request.pre || !self.accepts_candidate(now, request.handover),
-            Body::VoteTell(reply) => reply.pre && reply.granted,
+            Body::VoteRequest(request) => {
+                request.pre || !self.accepts_candidate(now, request.handover)
+            }
+            Body::VoteReply(reply) => reply.pre && reply.granted,
             _ => false,
         };
         if message.term > self.hard.term && !ignores_term {
@@ -240,14 +242,16 @@
             self.become_follower(now, message.term, leader);
         }
         match body {
-            Body::VoteAsk(request) => self.handle_vote_request(now, from, message.term, request),
-            Body::VoteTell(reply) => self.handle_vote(now, from, message.term, reply),
+            Body::VoteRequest(request) => {
+                self.handle_vote_request(now, from, message.term, request)
+            }
+            Body::VoteReply(reply) => self.handle_vote(now, from, message.term, reply),
             Body::Append(append) => self.handle_append(now, from, message.term, append),
-            Body::AppendTell(reply) if message.term == self.hard.term => {
+            Body::AppendReply(reply) if message.term == self.hard.term => {
                 self.handle_append_reply(now, from, reply);
             }
             Body::Chunk(chunk) => self.handle_chunk(now, from, message.term, chunk),
-            Body::ChunkTell(reply) if message.term == self.hard.term => {
+            Body::ChunkReply(reply) if message.term == self.hard.term => {
                 self.handle_chunk_reply(now, from, reply);
             }
             Body::TakeOver(_) if message.term == self.hard.term => self.handle_take_over(now, from),
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Body, Letter, VoteAsk, VoteTell};
+use pond_proto::quorum::{Body, Letter, VoteReply, VoteRequest};
 
 use crate::core::{Core, State};
 use crate::io::Output;
@@ -53,7 +53,7 @@
     }
 
     fn request_votes(&mut self, pre: bool, handover: bool) {
-        let request = VoteAsk {
+        let request = VoteRequest {
             pre,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
@@ -61,7 +61,7 @@
         };
         let voters: Vec<u64> = self.lists.current().voters().filter(|id| *id != self.id).collect();
         for to in voters {
-            let mut message = self.message_to(to, Body::VoteAsk(request));
+            let mut message = self.message_to(to, Body::VoteRequest(request));
             message.term += u64::from(pre);
             // The candidate's vote for itself must be durable before it counts.
             let output = if pre { Output::Send(message) } else { Output::SendDurable(message) };
@@ -74,7 +74,7 @@
         now: Millis,
         from: u64,
         term: u64,
-        request: VoteAsk,
+        request: VoteRequest,
     ) {
         let up_to_date = (request.last_term, request.last_index)
             >= (self.log.last_term(), self.log.last_index());
@@ -85,7 +85,7 @@
                 from: self.id,
                 to: from,
                 term: if granted { term } else { self.hard.term },
-                body: Some(Body::VoteTell(VoteTell { pre: true, granted })),
+                body: Some(Body::VoteReply(VoteReply { pre: true, granted })),
             };
             self.outputs.push(Output::Send(message));
             return;
@@ -96,10 +96,10 @@
             self.hard.vote = from;
             self.reset_deadline(now);
         }
-        self.send_durable(from, Body::VoteTell(VoteTell { pre: false, granted }));
+        self.send_durable(from, Body::VoteReply(VoteReply { pre: false, granted }));
     }
 
-    pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteTell) {
+    pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteReply) {
         if !reply.granted || !self.lists.current().votes(from) {
             return;
         }
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Append, AppendTell, Body, Chunk, ChunkTell, SnapshotHead};
+use pond_proto::quorum::{Append, AppendReply, Body, Chunk, ChunkReply, SnapshotHead};
 
 use crate::core::{Core, State};
 use crate::io::{Output, SnapshotImage};
@@ -34,16 +34,16 @@
     pub(crate) fn handle_append(&mut self, now: Millis, from: u64, term: u64, append: Append) {
         if !self.heard_leader(now, from, term) {
             // Informs an outdated leader of the new term.
-            let reply = AppendTell { fitted: false, index: 0, hint_term: 0, round: append.round };
-            self.send(from, Body::AppendTell(reply));
+            let reply = AppendReply { fitted: false, index: 0, hint_term: 0, round: append.round };
+            self.send(from, Body::AppendReply(reply));
             return;
         }
         let round = append.round;
         let reply = match self.merge(append) {
-            Ok(index) => AppendTell { fitted: true, index, hint_term: 0, round },
-            Err((index, hint_term)) => AppendTell { fitted: false, index, hint_term, round },
+            Ok(index) => AppendReply { fitted: true, index, hint_term: 0, round },
+            Err((index, hint_term)) => AppendReply { fitted: false, index, hint_term, round },
         };
-        self.send_durable(from, Body::AppendTell(reply));
+        self.send_durable(from, Body::AppendReply(reply));
     }
 
     /// Merges entries into the log. Returns the last index up to which the log matches the leader's, or,
@@ -94,7 +94,7 @@
         }
         let (index, round) = (chunk.index, chunk.round);
         let have = self.add_chunk(chunk);
-        self.send_durable(from, Body::ChunkTell(ChunkTell { index, have, round }));
+        self.send_durable(from, Body::ChunkReply(ChunkReply { index, have, round }));
     }
 
     /// Adds a chunk to the incoming snapshot. Returns how many bytes of it have been received.
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -4,7 +4,7 @@
 
 use pond_proto::Millis;
 use pond_proto::quorum::{
-    Append, AppendTell, Body, Chunk, ChunkTell, Kind, Member, Members, TakeOver,
+    Append, AppendReply, Body, Chunk, ChunkReply, Kind, Member, Members, TakeOver,
 };
 use prost::Message;
 
@@ -220,7 +220,7 @@
         true
     }
 
-    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: u64, reply: AppendTell) {
+    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: u64, reply: AppendReply) {
         self.record_answer(from, reply.round);
         let last = self.log.last_index();
         let State::Leader(leading) = &mut self.state else { return };
@@ -307,7 +307,7 @@
         self.send(to, Body::Chunk(chunk));
     }
 
-    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: ChunkTell) {
+    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: ChunkReply) {
         self.record_answer(from, reply.round);
         let total = self.snapshot.as_ref().map_or(0, |image| image.data.len() as u64);
         let State::Leader(leading) = &mut self.state else { return };
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use pond_proto::Millis;
 use pond_proto::quorum::{
-    Append, AppendTell, Body, Entry, Hard, Kind, Letter, Member, Members, VoteAsk, VoteTell,
+    Append, AppendReply, Body, Entry, Hard, Kind, Letter, Member, Members, VoteReply, VoteRequest,
 };
 use pond_quorum::{Core, Input, Output, Role, Start, Tuning};
 
@@ -43,13 +43,13 @@
     })
 }
 
-fn ask(last_index: u64, last_term: u64) -> VoteAsk {
-    VoteAsk { pre: false, last_index, last_term, handover: false }
+fn ask(last_index: u64, last_term: u64) -> VoteRequest {
+    VoteRequest { pre: false, last_index, last_term, handover: false }
 }
 
 fn granted(answer: Option<Body>) -> Option<bool> {
     match answer {
-        Some(Body::VoteTell(VoteTell { granted, .. })) => Some(granted),
+        Some(Body::VoteReply(VoteReply { granted, .. })) => Some(granted),
         _ => None,
     }
 }
@@ -59,7 +59,7 @@
 
 #[test]
 fn vote_is_given_once_per_term_to_an_up_to_date_log() {
-    let table: [(&str, u64, u64, u64, VoteAsk, bool); 8] = [
+    let table: [(&str, u64, u64, u64, VoteRequest, bool); 8] = [
         ("an equal log", 0, AFTER_TIMEOUT, 6, ask(2, 4), true),
         ("a longer log", 0, AFTER_TIMEOUT, 6, ask(9, 4), true),
         ("a shorter log of a later term", 0, AFTER_TIMEOUT, 6, ask(1, 5), true),
@@ -71,7 +71,7 @@
     ];
     for (name, vote, now, term, ask, expected) in table {
         let mut core = replica(vote);
-        let reply = granted(answer(&mut core, now, term, Body::VoteAsk(ask)));
+        let reply = granted(answer(&mut core, now, term, Body::VoteRequest(ask)));
         assert_eq!(reply, Some(expected), "{name}");
     }
 }
@@ -79,7 +79,7 @@
 #[test]
 fn restarted_replica_does_not_vote_before_the_election_timeout() {
     let mut core = replica(0);
-    assert_eq!(granted(answer(&mut core, 1100, 6, Body::VoteAsk(ask(9, 9)))), Some(false));
+    assert_eq!(granted(answer(&mut core, 1100, 6, Body::VoteRequest(ask(9, 9)))), Some(false));
     assert_eq!(core.term(), TERM, "its term must stay, so that it still follows the leader");
 }
 
@@ -93,13 +93,13 @@
     let mut core = replica(0);
     answer(&mut core, AFTER_TIMEOUT, TERM, heartbeat(Vec::new()));
     assert_eq!(
-        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteAsk(ask(9, 9)))),
+        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(ask(9, 9)))),
         Some(false)
     );
     assert_eq!(core.term(), TERM);
-    let handover = VoteAsk { handover: true, ..ask(9, 9) };
+    let handover = VoteRequest { handover: true, ..ask(9, 9) };
     assert_eq!(
-        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteAsk(handover))),
+        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(handover))),
         Some(true)
     );
 }
@@ -107,17 +107,20 @@
 #[test]
 fn pre_vote_changes_neither_term_nor_vote() {
     let mut core = replica(0);
-    let pre = VoteAsk { pre: true, ..ask(9, 9) };
-    assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteAsk(pre))), Some(true));
+    let pre = VoteRequest { pre: true, ..ask(9, 9) };
+    assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(pre))), Some(true));
     assert_eq!(core.term(), TERM);
-    assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteAsk(ask(9, 9)))), Some(true));
+    assert_eq!(
+        granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(ask(9, 9)))),
+        Some(true)
+    );
 }
 
 #[test]
 fn outdated_leader_is_rejected_and_informed_of_the_new_term() {
     let mut core = replica(0);
     let reply = answer(&mut core, AFTER_TIMEOUT, TERM - 1, heartbeat(vec![entry(3, 4)]));
-    assert!(matches!(reply, Some(Body::AppendTell(reply)) if !reply.fitted), "{reply:?}");
+    assert!(matches!(reply, Some(Body::AppendReply(reply)) if !reply.fitted), "{reply:?}");
     assert_eq!((core.last_index(), core.leader().is_some()), (2, false));
 }
 
@@ -133,7 +136,7 @@
         let entries = vec![entry(previous_index + 1, TERM)];
         let append = Append { previous_index, previous_term, entries, commit: 0, round: 1 };
         let reply = answer(&mut core, AFTER_TIMEOUT, TERM, Body::Append(append));
-        let fitted = matches!(reply, Some(Body::AppendTell(reply)) if reply.fitted);
+        let fitted = matches!(reply, Some(Body::AppendReply(reply)) if reply.fitted);
         assert_eq!((fitted, core.last_index()), (fits, if fits { 3 } else { 2 }), "{name}");
     }
 }
@@ -141,7 +144,7 @@
 #[test]
 fn votes_and_acknowledgements_wait_for_the_disk() {
     let cases: [(&str, Body); 2] =
-        [("an append", heartbeat(vec![entry(3, TERM)])), ("a vote", Body::VoteAsk(ask(9, 4)))];
+        [("an append", heartbeat(vec![entry(3, TERM)])), ("a vote", Body::VoteRequest(ask(9, 4)))];
     for (name, body) in cases {
         let mut core = replica(0);
         let message = Letter { from: 2, to: 1, term: 6, body: Some(body) };
@@ -157,7 +160,7 @@
 fn leader() -> Core {
     let mut core = replica(0);
     core.step(Millis(AFTER_TIMEOUT), Input::Tick);
-    let vote = |pre| Body::VoteTell(VoteTell { pre, granted: true });
+    let vote = |pre| Body::VoteReply(VoteReply { pre, granted: true });
     answer(&mut core, AFTER_TIMEOUT, TERM + 1, vote(true));
     let message = Letter { from: 2, to: 1, term: TERM + 1, body: Some(vote(false)) };
     core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
@@ -167,8 +170,8 @@
 
 /// Lets replica 2 acknowledge the log up to an index.
 fn acknowledge(core: &mut Core, index: u64) {
-    let reply = AppendTell { fitted: true, index, hint_term: 0, round: 1 };
-    let body = Some(Body::AppendTell(reply));
+    let reply = AppendReply { fitted: true, index, hint_term: 0, round: 1 };
+    let body = Some(Body::AppendReply(reply));
     let message = Letter { from: 2, to: 1, term: TERM + 1, body };
     core.step(Millis(AFTER_TIMEOUT + 10), Input::Message(message));
 }
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -5,7 +5,8 @@
 use pond_proto::Micros;
 use pond_proto::view::Delta;
 use pond_proto::wire::{
-    Answer, Body, Broken, Content, Fate, FateAsk, FateTell, Leave, Offer, OfferId, Refusal, Refuse,
+    Answer, Body, Broken, Content, Fate, FateReply, FateRequest, Leave, Offer, OfferId, Refusal,
+    Refuse,
 };
 
 /// Maximum number of queued offers for each slot of an endpoint.
@@ -472,7 +473,7 @@
     }
 
     /// Answers an entry that asks for the fate of offers made on an earlier link.
-    pub fn report_fates(&mut self, link: Link, ask: FateAsk) {
+    pub fn report_fates(&mut self, link: Link, ask: FateRequest) {
         for offer in ask.offers {
             if self.links.get(&offer.id.incarnation) != Some(&link) {
                 continue;
@@ -483,8 +484,8 @@
                 Some(State::Done(answer)) => (Fate::Running, Some(answer.clone())),
                 Some(State::Lost) => (Fate::Lost, None),
             };
-            let report = FateTell { offer, fate: fate as i32 };
-            self.outputs.push(AdmissionOutput::Send { link, body: Body::FateTell(report) });
+            let report = FateReply { offer, fate: fate as i32 };
+            self.outputs.push(AdmissionOutput::Send { link, body: Body::FateReply(report) });
             if let Some(answer) = answer {
                 self.outputs.push(AdmissionOutput::Send { link, body: Body::Answer(answer) });
             }
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -1,7 +1,7 @@
 //! Claims: the exclusive right, granted by control, to run a request that is not repeatable.
 
 use pond_proto::Micros;
-use pond_proto::wire::{ClaimAsk, ClaimEnd, ClaimTell, RequestId, Verdict};
+use pond_proto::wire::{ClaimEnd, ClaimReply, ClaimRequest, RequestId, Verdict};
 
 use super::{Output, Router};
 use crate::request::{Finish, NotRun, Pending, Stage};
@@ -18,7 +18,7 @@
         pending.stage = Stage::Claiming;
         pending.not_before = Micros(u64::MAX);
         let content = &pending.request.content;
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             ticket,
             service: content.service.clone(),
             key: content.key.clone(),
@@ -30,7 +30,7 @@
     }
 
     /// Handles control's decision on a claim.
-    pub fn claim_decided(&mut self, now: Micros, decision: ClaimTell) {
+    pub fn claim_decided(&mut self, now: Micros, decision: ClaimReply) {
         let verdict = decision.verdict();
         let Some(id) = self.tickets.remove(&decision.ticket) else { return };
         let Some(pending) = self.pending.get_mut(&id).filter(|p| p.stage == Stage::Claiming) else {
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use pond_proto::Micros;
-use pond_proto::wire::{Fate, FateTell, OfferId};
+use pond_proto::wire::{Fate, FateReply, OfferId};
 
 use super::{Output, Router};
 use crate::endpoint::ProcessKey;
@@ -85,7 +85,7 @@
     }
 
     /// Handles the fate of an offer, as reported by its endpoint process.
-    pub fn fate_reported(&mut self, now: Micros, process: ProcessKey, report: FateTell) {
+    pub fn fate_reported(&mut self, now: Micros, process: ProcessKey, report: FateReply) {
         if !self.was_offered_to(process, report.offer) {
             return;
         }
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use pond_proto::view::Delta;
-use pond_proto::wire::{ClaimAsk, ClaimEnd, Offer, OfferId, RequestId};
+use pond_proto::wire::{ClaimEnd, ClaimRequest, Offer, OfferId, RequestId};
 use pond_proto::{Micros, Unit};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -85,7 +85,7 @@
         offers: Vec<OfferId>,
     },
     /// Ask control for a claim; if that is not possible, call [`Router::claim_failed`].
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// Report to control how a claimed request ended.
     EndClaim(ClaimEnd),
     /// Report the result of a request to its caller.
--- a/crates/pond-test/src/path.rs
+++ b/crates/pond-test/src/path.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use pond_proto::view;
-use pond_proto::wire::{Body, ClaimTell, Content, OfferId, RequestId, Verdict};
+use pond_proto::wire::{Body, ClaimReply, Content, OfferId, RequestId, Verdict};
 use pond_proto::{Micros, Outcome};
 use pond_route::{
     Admission, AdmissionOutput, Finish, Output, ProcessKey, Request, Router, Run, Tuning,
@@ -408,7 +408,7 @@
                 match body {
                     Body::Offer(offer) => admission.offer(now, link, offer),
                     Body::Revoke(offer) => admission.revoke(link, offer),
-                    Body::FateAsk(ask) => admission.report_fates(link, ask),
+                    Body::FateRequest(ask) => admission.report_fates(link, ask),
                     _ => {}
                 }
             }
@@ -450,7 +450,7 @@
             Body::Refuse(refuse) => router.offer_refused(now, key, refuse),
             Body::Answer(answer) => router.answered(now, key, answer),
             Body::Broken(broken) => router.answer_lost(now, key, broken.offer),
-            Body::FateTell(tell) => router.fate_reported(now, key, tell),
+            Body::FateReply(tell) => router.fate_reported(now, key, tell),
             Body::Leave(leave) => router.endpoint_leaving(key, leave.task),
             _ => {}
         }
@@ -491,8 +491,8 @@
                 self.send(entry, process, Body::Revoke(offer));
             }
             Output::AskFate { process, offers } => {
-                let ask = pond_proto::wire::FateAsk { offers };
-                self.send(entry, process, Body::FateAsk(ask));
+                let ask = pond_proto::wire::FateRequest { offers };
+                self.send(entry, process, Body::FateRequest(ask));
             }
             Output::Claim(ask) => {
                 if !self.quorum {
@@ -500,7 +500,7 @@
                 }
                 let holder = *self.claims.entry(ask.key).or_insert(ask.id);
                 let verdict = if holder == ask.id { Verdict::Granted } else { Verdict::Held };
-                let tell = ClaimTell { ticket: ask.ticket, verdict: verdict as i32, answer: None };
+                let tell = ClaimReply { ticket: ask.ticket, verdict: verdict as i32, answer: None };
                 self.entries[entry].claim_decided(now, tell);
             }
             Output::EndClaim(end) => {
