--- a/crates/pond-intake/src/dispatcher.rs
+++ b/crates/pond-intake/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pond_proto::fleet::{Ask, Outcome, Target, Tell, Verb};
+use pond_proto::fleet::{JobReply, JobRequest, Outcome, Target, Verb};
 use pond_proto::{Millis, Span};
 
 /// How long after the loss of the leader requests wait for the next one, in milliseconds: about the
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The reply of control.
-    Replied(Tell),
+    Replied(JobReply),
     /// The request certainly did not run and will not run.
     NotRun,
     /// The request may have run, or may still run.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a request to the leader, then call [`Dispatcher::sent`].
-    Send(Ask),
+    Send(JobRequest),
     /// Answer the caller of a request.
     Answer {
         /// Ticket of the request.
@@ -46,7 +46,7 @@
 /// A request that waits for an answer.
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
+    ask: JobRequest,
     /// Whether it was sent to a replica, which may have proposed it.
     sent: bool,
     deadline: Millis,
@@ -91,7 +91,7 @@
             self.outputs.push(Output::Answer { ticket, answer: Answer::NotRun });
             return ticket;
         }
-        let ask = Ask { ticket, target, verb: Some(verb) };
+        let ask = JobRequest { ticket, target, verb: Some(verb) };
         if self.has_leader {
             self.outputs.push(Output::Send(ask.clone()));
         }
@@ -130,7 +130,7 @@
     }
 
     /// Handles an answer of a replica.
-    pub fn answered(&mut self, reply: Tell) {
+    pub fn answered(&mut self, reply: JobReply) {
         // A replica that does not lead has done nothing. The request is sent again.
         if reply.outcome() == Outcome::NotLeader {
             if let Some(waiting) = self.waiting.get_mut(&reply.ticket) {
--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -152,7 +152,7 @@
                 self.last_leader_at = now;
                 self.dispatcher.leader_lost(now);
             }
-            Notification::Frame(Body::Tell(tell)) => self.dispatcher.answered(tell),
+            Notification::Frame(Body::JobReply(tell)) => self.dispatcher.answered(tell),
             Notification::Frame(_) => {}
         }
     }
@@ -181,7 +181,7 @@
         match output {
             Output::Send(ask) => {
                 let ticket = ask.ticket;
-                let sent = self.uplink.send(Body::Ask(ask));
+                let sent = self.uplink.send(Body::JobRequest(ask));
                 self.dispatcher.sent(ticket, sent);
             }
             Output::Answer { ticket, answer } => {
--- a/crates/pond-intake/tests/dispatcher.rs
+++ b/crates/pond-intake/tests/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use pond_intake::{Answer, Dispatcher, Output};
 use pond_proto::Millis;
-use pond_proto::fleet::{JobRef, Outcome, Submit, Target, Tell, Verb};
+use pond_proto::fleet::{JobRef, JobReply, Outcome, Submit, Target, Verb};
 use pond_proto::job::{Phase, Spec};
 
 fn submit() -> Verb {
@@ -13,8 +13,8 @@
     Verb::Look(JobRef { id: 1 })
 }
 
-fn reply(ticket: u64, outcome: Outcome) -> Tell {
-    Tell { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
+fn reply(ticket: u64, outcome: Outcome) -> JobReply {
+    JobReply { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
 }
 
 /// A dispatcher whose requests go to a simulated link.
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -17,8 +17,8 @@
 
 /// Entry to control: a caller's request about jobs.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
-    /// Comes back in [`Tell`].
+pub struct JobRequest {
+    /// Comes back in [`JobReply`].
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
     /// Where it is directed.
@@ -69,7 +69,7 @@
     Count(Count),
 }
 
-/// What became of an [`Ask`].
+/// What became of an [`JobRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Outcome {
@@ -91,9 +91,9 @@
     Invalid = 7,
 }
 
-/// Control to entry: the answer to an [`Ask`].
+/// Control to entry: the answer to an [`JobRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Tell {
+pub struct JobReply {
     /// The ask's.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -378,10 +378,10 @@
     Quorum(quorum::Letter),
     /// Entry to control: a caller's request about jobs.
     #[prost(message, tag = "17")]
-    Ask(fleet::Ask),
+    JobRequest(fleet::JobRequest),
     /// Control to entry.
     #[prost(message, tag = "18")]
-    Tell(fleet::Tell),
+    JobReply(fleet::JobReply),
     /// Agent to control.
     #[prost(message, tag = "19")]
     Report(fleet::Report),
--- a/crates/pond-replica/src/callers.rs
+++ b/crates/pond-replica/src/callers.rs
@@ -4,7 +4,7 @@
 use pond_link::LinkKey;
 use pond_log::event;
 use pond_proto::Millis;
-use pond_proto::fleet::{Ask, Outcome, Submit, Target, Tell, Verb};
+use pond_proto::fleet::{JobReply, JobRequest, Outcome, Submit, Target, Verb};
 use pond_proto::job::Phase;
 use pond_proto::wire::Body;
 
@@ -13,7 +13,7 @@
 
 impl Replica {
     /// Handles a caller's request that an entry forwarded.
-    pub(crate) fn caller_request(&mut self, now: Millis, link: LinkKey, ask: Ask) {
+    pub(crate) fn caller_request(&mut self, now: Millis, link: LinkKey, ask: JobRequest) {
         let Some(verb) = ask.verb else { return };
         let ticket = ask.ticket;
         if !self.holds_lease(now) || self.stopping.is_some() {
@@ -30,7 +30,9 @@
             Verb::Look(job) => {
                 let known = self.state.job(job.id).map(|job| job.phase);
                 let answer = match known {
-                    Some(phase) => Tell { phase: phase as i32, ..answer(ticket, Outcome::Known) },
+                    Some(phase) => {
+                        JobReply { phase: phase as i32, ..answer(ticket, Outcome::Known) }
+                    }
                     None => answer(ticket, Outcome::NoJob),
                 };
                 event!(self.log, REQUEST_ANSWERED, "job" => format!("{:016x}", job.id),
@@ -39,7 +41,7 @@
             }
             Verb::Count(_) => {
                 let count = self.waiting_jobs(&ask.target);
-                self.send_answer(link, Tell { count, ..answer(ticket, Outcome::Counted) });
+                self.send_answer(link, JobReply { count, ..answer(ticket, Outcome::Counted) });
             }
         }
     }
@@ -129,14 +131,14 @@
         }
     }
 
-    fn send_answer(&self, link: LinkKey, tell: Tell) {
+    fn send_answer(&self, link: LinkKey, tell: JobReply) {
         if let Some(client) = self.clients.get(&link) {
             // If the link is full, the message is lost; the entry retries or times out.
-            client.sender.send(Body::Tell(tell));
+            client.sender.send(Body::JobReply(tell));
         }
     }
 }
 
-fn answer(ticket: u64, outcome: Outcome) -> Tell {
-    Tell { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
+fn answer(ticket: u64, outcome: Outcome) -> JobReply {
+    JobReply { ticket, outcome: outcome as i32, phase: Phase::Queued as i32, count: 0 }
 }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -177,7 +177,7 @@
                 _ => {}
             },
             Body::Lead(lead) => self.peers.add_addresses(&lead.replicas),
-            Body::Ask(ask) => self.caller_request(now, link, ask),
+            Body::JobRequest(ask) => self.caller_request(now, link, ask),
             Body::Report(report) => self.report(now, link, report),
             _ => {}
         }
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, accept};
-use pond_proto::fleet::{Ask, Lead, Tell};
+use pond_proto::fleet::{JobReply, JobRequest, Lead};
 use pond_proto::wire::{Body, Role};
 use pond_proto::{Incarnation, Millis};
 use pond_test::{SwallowProxy, Swallowed};
@@ -55,7 +55,7 @@
                     assert!(sender.send(Body::Lead(self.lead.clone())));
                     self.clients.push((link, sender));
                 }
-                EventKind::Frame(Body::Ask(ask)) => return (link, ask.ticket),
+                EventKind::Frame(Body::JobRequest(ask)) => return (link, ask.ticket),
                 EventKind::Frame(other) => panic!("not a request: {other:?}"),
                 EventKind::Down(_) => self.clients.retain(|(other, _)| *other != link),
             }
@@ -65,7 +65,7 @@
     fn send_reply(&self, link: LinkKey, ticket: u64) {
         let (_, sender) =
             self.clients.iter().find(|(other, _)| *other == link).expect("no link to the client");
-        assert!(sender.send(Body::Tell(Tell { ticket, ..Tell::default() })));
+        assert!(sender.send(Body::JobReply(JobReply { ticket, ..JobReply::default() })));
     }
 }
 
@@ -115,13 +115,13 @@
     }
 
     fn send_request(&self, ticket: u64) -> bool {
-        self.uplink.send(Body::Ask(Ask { ticket, ..Ask::default() }))
+        self.uplink.send(Body::JobRequest(JobRequest { ticket, ..JobRequest::default() }))
     }
 
     /// Waits for the reply to a request.
     async fn expect_reply(&mut self, ticket: u64) {
         match self.next_notification().await {
-            Notification::Frame(Body::Tell(tell)) => assert_eq!(tell.ticket, ticket),
+            Notification::Frame(Body::JobReply(tell)) => assert_eq!(tell.ticket, ticket),
             other => panic!("not a reply: {other:?}"),
         }
     }
