--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -3,7 +3,7 @@
 use pond_link::{Event, EventKind, LinkKey};
 use pond_log::event;
 use pond_proto::Millis;
-use pond_proto::quorum::{Body as Letter, Letter as QuorumLetter, Present};
+use pond_proto::quorum::{Body as QuorumBody, Envelope, Present};
 use pond_proto::wire::{Beat, Body, Role as WireRole};
 use pond_quorum::{Core, Input as QuorumInput, Start, Tuning};
 
@@ -16,8 +16,9 @@
                 let role = hello.role();
                 self.links.insert(event.link, (role, hello.name.clone()));
                 if role == WireRole::Control {
-                    let present = Letter::Present(self.formation.present(self.core.last_index()));
-                    let letter = QuorumLetter {
+                    let present =
+                        QuorumBody::Present(self.formation.present(self.core.last_index()));
+                    let letter = Envelope {
                         from: self.core.id(),
                         to: 0,
                         term: self.core.term(),
@@ -64,8 +65,8 @@
         }
     }
 
-    pub(super) fn letter(&mut self, now: Millis, letter: QuorumLetter) {
-        if let Some(Letter::Present(present)) = letter.body {
+    pub(super) fn letter(&mut self, now: Millis, letter: Envelope) {
+        if let Some(QuorumBody::Present(present)) = letter.body {
             self.names.insert(present.member.id, present.member.name.clone());
             self.refuse_older_disk(now, &present);
             self.formation.record_present(present);
--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -14,7 +14,7 @@
 use pond_link::{LinkKey, Sender};
 use pond_log::{Logger, event};
 use pond_platform::Usage;
-use pond_proto::quorum::{Letter, Members};
+use pond_proto::quorum::{Envelope, Members};
 use pond_proto::wire::Role as WireRole;
 use pond_proto::{Millis, Span};
 use pond_quorum::{Core, Input as QuorumInput, Role, SnapshotImage, Start, Tuning};
@@ -45,7 +45,7 @@
     pub replicas: Vec<pond_settings::Replica>,
     /// Writes the durable files; it holds letters back until the writes that they depend on are
     /// durable.
-    pub writer: Writer<Letter>,
+    pub writer: Writer<Envelope>,
     /// The contents that were recovered from them.
     pub recovered: Recovered,
     /// This replica as a member.
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pond_log::event;
-use pond_proto::quorum::{Entry, Kind, Letter as QuorumLetter};
+use pond_proto::quorum::{Entry, Envelope, Kind};
 use pond_proto::wire::Body;
 use pond_quorum::{Input as QuorumInput, Output, Role, SnapshotImage};
 use pond_state::{Change, State};
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    pub(super) fn send(&self, letter: QuorumLetter) {
+    pub(super) fn send(&self, letter: Envelope) {
         let name = self.names.get(&letter.to);
         if let Some((_, sender)) = name.and_then(|name| self.peers.get(name)) {
             sender.send(Body::Quorum(letter));
--- a/crates/pond-proto/src/quorum.rs
+++ b/crates/pond-proto/src/quorum.rs
@@ -33,7 +33,7 @@
 
 /// What a replica must not forget besides its log.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Hard {
+pub struct HardState {
     /// The highest term it has seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -259,7 +259,7 @@
 
 /// One message between replicas.
 #[derive(Clone, PartialEq, Message)]
-pub struct Letter {
+pub struct Envelope {
     /// The sender's identity.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
@@ -279,7 +279,7 @@
 pub struct Batch {
     /// The hard state after it, if it changed.
     #[prost(message, optional, tag = "1")]
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// Entries; one with an index that is there already replaces it and all after it.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<Entry>,
@@ -290,7 +290,7 @@
 
 /// What a snapshot file says of itself.
 #[derive(Clone, PartialEq, Message)]
-pub struct SnapshotHead {
+pub struct SnapshotHeader {
     /// Index of the last entry that it holds.
     #[prost(uint64, tag = "1")]
     pub index: u64,
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -375,7 +375,7 @@
     ClaimReply(ClaimReply),
     /// Between control replicas.
     #[prost(message, tag = "16")]
-    Quorum(quorum::Letter),
+    Quorum(quorum::Envelope),
     /// Entry to control: a caller's request about jobs.
     #[prost(message, tag = "17")]
     JobRequest(fleet::JobRequest),
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pond_proto::quorum::{Body, Entry, Hard, Kind, Letter, Member, Members};
+use pond_proto::quorum::{Body, Entry, Envelope, HardState, Kind, Member, Members};
 use pond_proto::{Millis, Span};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
     /// The identity of its disk.
     pub id: u64,
     /// Term, vote and commit index from the disk.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot from the disk.
     pub snapshot: Option<SnapshotImage>,
     /// The entries after it.
@@ -59,7 +59,7 @@
     pub(crate) id: u64,
     pub(crate) tuning: Tuning,
     pub(crate) rng: SmallRng,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     pub(crate) log: Log,
     pub(crate) lists: Lists,
     pub(crate) snapshot: Option<SnapshotImage>,
@@ -74,7 +74,7 @@
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) unwritten: Vec<Entry>,
-    hard_written: Hard,
+    hard_written: HardState,
 }
 
 impl Core {
@@ -208,10 +208,10 @@
     }
 
     /// Returns the term and the members at an applied index, for a snapshot of the state there.
-    pub fn head_at(&self, index: u64) -> Option<pond_proto::quorum::SnapshotHead> {
+    pub fn head_at(&self, index: u64) -> Option<pond_proto::quorum::SnapshotHeader> {
         let term = self.log.term(index)?;
         let members = self.lists.at(index).clone();
-        Some(pond_proto::quorum::SnapshotHead { index, term, members })
+        Some(pond_proto::quorum::SnapshotHeader { index, term, members })
     }
 
     fn tick(&mut self, now: Millis) {
@@ -222,7 +222,7 @@
         }
     }
 
-    fn handle_message(&mut self, now: Millis, message: Letter) {
+    fn handle_message(&mut self, now: Millis, message: Envelope) {
         if message.to != self.id {
             return;
         }
@@ -283,8 +283,8 @@
         span - span * self.tuning.drift_permille / 1000
     }
 
-    pub(crate) fn message_to(&self, to: u64, body: Body) -> Letter {
-        Letter { from: self.id, to, term: self.hard.term, body: Some(body) }
+    pub(crate) fn message_to(&self, to: u64, body: Body) -> Envelope {
+        Envelope { from: self.id, to, term: self.hard.term, body: Some(body) }
     }
 
     pub(crate) fn send(&mut self, to: u64, body: Body) {
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Body, Letter, VoteReply, VoteRequest};
+use pond_proto::quorum::{Body, Envelope, VoteReply, VoteRequest};
 
 use crate::core::{Core, State};
 use crate::io::Output;
@@ -81,7 +81,7 @@
         let willing = up_to_date && self.accepts_candidate(now, request.handover);
         if request.pre {
             let granted = willing && term > self.hard.term;
-            let message = Letter {
+            let message = Envelope {
                 from: self.id,
                 to: from,
                 term: if granted { term } else { self.hard.term },
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Append, AppendReply, Body, Chunk, ChunkReply, SnapshotHead};
+use pond_proto::quorum::{Append, AppendReply, Body, Chunk, ChunkReply, SnapshotHeader};
 
 use crate::core::{Core, State};
 use crate::io::{Output, SnapshotImage};
@@ -121,7 +121,7 @@
         if crc32c::crc32c(&data) != chunk.crc {
             return 0;
         }
-        let head = SnapshotHead { index: chunk.index, term: chunk.term, members: chunk.members };
+        let head = SnapshotHeader { index: chunk.index, term: chunk.term, members: chunk.members };
         self.install(SnapshotImage { head, data: Arc::new(data) });
         have
     }
--- a/crates/pond-quorum/src/io.rs
+++ b/crates/pond-quorum/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pond_proto::quorum::{Entry, Hard, Letter, Member, Members, SnapshotHead};
+use pond_proto::quorum::{Entry, Envelope, HardState, Member, Members, SnapshotHeader};
 use pond_store::{Snapshot, Write};
 
 /// Identifies a request of the caller, so that it can match the answer.
@@ -14,7 +14,7 @@
     /// Time has passed.
     Tick,
     /// A message was received.
-    Message(Letter),
+    Message(Envelope),
     /// The caller proposes an entry for the log.
     Propose {
         /// Returned in [`Output::Appended`] or [`Output::Rejected`].
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotImage {
     /// Its index, its term and the members.
-    pub head: SnapshotHead,
+    pub head: SnapshotHeader,
     /// The encoded state.
     pub data: Arc<Vec<u8>>,
 }
@@ -68,14 +68,14 @@
     /// step is sent, and must then be confirmed by [`Input::Persisted`].
     Persist {
         /// Term, vote and commit index, if they changed.
-        hard: Option<Hard>,
+        hard: Option<HardState>,
         /// Entries. The first one replaces any stored entry with its index and all later ones.
         entries: Vec<Entry>,
     },
     /// Send at once.
-    Send(Letter),
+    Send(Envelope),
     /// Send once all previously returned writes are durable.
-    SendDurable(Letter),
+    SendDurable(Envelope),
     /// The proposal was appended to the log at this position. It is committed once an entry with this
     /// index and term is applied.
     Appended {
--- a/crates/pond-quorum/src/log.rs
+++ b/crates/pond-quorum/src/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pond_proto::quorum::{Entry, SnapshotHead};
+use pond_proto::quorum::{Entry, SnapshotHeader};
 
 /// Entries after a snapshot.
 #[derive(Clone, Debug, Default)]
@@ -14,7 +14,7 @@
 
 impl Log {
     /// Creates a log of the entries that follow a snapshot.
-    pub fn new(head: Option<&SnapshotHead>, entries: Vec<Entry>) -> Log {
+    pub fn new(head: Option<&SnapshotHeader>, entries: Vec<Entry>) -> Log {
         let (base_index, base_term) = head.map_or((0, 0), |head| (head.index, head.term));
         Log { base_index, base_term, entries: entries.into() }
     }
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -2,7 +2,8 @@
 
 use pond_proto::Millis;
 use pond_proto::quorum::{
-    Append, AppendReply, Body, Entry, Hard, Kind, Letter, Member, Members, VoteReply, VoteRequest,
+    Append, AppendReply, Body, Entry, Envelope, HardState, Kind, Member, Members, VoteReply,
+    VoteRequest,
 };
 use pond_quorum::{Core, Input, Output, Role, Start, Tuning};
 
@@ -22,7 +23,7 @@
 fn replica(vote: u64) -> Core {
     let start = Start {
         id: 1,
-        hard: Hard { term: TERM, vote, commit: 0 },
+        hard: HardState { term: TERM, vote, commit: 0 },
         snapshot: None,
         entries: vec![entry(1, 4), entry(2, 4)],
         members: members(),
@@ -35,7 +36,7 @@
 
 /// Returns the answer of replica 1 to a message of replica 2.
 fn answer(core: &mut Core, now: u64, term: u64, body: Body) -> Option<Body> {
-    let message = Letter { from: 2, to: 1, term, body: Some(body) };
+    let message = Envelope { from: 2, to: 1, term, body: Some(body) };
     core.step(Millis(now), Input::Message(message));
     core.outputs(Millis(now)).into_iter().find_map(|output| match output {
         Output::Send(message) | Output::SendDurable(message) => message.body,
@@ -147,7 +148,7 @@
         [("an append", heartbeat(vec![entry(3, TERM)])), ("a vote", Body::VoteRequest(ask(9, 4)))];
     for (name, body) in cases {
         let mut core = replica(0);
-        let message = Letter { from: 2, to: 1, term: 6, body: Some(body) };
+        let message = Envelope { from: 2, to: 1, term: 6, body: Some(body) };
         core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
         let outputs = core.outputs(Millis(AFTER_TIMEOUT));
         assert!(matches!(outputs[0], Output::Persist { .. }), "{name}: {outputs:?}");
@@ -162,7 +163,7 @@
     core.step(Millis(AFTER_TIMEOUT), Input::Tick);
     let vote = |pre| Body::VoteReply(VoteReply { pre, granted: true });
     answer(&mut core, AFTER_TIMEOUT, TERM + 1, vote(true));
-    let message = Letter { from: 2, to: 1, term: TERM + 1, body: Some(vote(false)) };
+    let message = Envelope { from: 2, to: 1, term: TERM + 1, body: Some(vote(false)) };
     core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
     assert_eq!((core.role(), core.last_index()), (Role::Leader, 3));
     core
@@ -172,7 +173,7 @@
 fn acknowledge(core: &mut Core, index: u64) {
     let reply = AppendReply { fitted: true, index, hint_term: 0, round: 1 };
     let body = Some(Body::AppendReply(reply));
-    let message = Letter { from: 2, to: 1, term: TERM + 1, body };
+    let message = Envelope { from: 2, to: 1, term: TERM + 1, body };
     core.step(Millis(AFTER_TIMEOUT + 10), Input::Message(message));
 }
 
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -9,7 +9,7 @@
 
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms};
 use pond_log::{Logger, event};
-use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Present};
+use pond_proto::quorum::{Body as Payload, Envelope, Present};
 use pond_proto::wire::{Body, Role as WireRole};
 use pond_proto::{Incarnation, Millis};
 use pond_quorum::Input;
@@ -101,7 +101,7 @@
     }
 
     /// Sends a message of the quorum to the replica that it names.
-    pub fn send(&self, message: QuorumMessage) {
+    pub fn send(&self, message: Envelope) {
         let peer = self.addresses.get(&message.to).and_then(|address| self.dialled.get(address));
         if let Some(sender) = peer.and_then(|peer| peer.sender.as_ref()) {
             // The quorum repeats lost messages.
@@ -109,7 +109,7 @@
         }
     }
 
-    fn send_presence_to_all(&self, message: &QuorumMessage) {
+    fn send_presence_to_all(&self, message: &Envelope) {
         for sender in self.dialled.values().filter_map(|peer| peer.sender.as_ref()) {
             sender.send(Body::Quorum(message.clone()));
         }
@@ -183,9 +183,9 @@
         }
     }
 
-    fn own_presence(&self) -> QuorumMessage {
+    fn own_presence(&self) -> Envelope {
         let present = Payload::Present(self.formation.present(self.core.last_index()));
-        QuorumMessage { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
+        Envelope { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
     }
 
     /// Announces to all replicas that this one has a log now.
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -10,7 +10,7 @@
 use pond_link::{Event, LinkKey, Sender};
 use pond_log::{Logger, Metrics, event};
 use pond_proto::fleet::Lead;
-use pond_proto::quorum::{Letter, Member, Members};
+use pond_proto::quorum::{Envelope, Member, Members};
 use pond_proto::{Millis, Span};
 use pond_quorum::{Core, Input, Role, SnapshotImage, Start, Tuning};
 use pond_store::{Recovered, Snapshot, Store, Writer};
@@ -78,7 +78,7 @@
 pub struct Replica {
     pub(crate) settings: Settings,
     /// Writes the durable files. Messages wait in it for the writes that must be durable first.
-    pub(crate) writer: Writer<Letter>,
+    pub(crate) writer: Writer<Envelope>,
     /// Since when the disk is full, if it is.
     pub(crate) full_since: Option<Millis>,
     /// When the full disk was last logged.
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -8,7 +8,7 @@
 
 use pond_link::{Event, EventKind, LinkKey, accept, dial};
 use pond_proto::Incarnation;
-use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Member, Present};
+use pond_proto::quorum::{Body as Payload, Envelope, Member, Present};
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
 use pond_store::Memory;
@@ -96,11 +96,11 @@
         }
     }
 
-    fn presence(&self) -> QuorumMessage {
+    fn presence(&self) -> Envelope {
         let address = self.address.to_string();
         let member = Member { id: JOINING_ID, name: address.clone(), address, voter: true };
         let present = Payload::Present(Present { member, formed: false, last_index: 0 });
-        QuorumMessage { from: JOINING_ID, to: 0, term: 0, body: Some(present) }
+        Envelope { from: JOINING_ID, to: 0, term: 0, body: Some(present) }
     }
 }
 
--- a/crates/pond-store/src/snapshot.rs
+++ b/crates/pond-store/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! Snapshot files. A snapshot is written to a temporary file, synced, then renamed.
 
-use pond_proto::quorum::SnapshotHead;
+use pond_proto::quorum::SnapshotHeader;
 use prost::Message;
 
 use crate::{Disk, Error};
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     /// Its index, its term and the members.
-    pub head: SnapshotHead,
+    pub head: SnapshotHeader,
     /// The encoded state.
     pub data: Vec<u8>,
 }
@@ -78,6 +78,6 @@
         return None;
     }
     let head =
-        SnapshotHead::decode(bytes.get(PREFIX_BYTES..PREFIX_BYTES.checked_add(length)?)?).ok()?;
+        SnapshotHeader::decode(bytes.get(PREFIX_BYTES..PREFIX_BYTES.checked_add(length)?)?).ok()?;
     Some(Snapshot { head, data: bytes[PREFIX_BYTES + length..].to_vec() })
 }
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pond_proto::quorum::{Batch, Entry, Hard};
+use pond_proto::quorum::{Batch, Entry, HardState};
 
 use crate::batch;
 use crate::snapshot::Snapshot;
@@ -17,7 +17,7 @@
     /// The disk's identity.
     pub id: u64,
     /// Term, vote and commit index.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, in order.
@@ -48,7 +48,7 @@
     disk: Box<dyn Disk>,
     segments: Vec<Segment>,
     next_batch: u64,
-    hard: Hard,
+    hard: HardState,
     failed: bool,
     unsynced: Option<Unsynced>,
     /// Whether a write or a sync failed because the disk was full, so that the content after the last
@@ -72,7 +72,7 @@
             disk,
             segments: Vec::new(),
             next_batch: 1,
-            hard: Hard::default(),
+            hard: HardState::default(),
             failed: false,
             unsynced: None,
             in_doubt: false,
@@ -181,7 +181,7 @@
     /// # Errors
     /// After [`Error::Full`] all earlier data is intact, and the same write can be retried. After any
     /// other error the store may reject further writes.
-    pub fn append(&mut self, hard: Option<Hard>, entries: &[Entry]) -> Result<(), Error> {
+    pub fn append(&mut self, hard: Option<HardState>, entries: &[Entry]) -> Result<(), Error> {
         let batch = Batch { hard, entries: entries.to_vec(), keep_to: None };
         self.write(&batch)
     }
--- a/crates/pond-store/src/writer.rs
+++ b/crates/pond-store/src/writer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pond_proto::quorum::{Entry, Hard};
+use pond_proto::quorum::{Entry, HardState};
 
 use crate::{Error, Snapshot, Store};
 
@@ -12,7 +12,7 @@
     /// A group of entries and the hard state.
     Batch {
         /// Term, vote and commit index, if they changed.
-        hard: Option<Hard>,
+        hard: Option<HardState>,
         /// Entries. The first one replaces any stored entry with its index and all later ones.
         entries: Vec<Entry>,
     },
--- a/crates/pond-store/tests/full.rs
+++ b/crates/pond-store/tests/full.rs
@@ -4,7 +4,7 @@
 
 use std::ops::Range;
 
-use pond_proto::quorum::{Entry, Hard, Kind, Members, SnapshotHead};
+use pond_proto::quorum::{Entry, HardState, Kind, Members, SnapshotHeader};
 use pond_store::{Crash, Error, Memory, Recovered, Snapshot, Store, Write, Writer};
 
 /// Number of groups that are written.
@@ -42,7 +42,7 @@
 }
 
 fn snapshot(index: u64) -> Snapshot {
-    let head = SnapshotHead { index, term: 1, members: Members::default() };
+    let head = SnapshotHeader { index, term: 1, members: Members::default() };
     Snapshot { head, data: vec![42; 100] }
 }
 
@@ -55,7 +55,7 @@
 fn group(number: u64) -> Write {
     let last = last_index(number);
     let entries = (last - ENTRIES + 1..=last).map(|index| entry(index, number)).collect();
-    Write::Batch { hard: Some(Hard { term: number, vote: 7, commit: 0 }), entries }
+    Write::Batch { hard: Some(HardState { term: number, vote: 7, commit: 0 }), entries }
 }
 
 /// The files of a replica, with what was enqueued and what was reported durable.
--- a/crates/pond-store/tests/recovery.rs
+++ b/crates/pond-store/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use pond_proto::quorum::{Entry, Hard, Kind, Members, SnapshotHead};
+use pond_proto::quorum::{Entry, HardState, Kind, Members, SnapshotHeader};
 use pond_store::{Crash, Disk, Error, Memory, Recovered, Snapshot, Store};
 use pond_test::cases;
 use proptest::prelude::*;
@@ -14,12 +14,12 @@
     Entry { index, term, kind: Kind::Change as i32, data }
 }
 
-fn hard(term: u64) -> Option<Hard> {
-    Some(Hard { term, vote: 7, commit: 0 })
+fn hard(term: u64) -> Option<HardState> {
+    Some(HardState { term, vote: 7, commit: 0 })
 }
 
 fn snapshot(index: u64) -> Snapshot {
-    let head = SnapshotHead { index, term: 1, members: Members::default() };
+    let head = SnapshotHeader { index, term: 1, members: Members::default() };
     Snapshot { head, data: vec![42; 100] }
 }
 
--- a/crates/pond-test/src/cluster/carry.rs
+++ b/crates/pond-test/src/cluster/carry.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pond_proto::quorum::{Entry, Kind, Letter};
+use pond_proto::quorum::{Entry, Envelope, Kind};
 use pond_quorum::{Input, Output, SnapshotImage};
 use pond_store::{Snapshot, Writer};
 use rand::Rng;
@@ -77,7 +77,7 @@
     pub(super) fn with_writer<T>(
         &mut self,
         id: u64,
-        act: impl FnOnce(&mut Writer<Letter>) -> Result<T, pond_store::Error>,
+        act: impl FnOnce(&mut Writer<Envelope>) -> Result<T, pond_store::Error>,
     ) -> Option<T> {
         let running = self.nodes.get_mut(&id).and_then(|node| node.running.as_mut())?;
         match act(&mut running.writer) {
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, letter: Letter) {
+    pub(super) fn send(&mut self, letter: Envelope) {
         if self.rng.random_range(0..1000) < self.faults.loss {
             return;
         }
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Entry, Letter, Member, Members};
+use pond_proto::quorum::{Entry, Envelope, Member, Members};
 use pond_quorum::{Core, Input, Role, SnapshotImage, Start, Tuning};
 use pond_store::{Crash, Memory, Store, Writer};
 use rand::rngs::SmallRng;
@@ -112,7 +112,7 @@
 
 struct Running {
     core: Core,
-    writer: Writer<Letter>,
+    writer: Writer<Envelope>,
     applied: u64,
     values: Vec<u64>,
 }
@@ -120,7 +120,7 @@
 /// A message on its way.
 struct Flying {
     due: u64,
-    letter: Letter,
+    letter: Envelope,
 }
 
 /// The replicas and what was seen of them.
