--- a/crates/pond-proto/src/quorum.rs
+++ b/crates/pond-proto/src/quorum.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether that replica votes.
-    pub fn votes(&self, id: u64) -> bool {
+    pub fn is_voter(&self, id: u64) -> bool {
         self.get(id).is_some_and(|member| member.voter)
     }
 
@@ -154,7 +154,7 @@
 pub struct AppendReply {
     /// Whether the entries fitted.
     #[prost(bool, tag = "1")]
-    pub fitted: bool,
+    pub matched: bool,
     /// If they fitted, the last index that is durable and equal to the leader's; if not, the
     /// last index that may be equal.
     #[prost(uint64, tag = "2")]
@@ -204,7 +204,7 @@
     pub index: u64,
     /// Bytes that have arrived.
     #[prost(uint64, tag = "2")]
-    pub have: u64,
+    pub received_bytes: u64,
     /// The round of the chunk it answers.
     #[prost(uint64, tag = "3")]
     pub round: u64,
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -25,7 +25,7 @@
 
     pub(crate) fn start_pre_vote(&mut self, now: Millis) {
         self.reset_deadline(now);
-        if !self.lists.current().votes(self.id) {
+        if !self.lists.current().is_voter(self.id) {
             return;
         }
         self.leader = None;
@@ -100,7 +100,7 @@
     }
 
     pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteReply) {
-        if !reply.granted || !self.lists.current().votes(from) {
+        if !reply.granted || !self.lists.current().is_voter(from) {
             return;
         }
         let majority = self.lists.current().majority();
@@ -122,7 +122,7 @@
     }
 
     pub(crate) fn handle_take_over(&mut self, now: Millis, from: u64) {
-        if self.leader == Some(from) && self.lists.current().votes(self.id) {
+        if self.leader == Some(from) && self.lists.current().is_voter(self.id) {
             self.start_vote(now, true);
         }
     }
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -226,7 +226,7 @@
         let State::Leader(leading) = &mut self.state else { return };
         let Some(progress) = leading.progress.get_mut(&from) else { return };
         progress.in_flight = progress.in_flight.saturating_sub(1);
-        if reply.fitted {
+        if reply.matched {
             progress.record_match(reply.index.min(last));
             self.advance_commit(now);
             self.hand_over_if_ready(from);
@@ -316,14 +316,14 @@
         if index != reply.index {
             return;
         }
-        if reply.have >= total {
+        if reply.received_bytes >= total {
             progress.snapshot = None;
             progress.in_flight = 0;
             progress.record_match(index);
             progress.next = progress.matched + 1;
             self.advance_commit(now);
-        } else if progress.snapshot != Some((index, reply.have)) {
-            progress.snapshot = Some((index, reply.have));
+        } else if progress.snapshot != Some((index, reply.received_bytes)) {
+            progress.snapshot = Some((index, reply.received_bytes));
             self.send_chunk(now, from);
         }
         self.confirm_reads();
@@ -349,7 +349,7 @@
     fn confirm_reads(&mut self) {
         let members = self.lists.current();
         let State::Leader(leading) = &mut self.state else { return };
-        let own = members.votes(self.id);
+        let own = members.is_voter(self.id);
         while let Some(read) = leading.reads.front() {
             let answered =
                 |id: &u64| leading.progress.get(id).is_some_and(|p| p.round >= read.round);
@@ -375,7 +375,7 @@
         let until = now + self.tuning.election_ms * 2;
         let State::Leader(leading) = &mut self.state else { return };
         let members = self.lists.current();
-        let voters = leading.progress.iter().filter(|(id, _)| members.votes(**id));
+        let voters = leading.progress.iter().filter(|(id, _)| members.is_voter(**id));
         let best = voters.max_by_key(|(_, progress)| (progress.matched, progress.heard));
         let Some(best) = best.map(|(id, _)| *id) else { return };
         leading.handover = Some((best, until));
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -121,7 +121,7 @@
 fn outdated_leader_is_rejected_and_informed_of_the_new_term() {
     let mut core = replica(0);
     let reply = answer(&mut core, AFTER_TIMEOUT, TERM - 1, heartbeat(vec![entry(3, 4)]));
-    assert!(matches!(reply, Some(Body::AppendReply(reply)) if !reply.fitted), "{reply:?}");
+    assert!(matches!(reply, Some(Body::AppendReply(reply)) if !reply.matched), "{reply:?}");
     assert_eq!((core.last_index(), core.leader().is_some()), (2, false));
 }
 
@@ -137,7 +137,7 @@
         let entries = vec![entry(previous_index + 1, TERM)];
         let append = Append { previous_index, previous_term, entries, commit: 0, round: 1 };
         let reply = answer(&mut core, AFTER_TIMEOUT, TERM, Body::Append(append));
-        let fitted = matches!(reply, Some(Body::AppendReply(reply)) if reply.fitted);
+        let fitted = matches!(reply, Some(Body::AppendReply(reply)) if reply.matched);
         assert_eq!((fitted, core.last_index()), (fits, if fits { 3 } else { 2 }), "{name}");
     }
 }
@@ -171,7 +171,7 @@
 
 /// Lets replica 2 acknowledge the log up to an index.
 fn acknowledge(core: &mut Core, index: u64) {
-    let reply = AppendReply { fitted: true, index, hint_term: 0, round: 1 };
+    let reply = AppendReply { matched: true, index, hint_term: 0, round: 1 };
     let body = Some(Body::AppendReply(reply));
     let message = Envelope { from: 2, to: 1, term: TERM + 1, body };
     core.step(Millis(AFTER_TIMEOUT + 10), Input::Message(message));
--- a/crates/pond-quorum/tests/schedule.rs
+++ b/crates/pond-quorum/tests/schedule.rs
@@ -248,7 +248,7 @@
     cluster.input(leader, Input::Add(member));
     cluster.run(1000);
     assert!(
-        cluster.core(leader).expect("leader").members().votes(9),
+        cluster.core(leader).expect("leader").members().is_voter(9),
         "it votes once it has caught up"
     );
     cluster.crash(others[1], 1_000_000);
@@ -271,7 +271,7 @@
     assert!(Some(has) < acknowledged, "{has} of {acknowledged:?}");
     cluster.input(leader, Input::Remove(follower));
     cluster.run(300);
-    assert!(!cluster.core(leader).expect("leader").members().votes(follower));
+    assert!(!cluster.core(leader).expect("leader").members().is_voter(follower));
     cluster.propose(leader);
     cluster.run(200);
     assert_eq!((cluster.accepted(), cluster.wrong.clone()), (21, None));
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -585,7 +585,7 @@
         let lists: Vec<(u64, Vec<u64>)> = self
             .nodes
             .keys()
-            .filter(|id| self.core(leader).is_some_and(|core| core.members().votes(**id)))
+            .filter(|id| self.core(leader).is_some_and(|core| core.members().is_voter(**id)))
             .map(|id| (*id, self.values(*id)))
             .collect();
         let longest = lists.iter().map(|(_, list)| list.clone()).max_by_key(Vec::len);
