--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -256,7 +256,7 @@
                 senders.insert(event.link, sender);
             }
             EventKind::Frame(Body::View(delta)) => {
-                let ack = ViewAck { version: delta.to, quiet: Vec::new() };
+                let ack = ViewAck { version: delta.to, drained: Vec::new() };
                 if let Some(sender) = senders.get(&event.link) {
                     sender.send(Body::ViewAck(ack));
                 }
--- a/crates/pond-control/src/publish.rs
+++ b/crates/pond-control/src/publish.rs
@@ -5,7 +5,7 @@
 use pond_link::{LinkKey, Sender};
 use pond_proto::operator::Follower;
 use pond_proto::view::Delta;
-use pond_proto::wire::{Beat, Body, Hello, Role, ViewAck};
+use pond_proto::wire::{Body, Heartbeat, Hello, Role, ViewAck};
 use pond_state::State;
 
 /// A linked process that receives the configuration.
@@ -60,7 +60,7 @@
             subscriber.sent = ack.version;
         }
         subscriber.acknowledged = Some(ack.version);
-        subscriber.drained_tasks = ack.quiet;
+        subscriber.drained_tasks = ack.drained;
     }
 
     /// Returns whether a leaving endpoint has no requests left in the process at `address`, or
@@ -78,15 +78,15 @@
 
     /// Sends a heartbeat with the current leader to one process.
     pub fn send_heartbeat(&self, link: LinkKey, leader: &str, term: u64) {
-        let heartbeat = Beat { leader: leader.to_owned(), term, ..Beat::default() };
-        self.send(link, Body::Beat(heartbeat));
+        let heartbeat = Heartbeat { leader: leader.to_owned(), term, ..Heartbeat::default() };
+        self.send(link, Body::Heartbeat(heartbeat));
     }
 
     /// Sends a heartbeat with the current leader to all processes.
     pub fn broadcast_heartbeat(&self, leader: &str, term: u64) {
         for subscriber in self.subscribers.values() {
-            let heartbeat = Beat { leader: leader.to_owned(), term, ..Beat::default() };
-            subscriber.sender.send(Body::Beat(heartbeat));
+            let heartbeat = Heartbeat { leader: leader.to_owned(), term, ..Heartbeat::default() };
+            subscriber.sender.send(Body::Heartbeat(heartbeat));
         }
     }
 
--- a/crates/pond-control/src/replica/leading.rs
+++ b/crates/pond-control/src/replica/leading.rs
@@ -1,7 +1,7 @@
 //! The duties of the leader: planning, reconciling workers and publishing the configuration.
 
 use pond_log::event;
-use pond_proto::wire::{Beat, Body};
+use pond_proto::wire::{Body, Heartbeat};
 use pond_proto::{Millis, Span};
 use pond_quorum::{Input as QuorumInput, Role};
 use pond_sched::Scheduler;
@@ -144,9 +144,9 @@
             self.announced_at = now;
         }
         let (snapshot_index, checksum) = self.checksum;
-        let heartbeat = Beat { leader, term: self.core.term(), snapshot_index, checksum };
+        let heartbeat = Heartbeat { leader, term: self.core.term(), snapshot_index, checksum };
         for (_, sender) in self.peers.values() {
-            sender.send(Body::Beat(heartbeat.clone()));
+            sender.send(Body::Heartbeat(heartbeat.clone()));
         }
     }
 }
--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -4,7 +4,7 @@
 use pond_log::event;
 use pond_proto::Millis;
 use pond_proto::quorum::{Body as QuorumBody, Envelope, Present};
-use pond_proto::wire::{Beat, Body, Role as WireRole};
+use pond_proto::wire::{Body, Heartbeat, Role as WireRole};
 use pond_quorum::{Core, Input as QuorumInput, Start, Tuning};
 
 use super::Replica;
@@ -57,7 +57,7 @@
         let Some((role, _)) = self.links.get(&link) else { return };
         match (role, body) {
             (WireRole::Control, Body::Quorum(letter)) => self.letter(now, letter),
-            (WireRole::Control, Body::Beat(beat)) => self.compare(link, &beat),
+            (WireRole::Control, Body::Heartbeat(beat)) => self.compare(link, &beat),
             (_, Body::ViewAck(ack)) => self.publisher.acknowledged(link, ack),
             (WireRole::Entry, Body::ClaimRequest(ask)) => self.claim(now, link, ask),
             (WireRole::Entry, Body::ClaimEnd(end)) => self.end_claim(now, end),
@@ -106,7 +106,7 @@
     }
 
     /// Compares the checksum of the state with that of another replica at the same index.
-    pub(super) fn compare(&mut self, link: LinkKey, beat: &Beat) {
+    pub(super) fn compare(&mut self, link: LinkKey, beat: &Heartbeat) {
         let (index, checksum) = self.checksum;
         if index > 0 && beat.snapshot_index == index && beat.checksum != checksum {
             let peer = self.links.get(&link).map(|(_, name)| name.clone());
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -178,9 +178,9 @@
 
     fn frame(&mut self, now: Micros, process: ProcessKey, body: Body) {
         match body {
-            Body::Refuse(refuse) => self.router.offer_refused(now, process, refuse),
+            Body::Refused(refuse) => self.router.offer_refused(now, process, refuse),
             Body::Answer(answer) => self.router.answered(now, process, answer),
-            Body::Broken(broken) => self.router.answer_lost(now, process, broken.offer),
+            Body::AnswerLost(broken) => self.router.answer_lost(now, process, broken.offer),
             Body::FateReply(tell) => self.router.fate_reported(now, process, tell),
             Body::Leave(leave) => self.router.endpoint_leaving(process, leave.task),
             _ => {}
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -91,7 +91,9 @@
         match event.kind {
             EventKind::Up { sender, .. } => self.link_up(link, sender),
             EventKind::Down(error) => return self.link_down(link, &error),
-            EventKind::Frame(Body::Beat(beat)) => return self.heartbeat(&beat.leader, beat.term),
+            EventKind::Frame(Body::Heartbeat(beat)) => {
+                return self.heartbeat(&beat.leader, beat.term);
+            }
             EventKind::Frame(Body::View(delta)) => return Some(Notification::View(delta)),
             EventKind::Frame(Body::ClaimReply(tell)) => return Some(Notification::Claim(tell)),
             EventKind::Frame(_) => {}
@@ -102,7 +104,8 @@
     fn link_up(&mut self, link: LinkKey, sender: Sender) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         event!(self.log, LINK_UP, "peer" => peer.name.clone());
-        sender.send(Body::ViewAck(ViewAck { version: self.version, quiet: self.drained.clone() }));
+        sender
+            .send(Body::ViewAck(ViewAck { version: self.version, drained: self.drained.clone() }));
         peer.sender = Some(sender);
     }
 
@@ -176,7 +179,7 @@
     fn send_acknowledgement(&self, version: u64) {
         for peer in self.peers.values() {
             if let Some(sender) = &peer.sender {
-                sender.send(Body::ViewAck(ViewAck { version, quiet: self.drained.clone() }));
+                sender.send(Body::ViewAck(ViewAck { version, drained: self.drained.clone() }));
             }
         }
     }
--- a/crates/pond-link/src/pump.rs
+++ b/crates/pond-link/src/pump.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
-use pond_proto::wire::{Beat, Body, Frame, Hello, VERSION};
+use pond_proto::wire::{Body, Frame, Heartbeat, Hello, VERSION};
 use prost::Message;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -81,7 +81,7 @@
         match received {
             Ok(0) => return Error::Closed,
             Ok(_) => {}
-            Err(_) => batch.push(Body::Beat(Beat::default())),
+            Err(_) => batch.push(Body::Heartbeat(Heartbeat::default())),
         }
         for body in batch.drain(..) {
             if let Err(source) = sink.feed(encode(body)).await {
@@ -117,7 +117,7 @@
             },
         };
         // An empty beat only keeps the link alive.
-        if body == Body::Beat(Beat::default()) {
+        if body == Body::Heartbeat(Heartbeat::default()) {
             continue;
         }
         if events.send(Event { link, kind: EventKind::Frame(body) }).await.is_err() {
--- a/crates/pond-link/tests/hostile.rs
+++ b/crates/pond-link/tests/hostile.rs
@@ -6,7 +6,7 @@
 
 use pond_link::{Error, Event, EventKind, Terms, accept};
 use pond_proto::Incarnation;
-use pond_proto::wire::{Beat, Body, Frame, Hello, Role, VERSION};
+use pond_proto::wire::{Body, Frame, Heartbeat, Hello, Role, VERSION};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -68,7 +68,7 @@
     assert!(matches!(error, Error::Version { theirs: 99, .. }), "{error}");
     let other_token = Body::Hello(Hello { token: "guess".to_owned(), ..hello() });
     assert!(matches!(fate(framed(other_token)).await, Error::Token));
-    let no_hello = Body::Beat(Beat { term: 7, ..Beat::default() });
+    let no_hello = Body::Heartbeat(Heartbeat { term: 7, ..Heartbeat::default() });
     assert!(matches!(fate(framed(no_hello)).await, Error::NoHello));
 }
 
@@ -124,8 +124,9 @@
         panic!("it is not up")
     };
     // This thread's runtime does not run the writer before it is awaited.
-    let sent =
-        (0..100).filter(|term| sender.send(Body::Beat(Beat { term: term + 1, ..Beat::default() })));
+    let sent = (0..100).filter(|term| {
+        sender.send(Body::Heartbeat(Heartbeat { term: term + 1, ..Heartbeat::default() }))
+    });
     assert_eq!(sent.count(), 16);
     let mut read = vec![0; 64];
     assert!(stream.read(&mut read).await.expect("reads") > 0);
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -5,7 +5,7 @@
 
 use pond_link::{Error, Event, EventKind, LinkKey, Sender, Terms, accept, dial};
 use pond_proto::Incarnation;
-use pond_proto::wire::{Beat, Body, Role};
+use pond_proto::wire::{Body, Heartbeat, Role};
 use pond_test::{SwallowProxy, Swallowed};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -43,12 +43,12 @@
 
     fn say(&self, term: u64) {
         let (_, sender) = self.up.as_ref().expect("it is up");
-        assert!(sender.send(Body::Beat(Beat { term, ..Beat::default() })));
+        assert!(sender.send(Body::Heartbeat(Heartbeat { term, ..Heartbeat::default() })));
     }
 
     async fn hear(&mut self, term: u64) {
         match self.event().await.kind {
-            EventKind::Frame(Body::Beat(beat)) => assert_eq!(beat.term, term),
+            EventKind::Frame(Body::Heartbeat(beat)) => assert_eq!(beat.term, term),
             other => panic!("no frame: {other:?}"),
         }
     }
@@ -148,7 +148,7 @@
 fn talk(end: &End) -> tokio::task::JoinHandle<()> {
     let (_, sender) = end.up.clone().expect("it is up");
     tokio::spawn(async move {
-        while sender.send(Body::Beat(Beat { term: 5, ..Beat::default() })) {
+        while sender.send(Body::Heartbeat(Heartbeat { term: 5, ..Heartbeat::default() })) {
             tokio::time::sleep(BEAT / 5).await;
         }
     })
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -134,7 +134,7 @@
 
 /// The offer did not run and will not run.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Refuse {
+pub struct Refused {
     /// Which offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
@@ -178,7 +178,7 @@
 
 /// The offer started, and its answer was lost.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Broken {
+pub struct AnswerLost {
     /// Which offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
@@ -225,7 +225,7 @@
 
 /// Tells a process who leads, and that a link is alive.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The leader's address as far as the sender knows; empty if unknown.
     #[prost(string, tag = "1")]
     pub leader: String,
@@ -248,7 +248,7 @@
     pub version: u64,
     /// Leaving endpoints at the sender that run and hold no request any more.
     #[prost(uint64, repeated, tag = "2")]
-    pub quiet: Vec<u64>,
+    pub drained: Vec<u64>,
 }
 
 /// Asks for the right to run a request that is not repeatable.
@@ -333,7 +333,7 @@
     Hello(Hello),
     /// Keeps a link alive.
     #[prost(message, tag = "2")]
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Entry to endpoint process.
     #[prost(message, tag = "3")]
     Offer(Offer),
@@ -342,13 +342,13 @@
     Revoke(OfferId),
     /// Endpoint process to entry.
     #[prost(message, tag = "5")]
-    Refuse(Refuse),
+    Refused(Refused),
     /// Endpoint process to entry.
     #[prost(message, tag = "6")]
     Answer(Answer),
     /// Endpoint process to entry.
     #[prost(message, tag = "7")]
-    Broken(Broken),
+    AnswerLost(AnswerLost),
     /// Entry to endpoint process.
     #[prost(message, tag = "8")]
     FateRequest(FateRequest),
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -5,8 +5,8 @@
 use pond_proto::Micros;
 use pond_proto::view::Delta;
 use pond_proto::wire::{
-    Answer, Body, Broken, Content, Fate, FateReply, FateRequest, Leave, Offer, OfferId, Refusal,
-    Refuse,
+    Answer, AnswerLost, Body, Content, Fate, FateReply, FateRequest, Leave, Offer, OfferId,
+    Refusal, Refused,
 };
 
 /// Maximum number of queued offers for each slot of an endpoint.
@@ -315,8 +315,8 @@
 
     fn refuse(&mut self, offer: OfferId, task: u64, refusal: Refusal) {
         let grant = self.grant(task, offer.id.incarnation);
-        let refuse = Refuse { offer, refusal: refusal as i32, grant };
-        self.send_to_entry(offer.id.incarnation, Body::Refuse(refuse));
+        let refuse = Refused { offer, refusal: refusal as i32, grant };
+        self.send_to_entry(offer.id.incarnation, Body::Refused(refuse));
     }
 
     fn send_to_entry(&mut self, incarnation: u64, body: Body) {
@@ -407,7 +407,7 @@
     pub fn answer_lost(&mut self, now: Micros, offer: OfferId) {
         if self.release(now, offer).is_some() {
             self.retain_result(offer, State::Lost);
-            self.send_to_entry(offer.id.incarnation, Body::Broken(Broken { offer }));
+            self.send_to_entry(offer.id.incarnation, Body::AnswerLost(AnswerLost { offer }));
         }
     }
 
--- a/crates/pond-route/src/router/offer.rs
+++ b/crates/pond-route/src/router/offer.rs
@@ -1,7 +1,7 @@
 //! Offers: how requests go from the queue of a service to an endpoint, and what follows a refusal.
 
 use pond_proto::Micros;
-use pond_proto::wire::{Offer, OfferId, Refusal, Refuse, RequestId};
+use pond_proto::wire::{Offer, OfferId, Refusal, Refused, RequestId};
 use rand::Rng;
 
 use super::{Output, Router};
@@ -160,7 +160,7 @@
     }
 
     /// Handles a refusal by an endpoint process: the offer did not run and will not.
-    pub fn offer_refused(&mut self, now: Micros, process: ProcessKey, refuse: Refuse) {
+    pub fn offer_refused(&mut self, now: Micros, process: ProcessKey, refuse: Refused) {
         if !self.was_offered_to(process, refuse.offer) {
             return;
         }
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -345,7 +345,7 @@
     let outputs = admission.take_outputs();
     let started = outputs.iter().any(|output| matches!(output, AdmissionOutput::Run(_)));
     let refused = outputs.iter().any(|output| {
-        matches!(output, AdmissionOutput::Send { body: Body::Refuse(refuse), .. }
+        matches!(output, AdmissionOutput::Send { body: Body::Refused(refuse), .. }
             if refuse.offer.id == id(2) && refuse.refusal() == Refusal::Expired)
     });
     assert!(!started && refused, "{outputs:?}");
--- a/crates/pond-test/src/path.rs
+++ b/crates/pond-test/src/path.rs
@@ -447,9 +447,9 @@
         let Some(key) = self.key_of(entry, process) else { return };
         let router = &mut self.entries[entry];
         match body {
-            Body::Refuse(refuse) => router.offer_refused(now, key, refuse),
+            Body::Refused(refuse) => router.offer_refused(now, key, refuse),
             Body::Answer(answer) => router.answered(now, key, answer),
-            Body::Broken(broken) => router.answer_lost(now, key, broken.offer),
+            Body::AnswerLost(broken) => router.answer_lost(now, key, broken.offer),
             Body::FateReply(tell) => router.fate_reported(now, key, tell),
             Body::Leave(leave) => router.endpoint_leaving(key, leave.task),
             _ => {}
