--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -143,14 +143,14 @@
     pub(super) fn update_paces(&mut self, now: Millis) {
         let serving = self.runs.values().filter_map(|run| {
             let target = run.watch.as_ref()?.tail_target_ms;
-            (target > 0 && run.row.percent == 100).then_some((run.row.figure, target))
+            (target > 0 && run.row.percent == 100).then_some((run.row.measurement, target))
         });
         let mut groups: BTreeMap<String, Group> = BTreeMap::new();
         for watch in self.runs.values().filter_map(|run| run.watch.as_ref()) {
             if watch.best_effort {
                 let group =
                     groups.entry(watch.image.clone()).or_insert(Group { blame_permille: 0 });
-                group.blame_permille += u64::from(watch.blame_permille);
+                group.blame_permille += u64::from(watch.interference_permille);
             }
         }
         self.pacing.update(now, serving, &groups);
@@ -223,13 +223,13 @@
             labels: worker.labels.clone(),
             draining: worker.draining,
             clock_ms: self.clock_ms,
-            answers: self.has_listed
+            responsive: self.has_listed
                 && !self.unreachable
                 && now.since(self.listed_at) < UNRESPONSIVE_MS,
             gone: false,
             runs: self.rows(),
             ends: self.ends.values().cloned().collect(),
-            left: false,
+            deregistered: false,
             unstarted: self.unstarted.iter().copied().collect(),
             data_centre: worker.data_centre.clone(),
             remaining_ms: worker.remaining_ms,
--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -390,7 +390,7 @@
         // It can be decided whether a suspect took the worker down only if the worker is known to
         // be up when the suspect starts, and if it is known for how long everything else has run
         // there.
-        let await_answer = order.watch.tell_ms > 0 && !draining;
+        let await_answer = order.watch.report_after_ms > 0 && !draining;
         let phase = if draining { Phase::Stopping } else { Phase::Starting { order, attempts: 0 } };
         let mut run = Run::new(name, phase, watch, now);
         if await_answer {
--- a/crates/pond-agent/src/core/previous.rs
+++ b/crates/pond-agent/src/core/previous.rs
@@ -39,7 +39,7 @@
         Output::Report(Report {
             worker: self.incarnation.clone(),
             gone: true,
-            left: self.left,
+            deregistered: self.left,
             runs: self.rows.clone(),
             ends: self.ends.clone(),
             ..Report::default()
--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -103,7 +103,7 @@
     /// Returns when the leader must learn that the worker has survived with this run. None if the
     /// leader does not need to know.
     pub fn survival_due(&self) -> Option<Millis> {
-        let survival_ms = self.watch.as_ref().map_or(0, |watch| watch.tell_ms);
+        let survival_ms = self.watch.as_ref().map_or(0, |watch| watch.report_after_ms);
         self.confirmed_at
             .filter(|_| survival_ms > 0)
             .map(|confirmed_at| confirmed_at + Span::from(survival_ms))
@@ -117,7 +117,7 @@
         let answered_recently =
             self.start_calls > 0 && self.last_start_at.since(answered_at) <= RECENT_ANSWER_MS;
         let met = self.confirmed_at.is_some() || answered_recently;
-        RunRow { survived_ms: lived_ms, unsent, met, ..self.row.clone() }
+        RunRow { survived_ms: lived_ms, unsent, confirmed_up: met, ..self.row.clone() }
     }
 
     /// Marks the run to be stopped. The stop call does not wait for the answer to a start call in
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -175,7 +175,7 @@
 fn unresponsive_worker_is_reported_as_such() {
     let mut harness = Harness::new();
     harness.advance(4_000);
-    assert!(!harness.last().answers);
+    assert!(!harness.last().responsive);
 }
 
 #[test]
@@ -205,7 +205,7 @@
 #[test]
 fn all_best_effort_runs_are_halted_before_a_tail_is_too_high_for_three_seconds() {
     let mut harness = Harness::new();
-    let serving = Watch { image: "s".to_owned(), blame_permille: 10, ..serving(0, 10) };
+    let serving = Watch { image: "s".to_owned(), interference_permille: 10, ..serving(0, 10) };
     harness.run_all(vec![serving, best_effort(1, "blamed", 900), best_effort(2, "spared", 10)]);
     let mut paces = BTreeMap::new();
     for _ in 0..6 {
@@ -353,7 +353,7 @@
     harness.answer(is_list, Reply::OtherLife);
     harness.advance(1);
     let last = harness.gone();
-    assert!(!last.left);
+    assert!(!last.deregistered);
     let reported: Vec<_> =
         last.runs.iter().map(|row| (row.run.task.index, row.survived_ms, row.unsent)).collect();
     assert_eq!(reported, [(0, 600, false), (1, 0, true), (2, 0, false), (3, 0, false)]);
@@ -367,7 +367,7 @@
     harness.list(&[0], &[]);
     harness.core.deregistered(harness.now, INCARNATION);
     harness.answer(is_list, Reply::NotSent);
-    assert!(harness.gone().left);
+    assert!(harness.gone().deregistered);
 }
 
 /// A report from another sender may name an existing incarnation.
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -129,7 +129,7 @@
         let row = |index: u32, percent: u32, figure: u32| RunRow {
             run: run(index),
             percent,
-            figure,
+            measurement: figure,
             ..RunRow::default()
         };
         let fill = (1..=best_effort).map(|index| row(index, 10, 900));
@@ -246,5 +246,11 @@
 
 pub fn best_effort(index: u32, image: &str, blame_permille: u32) -> Watch {
     let image = image.to_owned();
-    Watch { run: run(index), best_effort: true, image, blame_permille, ..Watch::default() }
+    Watch {
+        run: run(index),
+        best_effort: true,
+        image,
+        interference_permille: blame_permille,
+        ..Watch::default()
+    }
 }
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -247,7 +247,7 @@
         simulation.advance_until(1_000, |_: Span, _: &Call| None, |_| false);
         simulation.register_again();
     }
-    assert!(!simulation.harness.last().answers);
+    assert!(!simulation.harness.last().responsive);
     assert!(
         simulation.harness.last().clock_ms <= before + MAX_CLOCK_ADVANCE_MS,
         "{}",
@@ -288,7 +288,7 @@
     }
     harness.advance(1_000);
     let report = harness.last();
-    assert_eq!((report.worker.as_str(), report.answers), ("incarnation-2", false));
+    assert_eq!((report.worker.as_str(), report.responsive), ("incarnation-2", false));
 }
 
 #[test]
--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -248,7 +248,7 @@
             let serves = self.state.step(run.task).is_some_and(Step::serves);
             let figure = if serves { 6 } else { 900 } + variation;
             let percent = if serves { 100 } else { 20 };
-            RunRow { run, percent, figure, ..RunRow::default() }
+            RunRow { run, percent, measurement: figure, ..RunRow::default() }
         };
         let incarnation = incarnation(worker);
         Report {
@@ -258,7 +258,7 @@
             milli_cpu: WORKER_MILLI_CPU,
             memory_mib: 128_000,
             clock_ms: self.now.0,
-            answers: true,
+            responsive: true,
             ..Report::default()
         }
     }
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -94,7 +94,7 @@
         // Only the last report contains the ends that it listed.
         let last_report = self.last_reports.remove(incarnation);
         let end = end.or(last_report.as_ref());
-        let left = end.is_some_and(|end| end.left)
+        let left = end.is_some_and(|end| end.deregistered)
             || self.workers.get(incarnation).is_some_and(|worker| worker.draining);
         let logged =
             state.placed(incarnation).next().is_some() || state.last_committed_end(incarnation) > 0;
@@ -251,7 +251,7 @@
                 // worker down.
                 let unsent = row.unsent && end.is_some();
                 let survived_ms = (!unsent).then_some(row.survived_ms.into());
-                let alive_at_start = row.met && end.is_some();
+                let alive_at_start = row.confirmed_up && end.is_some();
                 let started = !row.unlisted || row.survived_ms > 0;
                 LostRun {
                     run,
--- a/crates/pond-job/src/lead/interference.rs
+++ b/crates/pond-job/src/lead/interference.rs
@@ -163,7 +163,7 @@
         let best_effort_use = self.recent_use(state, report);
         for row in &report.runs {
             let Some(step) = state.step(row.run.task) else { continue };
-            if step.serves() && at_work(row) && row.figure > 0 {
+            if step.serves() && at_work(row) && row.measurement > 0 {
                 self.learn_one(now, step, row, &best_effort_use);
             }
         }
@@ -174,12 +174,12 @@
     /// images that have just ended decays.
     fn recent_use(&mut self, state: &State, report: &Report) -> Vec<(Image, f64)> {
         let mut best_effort_use: BTreeMap<Image, f64> = BTreeMap::new();
-        for row in report.runs.iter().filter(|row| row.figure > 0) {
+        for row in report.runs.iter().filter(|row| row.measurement > 0) {
             let Some(step) = state.step(row.run.task).filter(|step| step.best_effort) else {
                 continue;
             };
             let image = self.images.key(&step.image);
-            *best_effort_use.entry(image).or_default() += share(row.figure, report.milli_cpu);
+            *best_effort_use.entry(image).or_default() += share(row.measurement, report.milli_cpu);
         }
         for (image, before) in self.best_effort_use.get(&report.worker).into_iter().flatten() {
             let decayed = before * USE_DECAY;
@@ -207,9 +207,9 @@
             added: Regression::new(REGRESSION_TUNING),
         };
         let model = self.model_slot(image).get_or_insert_with(new);
-        model.scale.learn(row.figure);
+        model.scale.learn(row.measurement);
         let (mean, variance) = load.at(now);
-        let measured = model.scale.utilization(row.figure);
+        let measured = model.scale.utilization(row.measurement);
         let expected: f64 = mean
             + best_effort_use
                 .iter()
@@ -219,7 +219,7 @@
             self.loads.insert(row.run, load);
             return;
         }
-        let noise = variance + model.scale.noise(row.figure);
+        let noise = variance + model.scale.noise(row.measurement);
         let innovation = model.added.learn(best_effort_use, measured - mean, noise);
         let mut load = load;
         load.learn(now, innovation.error, innovation.variance);
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -97,8 +97,8 @@
                 tail_target_ms: step.tail_target_ms,
                 best_effort: step.best_effort,
                 image: step.image.clone(),
-                blame_permille: permille(blame),
-                tell_ms: report_after_ms(state, run),
+                interference_permille: permille(blame),
+                report_after_ms: report_after_ms(state, run),
             });
         }
         watches
@@ -197,8 +197,8 @@
 
 /// Returns whether the agent needs a new watch for a run.
 fn changed(sent: &Watch, watch: &Watch) -> bool {
-    sent.tell_ms != watch.tell_ms
-        || sent.blame_permille.abs_diff(watch.blame_permille) >= BLAME_STEP_PERMILLE
+    sent.report_after_ms != watch.report_after_ms
+        || sent.interference_permille.abs_diff(watch.interference_permille) >= BLAME_STEP_PERMILLE
 }
 
 /// Returns the order to start a run; `None` if its job or its watch is not known.
--- a/crates/pond-job/src/lead/progress.rs
+++ b/crates/pond-job/src/lead/progress.rs
@@ -44,7 +44,7 @@
             let known = worker.progress.get(&row.run);
             // Nothing is known about a worker that does not answer, and one that crashed is healthy
             // once it is back. If its runs counted as stalled, it would be in backoff for 2 to 8 s.
-            let same = known.filter(|known| known.percent == row.percent && report.answers);
+            let same = known.filter(|known| known.percent == row.percent && report.responsive);
             let progress = same.copied().unwrap_or(Progress { percent: row.percent, since: now });
             worker.progress.insert(row.run, progress);
             if is_stalled(state, now, row.run, progress) {
--- a/crates/pond-job/src/lead/worker.rs
+++ b/crates/pond-job/src/lead/worker.rs
@@ -115,12 +115,12 @@
         self.labels = report.labels.iter().cloned().collect();
         self.data_centre = report.data_centre.clone();
         self.draining = report.draining;
-        self.answers = report.answers;
+        self.answers = report.responsive;
         let rows: BTreeMap<RunName, RunRow> =
             report.runs.iter().map(|row| (row.run, row.clone())).collect();
         // Not every report contains new figures.
         let figures = |rows: &BTreeMap<RunName, RunRow>| -> Vec<u32> {
-            rows.values().map(|row| row.figure).collect()
+            rows.values().map(|row| row.measurement).collect()
         };
         let new = figures(&rows) != figures(&self.rows);
         self.rows = rows;
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -25,7 +25,7 @@
         for (run, row) in &mut vm.runs {
             let serves = run.task.job == SERVING;
             row.percent = if serves { 100 } else { (row.percent + 1).min(99) };
-            row.figure = if serves { tail_ms } else { milli_cpu };
+            row.measurement = if serves { tail_ms } else { milli_cpu };
         }
         harness.report(incarnation);
     }
--- a/crates/pond-job/tests/interference.rs
+++ b/crates/pond-job/tests/interference.rs
@@ -29,7 +29,7 @@
     for (run, row) in &mut vm.runs {
         row.percent = if run.task.job == 1 { 100 } else { 20 };
         let figure = figures.iter().find(|(job, _)| *job == run.task.job);
-        row.figure = figure.map_or(0, |(_, figure)| *figure);
+        row.measurement = figure.map_or(0, |(_, figure)| *figure);
     }
     harness.report(incarnation);
     harness.run_until_idle();
@@ -76,7 +76,7 @@
     harness.now = harness.now + 500;
     let tail =
         harness.vms.get_mut("a").unwrap().runs.values_mut().find(|row| row.run.task.job == 1);
-    tail.unwrap().figure = 60;
+    tail.unwrap().measurement = 60;
     harness.report("a");
     harness.run_until_idle();
     assert!(moved(&harness).is_empty());
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -276,7 +276,7 @@
                 run: *name,
                 checkpoint: run.checkpoint(),
                 percent,
-                figure,
+                measurement: figure,
                 ..RunRow::default()
             }
         };
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -44,7 +44,7 @@
     for (run, row) in &mut vm.runs {
         let serves = run.task.job == SERVING;
         row.percent = if serves { 100 } else { (row.percent + 1).min(99) };
-        row.figure = if serves { figures.tail_ms } else { figures.milli_cpu };
+        row.measurement = if serves { figures.tail_ms } else { figures.milli_cpu };
     }
     harness.report("a");
     harness.run_until_idle();
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -193,7 +193,13 @@
         let end = machine.down.map_or(self.harness.now, |(since, _)| since);
         let row = |(run, began): (&RunName, &Millis)| {
             let lived_ms = end.since(*began) as u32;
-            RunRow { run: *run, percent: 10, survived_ms: lived_ms, met: true, ..RunRow::default() }
+            RunRow {
+                run: *run,
+                percent: 10,
+                survived_ms: lived_ms,
+                confirmed_up: true,
+                ..RunRow::default()
+            }
         };
         machine.runs.iter().map(row).collect()
     }
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -206,7 +206,7 @@
             data_centre: vm.data_centre.clone(),
             draining: vm.draining,
             clock_ms: vm.clock_ms,
-            answers: vm.answers,
+            responsive: vm.answers,
             runs: vm.runs.values().cloned().collect(),
             ends: vm.ends.clone(),
             unstarted: vm.unstarted.clone(),
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -244,12 +244,17 @@
     let row = |(run, lived_ms): &(RunName, u32)| RunRow {
         run: *run,
         survived_ms: *lived_ms,
-        met,
+        confirmed_up: met,
         ..RunRow::default()
     };
     let runs = runs.iter().map(row).collect();
-    let report =
-        Report { worker: incarnation.to_owned(), gone: true, left, runs, ..Report::default() };
+    let report = Report {
+        worker: incarnation.to_owned(),
+        gone: true,
+        deregistered: left,
+        runs,
+        ..Report::default()
+    };
     let (link, agent) = (harness.vms[incarnation].link, harness.vms[incarnation].agent.clone());
     harness.leader.report(&harness.state, harness.now, link, &agent, report);
     harness.run_until_idle();
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -143,7 +143,7 @@
     /// Tail of the answer times of a serving task in milliseconds, else thousandths of a processor
     /// in use; over the last half second.
     #[prost(uint32, tag = "4")]
-    pub figure: u32,
+    pub measurement: u32,
     /// The worker has not listed it yet; its agent tells of it because it was ordered.
     #[prost(bool, tag = "5")]
     pub unlisted: bool,
@@ -157,7 +157,7 @@
     /// The worker has answered a call just before the last call to start it, or since: it was not down
     /// already.
     #[prost(bool, tag = "8")]
-    pub met: bool,
+    pub confirmed_up: bool,
 }
 
 /// The end of a run at a worker.
@@ -206,7 +206,7 @@
     pub clock_ms: u64,
     /// The worker answers the agent's calls.
     #[prost(bool, tag = "9")]
-    pub answers: bool,
+    pub responsive: bool,
     /// This life of the worker is over. The report holds the runs that it had at last and the ends that are not
     /// known to be settled, and nothing else of it.
     #[prost(bool, tag = "10")]
@@ -228,7 +228,7 @@
     pub remaining_ms: u64,
     /// The life that is over had said that it would leave.
     #[prost(bool, tag = "16")]
-    pub left: bool,
+    pub deregistered: bool,
 }
 
 /// A run that a worker should start.
@@ -270,11 +270,11 @@
     /// How much a filling run is expected to add to the pressure on the serving ones beside it, the
     /// worst of them, in thousandths.
     #[prost(uint32, tag = "5")]
-    pub blame_permille: u32,
+    pub interference_permille: u32,
     /// Report at once when the worker has lived on with the run for this long, in milliseconds; zero for
     /// a run of which that is no news.
     #[prost(uint32, tag = "6")]
-    pub tell_ms: u32,
+    pub report_after_ms: u32,
 }
 
 /// Control to agent: what its worker should do.
