--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -36,7 +36,7 @@
 const LEASE_MS: u64 = 6_000;
 
 fn run(index: u32) -> RunName {
-    RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
+    RunName { task: TaskName { job: 1, repetition: 0, step: 0, index }, number: 1 }
 }
 
 /// A call in flight, and when it is answered at the latest.
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -9,7 +9,7 @@
 pub const INCARNATION: &str = "incarnation-1";
 
 pub fn run(index: u32) -> RunName {
-    RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
+    RunName { task: TaskName { job: 1, repetition: 0, step: 0, index }, number: 1 }
 }
 
 /// The core of an agent, with all its outputs.
--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -193,7 +193,7 @@
         let id = u64::from(worker) * 2 + 1;
         self.submit(SERVING_PREFIX, id, steps);
         let places = (0..SERVING_PER_WORKER)
-            .map(|step| (TaskName { job: id, time: 0, step, index: 0 }, worker));
+            .map(|step| (TaskName { job: id, repetition: 0, step, index: 0 }, worker));
         let mut places: Vec<(TaskName, u32)> = places.collect();
         let id = id + 1;
         self.submit(
@@ -202,7 +202,7 @@
             vec![best_effort_step(worker, BEST_EFFORT_PER_WORKER, 1_000)],
         );
         places.extend((0..BEST_EFFORT_PER_WORKER).map(|index| {
-            (TaskName { job: id, time: 0, step: 0, index }, (worker + index) % self.workers)
+            (TaskName { job: id, repetition: 0, step: 0, index }, (worker + index) % self.workers)
         }));
         let start = |(task, worker): (TaskName, u32)| Start {
             run: RunName { task, number: 1 },
--- a/crates/pond-job/src/job.rs
+++ b/crates/pond-job/src/job.rs
@@ -85,12 +85,12 @@
 
     /// Returns the task with a name.
     pub fn task(&self, name: TaskName) -> Option<&Task> {
-        let steps = self.times.get(name.time as usize)?;
+        let steps = self.times.get(name.repetition as usize)?;
         steps.get(name.step as usize)?.get(name.index as usize)
     }
 
     pub(crate) fn task_mut(&mut self, name: TaskName) -> Option<&mut Task> {
-        let steps = self.times.get_mut(name.time as usize)?;
+        let steps = self.times.get_mut(name.repetition as usize)?;
         steps.get_mut(name.step as usize)?.get_mut(name.index as usize)
     }
 
@@ -101,7 +101,7 @@
         });
         steps.flat_map(move |(time, step, tasks)| {
             tasks.iter().zip(0..).filter_map(move |(task, index)| {
-                let name = TaskName { job: id, time, step, index };
+                let name = TaskName { job: id, repetition: time, step, index };
                 Some((RunName { task: name, number: task.run }, task.worker.as_deref()?))
             })
         })
--- a/crates/pond-job/src/lead/advice.rs
+++ b/crates/pond-job/src/lead/advice.rs
@@ -37,7 +37,7 @@
 
 impl From<TaskName> for StepName {
     fn from(task: TaskName) -> StepName {
-        StepName { job: task.job, time: task.time, step: task.step }
+        StepName { job: task.job, time: task.repetition, step: task.step }
     }
 }
 
--- a/crates/pond-job/src/lead/candidate.rs
+++ b/crates/pond-job/src/lead/candidate.rs
@@ -340,7 +340,7 @@
     /// of its step.
     fn eligible(&self, pool: &str, task: TaskName, step: &Step, more: u32) -> bool {
         let count = || self.steps.get(&task.into()).copied().unwrap_or(0) + more;
-        let below_limit = step.most_per_worker == 0 || count() < step.most_per_worker;
+        let below_limit = step.max_per_worker == 0 || count() < step.max_per_worker;
         let labelled = step.required_label.is_empty() || self.labels.contains(&step.required_label);
         self.pool == pool && below_limit && labelled
     }
--- a/crates/pond-job/src/lead/rank.rs
+++ b/crates/pond-job/src/lead/rank.rs
@@ -99,7 +99,7 @@
     /// its other tasks run, on an adviser, or on the placement of all its tasks together.
     fn of(group: &Group<'a>) -> Option<Demand<'a>> {
         let Group { step, job, .. } = group;
-        if step.gang || step.most_per_worker > 0 || job.advice.is_some() {
+        if step.gang || step.max_per_worker > 0 || job.advice.is_some() {
             return None;
         }
         Some(Demand {
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -75,7 +75,7 @@
     pub fn task(&self, index: usize) -> TaskName {
         TaskName {
             job: self.id,
-            time: self.time as u32,
+            repetition: self.time as u32,
             step: self.step_index as u32,
             index: index as u32,
         }
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -188,7 +188,7 @@
 #[test]
 fn reserved_room_holds_others_back_within_the_bound() {
     let mut harness = Harness::new().with_vm("a", 16_000).with_vm("b", 16_000);
-    harness.submit(30, vec![Step { estimate_ms: 600_000, most_per_worker: 1, ..step(2, 7_000) }]);
+    harness.submit(30, vec![Step { estimate_ms: 600_000, max_per_worker: 1, ..step(2, 7_000) }]);
     harness.run_until_idle();
     advance(&mut harness, &["a", "b"], 0, 0);
     harness.submit(31, vec![Step { long_running: true, ..step(2, 9_500) }]);
@@ -225,7 +225,7 @@
     for incarnation in &incarnations {
         harness.add_vm(incarnation, 32_000);
     }
-    let each = Step { tasks: 60, most_per_worker: 1, milli_cpu: 12_000, ..serving() };
+    let each = Step { tasks: 60, max_per_worker: 1, milli_cpu: 12_000, ..serving() };
     harness.submit(50, vec![each]);
     harness.run_until_idle();
     for job in 100..900 {
--- a/crates/pond-job/tests/crashes.rs
+++ b/crates/pond-job/tests/crashes.rs
@@ -83,7 +83,7 @@
 #[test]
 fn task_is_given_up_although_other_workers_crash_on_their_own() {
     let mut pool = Pool::new(6).with_back_ms(100);
-    let one_each = Step { long_running: true, most_per_worker: 1, ..step(6, 1_000) };
+    let one_each = Step { long_running: true, max_per_worker: 1, ..step(6, 1_000) };
     pool.harness.submit(1, vec![one_each]);
     pool.advance(3_000);
     pool.kill_all();
--- a/crates/pond-job/tests/placement.rs
+++ b/crates/pond-job/tests/placement.rs
@@ -60,7 +60,7 @@
 #[test]
 fn step_limit_per_worker_is_kept() {
     let mut harness = Harness::new().with_vm("a", 1_000).with_vm("b", 1_000);
-    harness.submit(1, vec![Step { most_per_worker: 1, ..step(3, 100) }]);
+    harness.submit(1, vec![Step { max_per_worker: 1, ..step(3, 100) }]);
     harness.run_until_idle();
     assert_eq!((harness.started("a").len(), harness.started("b").len()), (1, 1));
 }
@@ -133,7 +133,7 @@
 /// them.
 #[test]
 fn similar_groups_are_ranked_separately_where_their_own_tasks_decide() {
-    let limited = Step { most_per_worker: 1, ..step(2, 100) };
+    let limited = Step { max_per_worker: 1, ..step(2, 100) };
     let gang = |tasks| Step { gang: true, ..step(tasks, 400) };
     let cases: [(&str, [Step; 2], TaskName); 2] = [
         ("each step has its own bound on a worker", [limited.clone(), limited], task(2, 0, 0)),
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -359,7 +359,7 @@
 /// Returns the tasks of a step that are not done.
 fn open_tasks(id: u64, job: &Job, step: usize) -> Vec<TaskName> {
     let tasks = job.times[0][step].iter().enumerate().filter(|(_, task)| !task.done);
-    let name = |index| TaskName { job: id, time: 0, step: step as u32, index };
+    let name = |index| TaskName { job: id, repetition: 0, step: step as u32, index };
     tasks.map(|(index, _)| name(index as u32)).collect()
 }
 
@@ -374,12 +374,12 @@
     let capacity = |free: u32, needed: u32| free.checked_div(needed).unwrap_or(unlimited);
     let room =
         capacity(free.milli_cpu, size.milli_cpu).min(capacity(free.memory_mib, size.memory_mib));
-    if step.most_per_worker == 0 {
+    if step.max_per_worker == 0 {
         return room;
     }
     let same_step =
         worker.runs.iter().filter(|(name, run)| name.task.job == id && run.step == *step);
-    room.min(step.most_per_worker.saturating_sub(same_step.count() as u32))
+    room.min(step.max_per_worker.saturating_sub(same_step.count() as u32))
 }
 
 /// Whether a decision is about a job.
--- a/crates/pond-job/tests/simulation/workload.rs
+++ b/crates/pond-job/tests/simulation/workload.rs
@@ -154,7 +154,7 @@
 fn constrained(rng: &mut StdRng, step: Step) -> Step {
     match rng.random_range(0..3) {
         0 => Step { required_label: SPECIAL.to_owned(), ..step },
-        1 => Step { most_per_worker: rng.random_range(1..=2), ..step },
+        1 => Step { max_per_worker: rng.random_range(1..=2), ..step },
         _ => Step { data_rack: choose(rng, &RACKS).to_owned(), ..step },
     }
 }
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -52,7 +52,7 @@
 }
 
 pub fn task(job: u64, step: u32, index: u32) -> TaskName {
-    TaskName { job, time: 0, step, index }
+    TaskName { job, repetition: 0, step, index }
 }
 
 /// The serving job in tests of co-located best-effort work.
--- a/crates/pond-job/tests/unreported_losses.rs
+++ b/crates/pond-job/tests/unreported_losses.rs
@@ -58,7 +58,7 @@
 }
 
 fn others_keep_crashing(pool: &mut Pool) {
-    let one_each = Step { long_running: true, most_per_worker: 1, ..step(6, 1_000) };
+    let one_each = Step { long_running: true, max_per_worker: 1, ..step(6, 1_000) };
     pool.harness.submit(1, vec![one_each]);
     pool.advance(3_000);
     submit_all(pool);
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -60,7 +60,8 @@
     pub data_rack: String,
     /// Most tasks of the step on one worker; zero for no limit.
     #[prost(uint32, tag = "12")]
-    pub most_per_worker: u32,
+    #[serde(rename = "most_per_worker")]
+    pub max_per_worker: u32,
     /// Whether a second copy of a task may run beside the first.
     #[prost(bool, tag = "13")]
     pub backups: bool,
@@ -80,7 +81,8 @@
     pub best_effort: bool,
     /// How many lasting tasks of the step may be away at once through planned stops.
     #[prost(uint32, tag = "18")]
-    pub may_miss: u32,
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: u32,
 }
 
 impl Step {
@@ -106,10 +108,10 @@
             write!(f, " image {}", self.image)?;
         }
         if self.long_running {
-            write!(f, " may miss {}", self.may_miss)?;
+            write!(f, " may miss {}", self.max_unavailable)?;
         }
-        if self.most_per_worker > 0 {
-            write!(f, " most per worker {}", self.most_per_worker)?;
+        if self.max_per_worker > 0 {
+            write!(f, " most per worker {}", self.max_per_worker)?;
         }
         Ok(())
     }
@@ -137,7 +139,8 @@
     pub job: u64,
     /// Which time of a repeated job, from zero.
     #[prost(uint32, tag = "2")]
-    pub time: u32,
+    #[serde(rename = "time")]
+    pub repetition: u32,
     /// Which step, from zero.
     #[prost(uint32, tag = "3")]
     pub step: u32,
@@ -148,7 +151,7 @@
 
 impl fmt::Display for TaskName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let TaskName { job, time, step, index } = self;
+        let TaskName { job, repetition: time, step, index } = self;
         write!(f, "{job:016x}.{time}.{step}.{index}")
     }
 }
