--- a/crates/pond-command/src/command/status.rs
+++ b/crates/pond-command/src/command/status.rs
@@ -39,7 +39,7 @@
     let members: Vec<String> = status
         .members
         .iter()
-        .map(|member| match (member.leads, member.voter) {
+        .map(|member| match (member.is_leader, member.voter) {
             (true, _) => format!("{} (leader)", member.name),
             (_, false) => format!("{} (learner)", member.name),
             _ => member.name.clone(),
--- a/crates/pond-control/src/replica/report.rs
+++ b/crates/pond-control/src/replica/report.rs
@@ -12,7 +12,7 @@
         let members = self.core.members().list.iter().map(|member| MemberRow {
             name: member.name.clone(),
             voter: member.voter,
-            leads: Some(member.id) == leader,
+            is_leader: Some(member.id) == leader,
         });
         let version = self.state.version();
         let followers = self.publisher.followers();
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -110,7 +110,7 @@
 
 /// Control to everyone: who leads, and where the replicas are.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Lead {
+pub struct LeaderInfo {
     /// Address of the leader's internal links; empty if none is known.
     #[prost(string, tag = "1")]
     pub leader: String,
@@ -122,7 +122,7 @@
     pub term: u64,
     /// Whether the sender leads and may answer.
     #[prost(bool, tag = "4")]
-    pub leads: bool,
+    pub is_leader: bool,
     /// Whether the sender holds a configuration.
     #[prost(bool, tag = "5")]
     pub configured: bool,
--- a/crates/pond-proto/src/operator.rs
+++ b/crates/pond-proto/src/operator.rs
@@ -238,7 +238,8 @@
     /// Whether it votes.
     pub voter: bool,
     /// Whether it leads.
-    pub leads: bool,
+    #[serde(rename = "leads")]
+    pub is_leader: bool,
 }
 
 /// The state of the installation in a few figures.
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -390,7 +390,7 @@
     Order(fleet::Order),
     /// Control to entries and agents.
     #[prost(message, tag = "21")]
-    Lead(fleet::Lead),
+    LeaderInfo(fleet::LeaderInfo),
 }
 
 /// One frame.
--- a/crates/pond-replica/src/lead.rs
+++ b/crates/pond-replica/src/lead.rs
@@ -4,7 +4,7 @@
 use pond_job::{Change, Leader, Output, Question};
 use pond_link::LinkKey;
 use pond_log::event;
-use pond_proto::fleet::{Lead, Report};
+use pond_proto::fleet::{LeaderInfo, Report};
 use pond_proto::wire::Body;
 use pond_proto::{Millis, Span};
 use pond_quorum::Input;
@@ -117,18 +117,18 @@
     /// Announces the leader and the replicas to all linked processes, when they have changed.
     pub(crate) fn announce_leader(&mut self, now: Millis) {
         let leader = self.core.leader().map(|leader| leader.address.clone());
-        let lead = Lead {
+        let lead = LeaderInfo {
             leader: leader.unwrap_or_default(),
             replicas: self.replicas(),
             term: self.core.term(),
-            leads: self.holds_lease(now) && self.stopping.is_none(),
+            is_leader: self.holds_lease(now) && self.stopping.is_none(),
             configured: self.state.configuration().is_some(),
         };
         if self.announced.as_ref() == Some(&lead) {
             return;
         }
         for client in self.clients.values() {
-            client.sender.send(Body::Lead(lead.clone()));
+            client.sender.send(Body::LeaderInfo(lead.clone()));
         }
         self.announced = Some(lead);
     }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -126,7 +126,7 @@
                     self.peers.add_addresses(&[hello.address]);
                 }
                 if let Some(lead) = &self.announced {
-                    sender.send(Body::Lead(lead.clone()));
+                    sender.send(Body::LeaderInfo(lead.clone()));
                 }
                 self.clients.insert(link, Client { name: hello.name, sender, presented: None });
             }
@@ -176,7 +176,7 @@
                 // The sender repeats the message.
                 _ => {}
             },
-            Body::Lead(lead) => self.peers.add_addresses(&lead.replicas),
+            Body::LeaderInfo(lead) => self.peers.add_addresses(&lead.replicas),
             Body::JobRequest(ask) => self.caller_request(now, link, ask),
             Body::Report(report) => self.report(now, link, report),
             _ => {}
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -9,7 +9,7 @@
 use pond_job::{Change, Leader, State, Timing};
 use pond_link::{Event, LinkKey, Sender};
 use pond_log::{Logger, Metrics, event};
-use pond_proto::fleet::Lead;
+use pond_proto::fleet::LeaderInfo;
 use pond_proto::quorum::{Envelope, Member, Members};
 use pond_proto::{Millis, Span};
 use pond_quorum::{Core, Input, Role, SnapshotImage, Start, Tuning};
@@ -96,7 +96,7 @@
     /// Present while this replica leads.
     pub(crate) leader: Option<Leader>,
     /// The last announcement to the linked processes of who leads.
-    pub(crate) announced: Option<Lead>,
+    pub(crate) announced: Option<LeaderInfo>,
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
     /// Decides which workers may run a step.
--- a/crates/pond-uplink/src/lib.rs
+++ b/crates/pond-uplink/src/lib.rs
@@ -12,7 +12,7 @@
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
 use pond_log::{Logger, event};
 use pond_proto::Millis;
-use pond_proto::fleet::Lead;
+use pond_proto::fleet::LeaderInfo;
 use pond_proto::wire::Body;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -107,7 +107,7 @@
                 None
             }
             EventKind::Down(error) => self.handle_down(now, link, &error),
-            EventKind::Frame(Body::Lead(lead)) => self.handle_lead(now, link, &lead),
+            EventKind::Frame(Body::LeaderInfo(lead)) => self.handle_lead(now, link, &lead),
             EventKind::Frame(body) => (leader == Some(link)).then_some(Notification::Frame(body)),
         };
         self.execute();
@@ -141,7 +141,12 @@
         was_leader.then(|| self.lost(&address))
     }
 
-    fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) -> Option<Notification> {
+    fn handle_lead(
+        &mut self,
+        now: Millis,
+        link: LinkKey,
+        lead: &LeaderInfo,
+    ) -> Option<Notification> {
         let before = self.search.leader();
         self.search.handle_lead(now, link, lead);
         let after = self.search.leader();
--- a/crates/pond-uplink/src/search.rs
+++ b/crates/pond-uplink/src/search.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use pond_link::LinkKey;
-use pond_proto::fleet::Lead;
+use pond_proto::fleet::LeaderInfo;
 use pond_proto::{Millis, Span};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -191,12 +191,12 @@
     }
 
     /// Handles a replica's message about the leader.
-    pub fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &Lead) {
+    pub fn handle_lead(&mut self, now: Millis, link: LinkKey, lead: &LeaderInfo) {
         let Some(found) = self.links.get_mut(&link) else { return };
         found.term = lead.term;
         self.update_listed(&lead.replicas);
         self.update_named(now, lead);
-        if lead.leads {
+        if lead.is_leader {
             self.follow(link);
             return;
         }
@@ -209,7 +209,7 @@
 
     /// Updates the named leader from the highest term. Replicas that are cut off continue to name a
     /// previous leader.
-    fn update_named(&mut self, now: Millis, lead: &Lead) {
+    fn update_named(&mut self, now: Millis, lead: &LeaderInfo) {
         if lead.term > self.term {
             self.term = lead.term;
             self.named = None;
--- a/crates/pond-uplink/tests/search.rs
+++ b/crates/pond-uplink/tests/search.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use pond_proto::fleet::Lead;
+use pond_proto::fleet::LeaderInfo;
 use pond_proto::{Millis, Span};
 use pond_uplink::{Output, Search};
 
@@ -102,7 +102,7 @@
     let addresses: Vec<String> = (1..=9).map(|host| format!("10.0.0.{host}:80")).collect();
     for seed in 0..50 {
         let mut search = Search::new(addresses.clone(), seed, Millis(0));
-        let no_leader = Lead { term: 1, ..Lead::default() };
+        let no_leader = LeaderInfo { term: 1, ..LeaderInfo::default() };
         let mut now = Millis(0);
         // All dialled replicas answer, and none knows a leader.
         let mut open = BTreeMap::new();
@@ -137,7 +137,7 @@
         search.handle_lead(
             before,
             *other,
-            &Lead { term: 2, leader: leader.clone(), ..Lead::default() },
+            &LeaderInfo { term: 2, leader: leader.clone(), ..LeaderInfo::default() },
         );
         let mut outputs = Vec::new();
         while search.due().expect("the search goes on") <= before + SPREAD_MS {
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms, accept};
-use pond_proto::fleet::{JobReply, JobRequest, Lead};
+use pond_proto::fleet::{JobReply, JobRequest, LeaderInfo};
 use pond_proto::wire::{Body, Role};
 use pond_proto::{Incarnation, Millis};
 use pond_test::{SwallowProxy, Swallowed};
@@ -31,12 +31,12 @@
     address: SocketAddr,
     events: mpsc::Receiver<Event>,
     /// What it reports about the leader to each process.
-    lead: Lead,
+    lead: LeaderInfo,
     clients: Vec<(LinkKey, Sender)>,
 }
 
 impl Replica {
-    async fn start(lead: Lead) -> Replica {
+    async fn start(lead: LeaderInfo) -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot listen");
         let address = listener.local_addr().expect("no local address");
         let (sender, events) = mpsc::channel(QUEUE_LEN);
@@ -52,7 +52,7 @@
             let Event { link, kind } = self.events.recv().await.expect("events closed");
             match kind {
                 EventKind::Up { sender, .. } => {
-                    assert!(sender.send(Body::Lead(self.lead.clone())));
+                    assert!(sender.send(Body::LeaderInfo(self.lead.clone())));
                     self.clients.push((link, sender));
                 }
                 EventKind::Frame(Body::JobRequest(ask)) => return (link, ask.ticket),
@@ -127,8 +127,8 @@
     }
 }
 
-fn leading() -> Lead {
-    Lead { leads: true, term: 1, ..Lead::default() }
+fn leading() -> LeaderInfo {
+    LeaderInfo { is_leader: true, term: 1, ..LeaderInfo::default() }
 }
 
 /// Sends a request to the leader over the existing link and waits for the reply. Returns the link.
@@ -195,7 +195,7 @@
     for swallowed in Swallowed::ALL {
         let leader = Replica::start(leading()).await;
         let proxy = SwallowProxy::start(leader.address).await;
-        let follows = Lead { leader: proxy.address().to_string(), ..Lead::default() };
+        let follows = LeaderInfo { leader: proxy.address().to_string(), ..LeaderInfo::default() };
         let mut other = Replica::start(follows).await;
         let address = other.address;
         tokio::spawn(async move { other.next_request().await });
--- a/crates/pond-uplink/tests/simulation/mod.rs
+++ b/crates/pond-uplink/tests/simulation/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use pond_link::LinkKey;
-use pond_proto::fleet::Lead;
+use pond_proto::fleet::LeaderInfo;
 use pond_proto::{Millis, Span};
 use pond_uplink::{Output, Search};
 use rand::rngs::StdRng;
@@ -220,7 +220,7 @@
         }
     }
 
-    fn lead_from(&self, now: Millis, replica: usize) -> Lead {
+    fn lead_from(&self, now: Millis, replica: usize) -> LeaderInfo {
         let after = now >= self.elected + PROPAGATION_MS && !self.is_cut_off(now, replica);
         let timeout_ms = if replica == 0 { LEASE_MS } else { ELECTION_MS };
         let before = now < Millis(FAULT_MS + timeout_ms) && self.scenario.down_ms == 0;
@@ -233,7 +233,13 @@
         let leads = leader == Some(replica) && self.is_reachable(now, replica);
         let replicas = (0..self.scenario.replicas).map(address).collect();
         let term = if after { 2 } else { 1 };
-        Lead { leader: leader_address, replicas, term, leads, ..Lead::default() }
+        LeaderInfo {
+            leader: leader_address,
+            replicas,
+            term,
+            is_leader: leads,
+            ..LeaderInfo::default()
+        }
     }
 
     fn is_cut_off(&self, now: Millis, replica: usize) -> bool {
