--- a/crates/pond-control/src/formation.rs
+++ b/crates/pond-control/src/formation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pond_proto::quorum::{Member, Members, Present};
+use pond_proto::quorum::{Announce, Member, Members};
 
 /// What this replica knows about the other replicas.
 #[derive(Debug)]
@@ -10,7 +10,7 @@
     own: Member,
     names: Vec<String>,
     formed: bool,
-    present: BTreeMap<String, Present>,
+    present: BTreeMap<String, Announce>,
 }
 
 impl Formation {
@@ -21,8 +21,8 @@
     }
 
     /// Returns the message in which this replica presents itself, with the index of its last entry.
-    pub fn present(&self, last_index: u64) -> Present {
-        Present { member: self.own.clone(), formed: self.formed, last_index }
+    pub fn present(&self, last_index: u64) -> Announce {
+        Announce { member: self.own.clone(), formed: self.formed, last_index }
     }
 
     /// Records that this replica's log names members.
@@ -31,7 +31,7 @@
     }
 
     /// Records the message in which another replica presented itself.
-    pub fn record_present(&mut self, present: Present) {
+    pub fn record_present(&mut self, present: Announce) {
         self.present.insert(present.member.name.clone(), present);
     }
 
--- a/crates/pond-control/src/publish.rs
+++ b/crates/pond-control/src/publish.rs
@@ -141,8 +141,8 @@
         from: delta.from,
         to: delta.to,
         endpoints: own.cloned().collect(),
-        gone: delta.gone.clone(),
+        removed: delta.removed.clone(),
         services: Vec::new(),
-        gone_services: Vec::new(),
+        removed_services: Vec::new(),
     }
 }
--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -3,7 +3,7 @@
 use pond_link::{Event, EventKind, LinkKey};
 use pond_log::event;
 use pond_proto::Millis;
-use pond_proto::quorum::{Body as QuorumBody, Envelope, Present};
+use pond_proto::quorum::{Announce, Body as QuorumBody, Envelope};
 use pond_proto::wire::{Body, Heartbeat, Role as WireRole};
 use pond_quorum::{Core, Input as QuorumInput, Start, Tuning};
 
@@ -17,7 +17,7 @@
                 self.links.insert(event.link, (role, hello.name.clone()));
                 if role == WireRole::Control {
                     let present =
-                        QuorumBody::Present(self.formation.present(self.core.last_index()));
+                        QuorumBody::Announce(self.formation.present(self.core.last_index()));
                     let letter = Envelope {
                         from: self.core.id(),
                         to: 0,
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn letter(&mut self, now: Millis, letter: Envelope) {
-        if let Some(QuorumBody::Present(present)) = letter.body {
+        if let Some(QuorumBody::Announce(present)) = letter.body {
             self.names.insert(present.member.id, present.member.name.clone());
             self.refuse_older_disk(now, &present);
             self.formation.record_present(present);
@@ -95,7 +95,7 @@
 
     /// Removes a member whose log is shorter than what it has acknowledged: its disk was reset to
     /// an older state, and its votes cannot be trusted.
-    fn refuse_older_disk(&mut self, now: Millis, present: &Present) {
+    fn refuse_older_disk(&mut self, now: Millis, present: &Announce) {
         let id = present.member.id;
         let acknowledged = self.core.acknowledged(id).unwrap_or(0);
         if present.last_index < acknowledged {
--- a/crates/pond-proto/src/quorum.rs
+++ b/crates/pond-proto/src/quorum.rs
@@ -169,7 +169,7 @@
 
 /// A piece of a snapshot.
 #[derive(Clone, PartialEq, Message)]
-pub struct Chunk {
+pub struct SnapshotChunk {
     /// Index of the last entry that the snapshot holds.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -196,9 +196,9 @@
     pub round: u64,
 }
 
-/// Answer to [`Chunk`]: where the next piece should start.
+/// Answer to [`SnapshotChunk`]: where the next piece should start.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct ChunkReply {
+pub struct SnapshotChunkReply {
     /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -216,7 +216,7 @@
 
 /// Tells another replica who the sender is, before the quorum is formed or when it is unknown.
 #[derive(Clone, PartialEq, Message)]
-pub struct Present {
+pub struct Announce {
     /// The sender as it would be a member.
     #[prost(message, required, tag = "1")]
     pub member: Member,
@@ -243,18 +243,18 @@
     /// See [`AppendReply`].
     #[prost(message, tag = "7")]
     AppendReply(AppendReply),
-    /// See [`Chunk`].
+    /// See [`SnapshotChunk`].
     #[prost(message, tag = "8")]
-    Chunk(Chunk),
-    /// See [`ChunkReply`].
+    SnapshotChunk(SnapshotChunk),
+    /// See [`SnapshotChunkReply`].
     #[prost(message, tag = "9")]
-    ChunkReply(ChunkReply),
+    SnapshotChunkReply(SnapshotChunkReply),
     /// See [`TakeOver`].
     #[prost(message, tag = "10")]
     TakeOver(TakeOver),
-    /// See [`Present`].
+    /// See [`Announce`].
     #[prost(message, tag = "11")]
-    Present(Present),
+    Announce(Announce),
 }
 
 /// One message between replicas.
@@ -285,7 +285,7 @@
     pub entries: Vec<Entry>,
     /// Entries with a higher index than this that were there before are dropped.
     #[prost(uint64, optional, tag = "3")]
-    pub keep_to: Option<u64>,
+    pub truncate_after: Option<u64>,
 }
 
 /// What a snapshot file says of itself.
--- a/crates/pond-proto/src/view.rs
+++ b/crates/pond-proto/src/view.rs
@@ -68,11 +68,11 @@
     pub endpoints: Vec<Endpoint>,
     /// Tasks that are no longer endpoints.
     #[prost(uint64, repeated, tag = "5")]
-    pub gone: Vec<u64>,
+    pub removed: Vec<u64>,
     /// Services that are new or have changed.
     #[prost(message, repeated, tag = "6")]
     pub services: Vec<Service>,
     /// Services that are no more.
     #[prost(string, repeated, tag = "7")]
-    pub gone_services: Vec<String>,
+    pub removed_services: Vec<String>,
 }
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -238,7 +238,7 @@
             _ => false,
         };
         if message.term > self.hard.term && !ignores_term {
-            let leader = matches!(body, Body::Append(_) | Body::Chunk(_)).then_some(from);
+            let leader = matches!(body, Body::Append(_) | Body::SnapshotChunk(_)).then_some(from);
             self.become_follower(now, message.term, leader);
         }
         match body {
@@ -250,8 +250,8 @@
             Body::AppendReply(reply) if message.term == self.hard.term => {
                 self.handle_append_reply(now, from, reply);
             }
-            Body::Chunk(chunk) => self.handle_chunk(now, from, message.term, chunk),
-            Body::ChunkReply(reply) if message.term == self.hard.term => {
+            Body::SnapshotChunk(chunk) => self.handle_chunk(now, from, message.term, chunk),
+            Body::SnapshotChunkReply(reply) if message.term == self.hard.term => {
                 self.handle_chunk_reply(now, from, reply);
             }
             Body::TakeOver(_) if message.term == self.hard.term => self.handle_take_over(now, from),
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Append, AppendReply, Body, Chunk, ChunkReply, SnapshotHeader};
+use pond_proto::quorum::{
+    Append, AppendReply, Body, SnapshotChunk, SnapshotChunkReply, SnapshotHeader,
+};
 
 use crate::core::{Core, State};
 use crate::io::{Output, SnapshotImage};
@@ -88,7 +90,7 @@
         }
     }
 
-    pub(crate) fn handle_chunk(&mut self, now: Millis, from: u64, term: u64, chunk: Chunk) {
+    pub(crate) fn handle_chunk(&mut self, now: Millis, from: u64, term: u64, chunk: SnapshotChunk) {
         if !self.heard_leader(now, from, term) {
             return;
         }
@@ -96,12 +98,12 @@
         let have = self.add_chunk(chunk);
         self.send_durable(
             from,
-            Body::ChunkReply(ChunkReply { index, received_bytes: have, round }),
+            Body::SnapshotChunkReply(SnapshotChunkReply { index, received_bytes: have, round }),
         );
     }
 
     /// Adds a chunk to the incoming snapshot. Returns how many bytes of it have been received.
-    fn add_chunk(&mut self, chunk: Chunk) -> u64 {
+    fn add_chunk(&mut self, chunk: SnapshotChunk) -> u64 {
         if chunk.index <= self.commit {
             return chunk.total;
         }
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -4,7 +4,7 @@
 
 use pond_proto::Millis;
 use pond_proto::quorum::{
-    Append, AppendReply, Body, Chunk, ChunkReply, Kind, Member, Members, TakeOver,
+    Append, AppendReply, Body, Kind, Member, Members, SnapshotChunk, SnapshotChunkReply, TakeOver,
 };
 use prost::Message;
 
@@ -294,7 +294,7 @@
         progress.sent = now;
         let start = (offset as usize).min(image.data.len());
         let end = (start + size).min(image.data.len());
-        let chunk = Chunk {
+        let chunk = SnapshotChunk {
             index: image.head.index,
             term: image.head.term,
             members: image.head.members.clone(),
@@ -304,10 +304,10 @@
             data: image.data[start..end].to_vec(),
             round,
         };
-        self.send(to, Body::Chunk(chunk));
+        self.send(to, Body::SnapshotChunk(chunk));
     }
 
-    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: ChunkReply) {
+    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: SnapshotChunkReply) {
         self.record_answer(from, reply.round);
         let total = self.snapshot.as_ref().map_or(0, |image| image.data.len() as u64);
         let State::Leader(leading) = &mut self.state else { return };
--- a/crates/pond-replica/src/formation.rs
+++ b/crates/pond-replica/src/formation.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use pond_proto::quorum::{Member, Members, Present};
+use pond_proto::quorum::{Announce, Member, Members};
 
 /// What this replica knows about the others.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     /// Addresses of the replicas that form the quorum; empty if this is not the first start.
     initial: Vec<String>,
     formed: bool,
-    present: BTreeMap<String, Present>,
+    present: BTreeMap<String, Announce>,
 }
 
 impl Formation {
@@ -27,8 +27,8 @@
 
     /// Returns the message with which this replica presents itself. `last_index` is the index of its
     /// last log entry.
-    pub fn present(&self, last_index: u64) -> Present {
-        Present { member: self.own.clone(), formed: self.formed, last_index }
+    pub fn present(&self, last_index: u64) -> Announce {
+        Announce { member: self.own.clone(), formed: self.formed, last_index }
     }
 
     /// Whether this replica has a log that names members.
@@ -42,7 +42,7 @@
     }
 
     /// Records that another replica has presented itself.
-    pub fn record(&mut self, present: Present) {
+    pub fn record(&mut self, present: Announce) {
         self.present.insert(present.member.address.clone(), present);
     }
 
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -9,7 +9,7 @@
 
 use pond_link::{Event, EventKind, LinkKey, Sender, Terms};
 use pond_log::{Logger, event};
-use pond_proto::quorum::{Body as Payload, Envelope, Present};
+use pond_proto::quorum::{Announce, Body as Payload, Envelope};
 use pond_proto::wire::{Body, Role as WireRole};
 use pond_proto::{Incarnation, Millis};
 use pond_quorum::Input;
@@ -171,7 +171,7 @@
     fn handle_frame(&mut self, now: Millis, link: LinkKey, body: Body) {
         match body {
             Body::Quorum(message) => match message.body {
-                Some(Payload::Present(present)) => self.handle_presence(now, link, present),
+                Some(Payload::Announce(present)) => self.handle_presence(now, link, present),
                 _ if self.accepts_messages() => self.core.step(now, Input::Message(message)),
                 // The sender repeats the message.
                 _ => {}
@@ -184,7 +184,7 @@
     }
 
     fn own_presence(&self) -> Envelope {
-        let present = Payload::Present(self.formation.present(self.core.last_index()));
+        let present = Payload::Announce(self.formation.present(self.core.last_index()));
         Envelope { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
     }
 
@@ -193,7 +193,7 @@
         self.peers.send_presence_to_all(&self.own_presence());
     }
 
-    fn handle_presence(&mut self, now: Millis, link: LinkKey, present: Present) {
+    fn handle_presence(&mut self, now: Millis, link: LinkKey, present: Announce) {
         let member = &present.member;
         if let Some(client) = self.clients.get_mut(&link) {
             client.presented = Some((member.address.clone(), member.id));
--- a/crates/pond-replica/tests/formation.rs
+++ b/crates/pond-replica/tests/formation.rs
@@ -1,14 +1,14 @@
 //! The quorum is formed once, from the initial seeds; later its members change as replicas present themselves.
 
-use pond_proto::quorum::{Member, Members, Present};
+use pond_proto::quorum::{Announce, Member, Members};
 use pond_replica::{Formation, MemberChange};
 
 fn member(id: u64, address: &str) -> Member {
     Member { id, name: address.to_owned(), address: address.to_owned(), voter: true }
 }
 
-fn present(id: u64, address: &str, formed: bool) -> Present {
-    Present { member: member(id, address), formed, last_index: 0 }
+fn present(id: u64, address: &str, formed: bool) -> Announce {
+    Announce { member: member(id, address), formed, last_index: 0 }
 }
 
 fn seed(first: bool, formed: bool) -> Formation {
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -8,7 +8,7 @@
 
 use pond_link::{Event, EventKind, LinkKey, accept, dial};
 use pond_proto::Incarnation;
-use pond_proto::quorum::{Body as Payload, Envelope, Member, Present};
+use pond_proto::quorum::{Announce, Body as Payload, Envelope, Member};
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
 use pond_store::Memory;
@@ -99,7 +99,7 @@
     fn presence(&self) -> Envelope {
         let address = self.address.to_string();
         let member = Member { id: JOINING_ID, name: address.clone(), address, voter: true };
-        let present = Payload::Present(Present { member, formed: false, last_index: 0 });
+        let present = Payload::Announce(Announce { member, formed: false, last_index: 0 });
         Envelope { from: JOINING_ID, to: 0, term: 0, body: Some(present) }
     }
 }
@@ -113,7 +113,7 @@
         match accepted.recv().await.expect("an event").kind {
             EventKind::Up { sender, .. } => senders.push(sender),
             EventKind::Frame(Body::Quorum(message)) => {
-                if !matches!(message.body, Some(Payload::Present(_)) | None) {
+                if !matches!(message.body, Some(Payload::Announce(_)) | None) {
                     return;
                 }
             }
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -164,7 +164,7 @@
                 self.endpoints.keys().filter(|task| !listed.contains(task)).copied().collect();
             removed.into_iter().for_each(|task| self.remove_endpoint(task));
         }
-        delta.gone.iter().for_each(|task| self.remove_endpoint(*task));
+        delta.removed.iter().for_each(|task| self.remove_endpoint(*task));
         let own: Vec<_> = delta
             .endpoints
             .into_iter()
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -196,7 +196,7 @@
                 service.configured = false;
             }
         }
-        for task in &delta.gone {
+        for task in &delta.removed {
             self.table.remove(EndpointKey(*task));
         }
         for endpoint in &delta.endpoints {
@@ -207,7 +207,7 @@
             let service = self.services.entry(update.name.clone());
             service.or_insert_with(|| Service::new(share)).configure(now, update);
         }
-        for name in &delta.gone_services {
+        for name in &delta.removed_services {
             if let Some(service) = self.services.get_mut(name) {
                 service.configured = false;
             }
--- a/crates/pond-state/src/state.rs
+++ b/crates/pond-state/src/state.rs
@@ -267,13 +267,13 @@
         for key in difference.tasks {
             match self.task(key).and_then(|task| self.endpoint(task)) {
                 Some(endpoint) => delta.endpoints.push(endpoint),
-                None => delta.gone.push(key.0),
+                None => delta.removed.push(key.0),
             }
         }
         for name in difference.units {
             match self.unit(&name).and_then(service) {
                 Some(service) => delta.services.push(service),
-                None => delta.gone_services.push(name),
+                None => delta.removed_services.push(name),
             }
         }
         delta
--- a/crates/pond-state/tests/guarantees.rs
+++ b/crates/pond-state/tests/guarantees.rs
@@ -366,7 +366,7 @@
     for (version, _) in versions {
         let delta = state.delta(version, 1);
         assert_eq!((delta.from, delta.to), (version, state.version()));
-        assert!(version == 0 || delta.gone.contains(&0), "{delta:?}");
+        assert!(version == 0 || delta.removed.contains(&0), "{delta:?}");
     }
 }
 
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -114,7 +114,7 @@
             let mut last_index = 0;
             for framed in content.batches {
                 self.hard = framed.batch.hard.unwrap_or(self.hard);
-                if let Some(keep_to) = framed.batch.keep_to {
+                if let Some(keep_to) = framed.batch.truncate_after {
                     entries.split_off(&(keep_to + 1));
                 }
                 for entry in framed.batch.entries {
@@ -182,7 +182,7 @@
     /// After [`Error::Full`] all earlier data is intact, and the same write can be retried. After any
     /// other error the store may reject further writes.
     pub fn append(&mut self, hard: Option<HardState>, entries: &[Entry]) -> Result<(), Error> {
-        let batch = Batch { hard, entries: entries.to_vec(), keep_to: None };
+        let batch = Batch { hard, entries: entries.to_vec(), truncate_after: None };
         self.write(&batch)
     }
 
@@ -296,7 +296,7 @@
     pub fn replace(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         self.save(snapshot)?;
         let keep_to = Some(snapshot.head.index);
-        self.write(&Batch { keep_to, ..Batch::default() })?;
+        self.write(&Batch { truncate_after: keep_to, ..Batch::default() })?;
         self.sync()
     }
 
