--- a/crates/pond-command/src/command/describe.rs
+++ b/crates/pond-command/src/command/describe.rs
@@ -54,7 +54,7 @@
     };
     let mut lines = vec![
         format!("unit:          {} (version {})", unit.name, shown.row.version),
-        format!("standing:      {}", shown.row.standing),
+        format!("standing:      {}", shown.row.status),
         kind,
         format!("size:          {}", unit.size),
         format!("priority:      {}, team {}", unit.priority, unit.team),
--- a/crates/pond-command/src/command/explain.rs
+++ b/crates/pond-command/src/command/explain.rs
@@ -57,7 +57,7 @@
     let name = &shown.row.name;
     let placements: Vec<String> =
         shown.tasks.iter().map(|task| format!("{} ({})", task.vm, task.phase)).collect();
-    match (shown.row.standing.as_str(), placements.is_empty()) {
+    match (shown.row.status.as_str(), placements.is_empty()) {
         (standing, false) => format!("{name} is {standing}: {}", placements.join(", ")),
         (standing, true) => format!("{name} is {standing} and has no running task"),
     }
--- a/crates/pond-command/src/command/get.rs
+++ b/crates/pond-command/src/command/get.rs
@@ -76,8 +76,8 @@
             row.kind.clone(),
             row.team.clone(),
             row.priority.to_string(),
-            row.standing.clone(),
-            format!("{}/{}", row.running, row.wanted),
+            row.status.clone(),
+            format!("{}/{}", row.running, row.desired),
             row.version.to_string(),
         ]);
     }
--- a/crates/pond-command/src/command/status.rs
+++ b/crates/pond-command/src/command/status.rs
@@ -53,7 +53,7 @@
         format!("quorum:        {}", members.join(", ")),
         format!(
             "configuration: version {}, in force at {} of {} processes",
-            status.version, status.in_force, status.told
+            status.version, status.in_force, status.followers
         ),
     ];
     for straggler in &status.stragglers {
@@ -63,7 +63,7 @@
     lines.push(format!("vms:           {} of {} accept work", status.vms_open, status.vms));
     lines.push(format!(
         "tasks:         {}, units with missing tasks: {}",
-        status.tasks, status.wanting
+        status.tasks, status.incomplete_units
     ));
     lines.push(format!("claims kept:   {}", status.claims));
     lines.push(format!("state:         checksum {}", status.checksum));
--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -279,8 +279,9 @@
         runtime.block_on(follow(replicas, flag));
     });
     let address = &operators[at];
-    let all_in =
-        |status: &Status| status.told as usize == FOLLOWERS && status.in_force == status.told;
+    let all_in = |status: &Status| {
+        status.followers as usize == FOLLOWERS && status.in_force == status.followers
+    };
     let wait = || async {
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(30) {
--- a/crates/pond-control/src/operator/show.rs
+++ b/crates/pond-control/src/operator/show.rs
@@ -15,9 +15,9 @@
         kind: if unit.service().is_some() { "service" } else { "job" }.to_owned(),
         team: unit.team.clone(),
         priority: unit.priority,
-        standing: standing(record),
+        status: standing(record),
         running: running as u32,
-        wanted: if record.ended() { 0 } else { unit.replicas() },
+        desired: if record.ended() { 0 } else { unit.replicas() },
         version: record.version,
     }
 }
--- a/crates/pond-proto/src/operator.rs
+++ b/crates/pond-proto/src/operator.rs
@@ -127,11 +127,13 @@
     /// Its priority.
     pub priority: i32,
     /// Where it stands, in a word.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub status: String,
     /// Tasks that run.
     pub running: u32,
     /// Tasks that shall run.
-    pub wanted: u32,
+    #[serde(rename = "wanted")]
+    pub desired: u32,
     /// The version that last changed it.
     pub version: u64,
 }
@@ -258,7 +260,8 @@
     /// Processes in which that version is in force.
     pub in_force: u32,
     /// Processes that are linked and are told the configuration.
-    pub told: u32,
+    #[serde(rename = "told")]
+    pub followers: u32,
     /// Those in which it is not yet in force.
     pub stragglers: Vec<Follower>,
     /// VMs that take work.
@@ -268,7 +271,8 @@
     /// Tasks.
     pub tasks: u32,
     /// Units that lack tasks.
-    pub wanting: u32,
+    #[serde(rename = "wanting")]
+    pub incomplete_units: u32,
     /// Claims kept.
     pub claims: u64,
     /// Checksum of the replicated state.
