--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -8,7 +8,7 @@
 use pond_agent::{Answer, Call, Refusal, Registration, Reply};
 use pond_proto::Size;
 use pond_proto::fleet::{Order, StartOrder, Watch};
-use pond_proto::job::How;
+use pond_proto::job::EndReason;
 use support::{
     Harness, INCARNATION, best_effort, is_list, is_pace, is_start, is_stop, run, serving,
 };
@@ -85,7 +85,7 @@
     harness.answer(is_start, Reply::Refused(Refusal::Old));
     harness.advance(1);
     harness.answer(is_stop, Reply::Done);
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.advance(1_000);
     assert!(harness.last().unstarted.is_empty());
     assert_eq!(harness.last().ends.len(), 1);
@@ -96,7 +96,7 @@
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Done);
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.advance(1_000);
     assert_eq!(harness.last().ends.len(), 1);
     harness.order(Order { committed: 1, ..Order::default() });
@@ -107,7 +107,7 @@
 #[test]
 fn worker_may_forget_only_committed_ends() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done), (2, 1, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done), (2, 1, EndReason::Done)]);
     harness.order(Order { committed: 1, ..Order::default() });
     for _ in 0..5 {
         harness.advance(1_000);
@@ -445,7 +445,7 @@
 #[test]
 fn nothing_is_acknowledged_while_a_start_is_in_flight() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.start(1);
     harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(100);
@@ -459,7 +459,7 @@
 #[test]
 fn nothing_is_started_while_an_acknowledgement_is_in_flight() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.order(Order { committed: 1, ..Order::default() });
     assert_eq!(harness.acknowledged, [1]);
     harness.start(1);
@@ -471,7 +471,7 @@
 #[test]
 fn overdue_acknowledgement_delays_starts() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.start(1);
     harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_050);
@@ -482,7 +482,7 @@
     assert_eq!(harness.acknowledged, [1]);
     // An unanswered start delays the other starts only briefly.
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.start(1);
     harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_050);
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -5,7 +5,7 @@
 
 use pond_agent::{Answer, Call, Core, Output, Refusal, Registration, Reply};
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder, Watch};
-use pond_proto::job::{How, RunName, TaskName};
+use pond_proto::job::{EndReason, RunName, TaskName};
 use pond_proto::{Millis, Size, Span};
 
 const INCARNATION: &str = "incarnation-1";
@@ -65,7 +65,7 @@
 }
 
 impl Worker {
-    fn end(&mut self, name: RunName, how: How) {
+    fn end(&mut self, name: RunName, how: EndReason) {
         if self.running.remove(&name) {
             let number = self.ends.len() as u64 + 1;
             self.ends.push(EndRow {
@@ -80,7 +80,7 @@
     fn stop(&mut self, name: RunName) {
         self.refused_runs.insert(name);
         if !self.runs_survive_stop {
-            self.end(name, How::Stopped);
+            self.end(name, EndReason::Stopped);
         }
     }
 
@@ -382,7 +382,7 @@
     harness.order_stop(0);
     // The list requested after the stop still shows the run at its end.
     harness.advance(200);
-    harness.worker.end(run(0), How::Stopped);
+    harness.worker.end(run(0), EndReason::Stopped);
     harness.advance(5_000);
     assert_eq!(harness.stops.len(), 1);
 }
@@ -500,9 +500,9 @@
     harness.worker.ignore_stops = true;
     harness.order_stop(0);
     harness.advance(1_200);
-    harness.worker.end(run(0), How::Done);
+    harness.worker.end(run(0), EndReason::Done);
     harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().ends.len() == 1);
-    assert_eq!(harness.last().ends[0].how(), How::Done);
+    assert_eq!(harness.last().ends[0].how(), EndReason::Done);
     harness.stops.clear();
     harness.advance(10_000);
     assert_eq!(harness.stops, []);
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use pond_agent::{Answer, Call, Core, Observation, Output, Registration, Reply};
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder, Watch};
-use pond_proto::job::{How, RunName, TaskName};
+use pond_proto::job::{EndReason, RunName, TaskName};
 use pond_proto::{Millis, Size};
 
 pub const INCARNATION: &str = "incarnation-1";
@@ -175,9 +175,9 @@
         self.tick();
     }
 
-    pub fn list(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
+    pub fn list(&mut self, running: &[u32], ended: &[(u64, u32, EndReason)]) {
         let row = |index: &u32| RunRow { run: run(*index), percent: 5, ..RunRow::default() };
-        let end = |(number, index, how): &(u64, u32, How)| EndRow {
+        let end = |(number, index, how): &(u64, u32, EndReason)| EndRow {
             number: *number,
             run: run(*index),
             how: *how as i32,
@@ -189,7 +189,7 @@
     }
 
     /// Answers all requested lists, and those requested as a result.
-    pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
+    pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, EndReason)]) {
         while self.count(is_list) > 0 {
             self.list(running, ended);
             if self.count(is_list) == 1 && self.list_waits() {
--- a/crates/pond-agent/tests/unstarted.rs
+++ b/crates/pond-agent/tests/unstarted.rs
@@ -7,7 +7,7 @@
 
 use pond_agent::{Answer, Call, Refusal, Registration, Reply};
 use pond_proto::fleet::{EndRow, Order, RunRow};
-use pond_proto::job::How;
+use pond_proto::job::EndReason;
 use pond_proto::{Millis, Size, Span};
 use support::{Harness, INCARNATION, is_list, is_stop, run};
 
@@ -308,7 +308,7 @@
     assert_eq!(harness.count(is_list), 2);
     let late =
         harness.calls.remove(harness.calls.iter().position(|(_, call)| is_list(call)).unwrap());
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.order(Order { committed: 1, ..Order::default() });
     let reply = Reply::Listed { runs: vec![row(90)], ends: vec![] };
     let answer = Answer { clock_ms: Some(51_000), reply };
@@ -350,10 +350,11 @@
     harness.answer(|call| matches!(call, Call::Start { .. }), Reply::Done);
     harness.list(&[0], &[]);
     harness.advance(1_000);
-    harness.list(&[], &[(1, 7, How::Done)]);
+    harness.list(&[], &[(1, 7, EndReason::Done)]);
     harness.advance(1_000);
     assert!(harness.last().runs.iter().any(|row| row.run == run(0)));
-    let end = EndRow { number: 2, run: run(0), how: How::Done as i32, checkpoint: String::new() };
+    let end =
+        EndRow { number: 2, run: run(0), how: EndReason::Done as i32, checkpoint: String::new() };
     harness.order(Order { committed: 1, ..Order::default() });
     harness.answer(is_list, Reply::Listed { runs: vec![], ends: vec![end] });
     harness.advance(1_000);
--- a/crates/pond-job/src/change.rs
+++ b/crates/pond-job/src/change.rs
@@ -1,7 +1,7 @@
 //! Changes to the replicated state and their outcomes.
 
 use pond_proto::Millis;
-use pond_proto::job::{How, Phase, RunName, Spec};
+use pond_proto::job::{EndReason, Phase, RunName, Spec};
 use serde::{Deserialize, Serialize};
 
 use crate::{Blame, Configuration, Estimates};
@@ -98,7 +98,7 @@
     /// The run.
     pub run: RunName,
     /// How the run ended.
-    pub how: How,
+    pub how: EndReason,
     /// The newest checkpoint; empty if there is none.
     #[serde(rename = "save")]
     pub checkpoint: String,
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pond_proto::fleet::{EndRow, Report};
-use pond_proto::job::{How, RunName};
+use pond_proto::job::{EndReason, RunName};
 use pond_proto::{Millis, Span};
 
 use super::wait::Wait;
@@ -331,8 +331,8 @@
         for end in ends {
             self.unwanted.remove(&end.run);
             match end.how {
-                How::Done => health.record_success(),
-                How::Failed => {
+                EndReason::Done => health.record_success(),
+                EndReason::Failed => {
                     health.record_failure(now, end.run.task.job);
                     self.avoided.entry(end.run.task).or_default().insert(incarnation.to_owned());
                 }
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -39,7 +39,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pond_proto::fleet::Report;
-use pond_proto::job::{How, RunName, TaskName};
+use pond_proto::job::{EndReason, RunName, TaskName};
 use pond_proto::{Millis, Span};
 
 use crate::change::{Change, Reply};
@@ -235,7 +235,7 @@
             Change::Ended { worker, ends, .. } => {
                 self.touch(worker);
                 for end in ends {
-                    self.durations.record_end(now, end.run, end.how == How::Done);
+                    self.durations.record_end(now, end.run, end.how == EndReason::Done);
                 }
                 // The end of one task of a gang ends all of its tasks.
                 let jobs: BTreeSet<u64> = ends.iter().map(|end| end.run.task.job).collect();
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pond_proto::job::{How, Phase, RunName, TaskName};
+use pond_proto::job::{EndReason, Phase, RunName, TaskName};
 
 use super::State;
 use crate::change::{End, Reply, Start};
@@ -78,7 +78,7 @@
         }
     }
 
-    fn apply_end(&mut self, run: RunName, how: How, checkpoint: String) {
+    fn apply_end(&mut self, run: RunName, how: EndReason, checkpoint: String) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         job.begun = true;
         let max_attempts = job.max_attempts;
@@ -89,19 +89,19 @@
             task.checkpoint = checkpoint;
         }
         let newest = task.run == run.number;
-        if how == How::Done && newest {
+        if how == EndReason::Done && newest {
             task.suspicion = None;
         }
         // A failure does not clear the task: a worker on which every run fails shows nothing about the task's effect on
         // others.
-        let suspicion = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
+        let suspicion = task.suspicion.as_mut().filter(|_| how == EndReason::Failed && newest);
         let given_up = suspicion.is_some_and(|suspicion| {
             suspicion.record_failure();
             suspicion.is_culprit()
         });
         match how {
-            How::Done if !lasting => self.complete_task(run.task, gang),
-            How::Failed => {
+            EndReason::Done if !lasting => self.complete_task(run.task, gang),
+            EndReason::Failed => {
                 task.failures += u32::from(!lasting);
                 let exhausted = !lasting && task.failures >= max_attempts;
                 if (exhausted || given_up) && !job.phase.ended() {
--- a/crates/pond-job/tests/advice.rs
+++ b/crates/pond-job/tests/advice.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pond_job::{Decision, Permit, Question};
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, step, task};
 
 /// Answers the newest question: only these workers may run the step.
@@ -68,7 +68,7 @@
     harness.start_ordered("a");
     harness.advance(4, &["a"]);
     let first: RunName = harness.started("a")[0];
-    harness.end("a", first, How::Done);
+    harness.end("a", first, EndReason::Done);
     assert_eq!((harness.questions.len(), harness.started("a").len()), (2, 1));
     allow(&mut harness, &["a"]);
     assert_eq!(harness.started("a").len(), 2);
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -5,7 +5,7 @@
 
 use pond_job::{Change, Decision, Start};
 use pond_proto::fleet::EndRow;
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, SERVING, best_effort, serving, step, task};
 
 /// The accepted limit for a wait, in milliseconds.
@@ -43,7 +43,7 @@
     advance(&mut harness, &["a"], 9, 1_600);
     advance(&mut harness, &["a"], 60, 3_200);
     let run = harness.stopped("a")[0];
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     harness.cancel(2);
     advance(&mut harness, &["a"], 6, 0);
     harness
@@ -54,7 +54,7 @@
 }
 
 /// Ends several runs in one report.
-fn end_all(harness: &mut Harness, incarnation: &str, runs: &[RunName], how: How) {
+fn end_all(harness: &mut Harness, incarnation: &str, runs: &[RunName], how: EndReason) {
     let vm = harness.vms.get_mut(incarnation).unwrap();
     for run in runs {
         vm.runs.remove(run);
@@ -94,7 +94,7 @@
     for _ in 0..60 {
         advance(&mut harness, &["a"], 6, 0);
     }
-    harness.end("a", run(9, 0, 1), How::Done);
+    harness.end("a", run(9, 0, 1), EndReason::Done);
     for _ in 0..8 {
         advance(&mut harness, &["a"], 6, 0);
     }
@@ -115,7 +115,7 @@
     for _ in 0..60 {
         advance(&mut harness, &["a"], 6, 0);
     }
-    end_all(&mut harness, "a", &[run(3, 0, 1), run(9, 0, 1)], How::Failed);
+    end_all(&mut harness, "a", &[run(3, 0, 1), run(9, 0, 1)], EndReason::Failed);
     assert!(
         harness.decisions.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. }))
     );
@@ -135,7 +135,7 @@
     }
     harness.run_until_idle();
     advance(&mut harness, &["a"], 0, 0);
-    end_all(&mut harness, "a", &[run(11, 0, 1), run(12, 0, 1)], How::Failed);
+    end_all(&mut harness, "a", &[run(11, 0, 1), run(12, 0, 1)], EndReason::Failed);
     harness.cancel(11);
     harness.cancel(12);
     harness.submit(13, vec![Step { estimate_ms: 600_000, ..step(1, 1_000) }]);
@@ -332,7 +332,7 @@
     let first = Start { run: run(9, 0, 1), worker: "a".into(), agent: "agent-of-a".into() };
     harness.apply(Change::Start(vec![first]));
     advance(&mut harness, &["a"], 6, 0);
-    end_all(&mut harness, "a", &[run(9, 0, 1)], How::Failed);
+    end_all(&mut harness, "a", &[run(9, 0, 1)], EndReason::Failed);
     let from = harness.now;
     while starved_ms(&harness, 9).is_empty() {
         assert!(harness.now.since(from) < 60_000, "no forced placement within a minute");
--- a/crates/pond-job/tests/cancelled.rs
+++ b/crates/pond-job/tests/cancelled.rs
@@ -6,7 +6,7 @@
 use pond_job::{Change, Leader, Output, Reply, Start};
 use pond_proto::Span;
 use pond_proto::fleet::RunRow;
-use pond_proto::job::{How, Phase, RunName, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Step};
 use support::{Harness, spec, step, task, terms};
 
 /// Time between the reports of an agent while nothing changes, in milliseconds.
@@ -124,7 +124,7 @@
             report_after(&mut harness, "a", REPORT_MS);
         }
     }
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     let orders = harness.stopped("a").len();
     harness.advance(5, &["a"]);
     assert_eq!(harness.stopped("a").len(), orders);
@@ -386,7 +386,7 @@
 fn end_of_a_late_run_does_not_change_its_job() {
     let (mut harness, run) = unstarted_and_cancelled();
     report_late(&mut harness, run);
-    harness.end("a", run, How::Done);
+    harness.end("a", run, EndReason::Done);
     assert_eq!(harness.phase(1), Some(Phase::Cancelled));
     assert_eq!(harness.state.last_committed_end("a"), 1);
     assert_eq!(harness.state.active().count(), 0);
--- a/crates/pond-job/tests/evacuation.rs
+++ b/crates/pond-job/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use pond_job::{Change, Decision, Obstacle, State};
 use pond_proto::Millis;
-use pond_proto::job::{How, Phase, RunName, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Step};
 use support::{Harness, step, task};
 
 /// Returns two workers, each in its own data centre.
@@ -85,7 +85,7 @@
     harness.evacuate("north");
     harness.advance(1, &["a", "b"]);
     assert!(harness.stopped("a").is_empty());
-    harness.end("a", run(1, 0), How::Done);
+    harness.end("a", run(1, 0), EndReason::Done);
     assert_eq!(harness.started("b"), [RunName { task: task(1, 1, 0), number: 1 }]);
     assert_eq!(harness.worker_of(task(2, 0, 0)), Some("a".to_owned()));
 }
--- a/crates/pond-job/tests/interference.rs
+++ b/crates/pond-job/tests/interference.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pond_job::Decision;
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, best_effort, serving, task};
 
 /// Returns a worker with a running serving task of job 1, and best-effort runs of jobs 2 and on.
@@ -46,7 +46,7 @@
     let mut harness = colocated(&["noisy"]);
     interfere(&mut harness);
     let run = harness.stopped("a")[0];
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     (harness, run)
 }
 
@@ -110,7 +110,7 @@
     interfere(&mut harness);
     let run = harness.stopped("a")[0];
     harness.add_vm("b", 32_000);
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     assert_eq!(harness.worker_of(run.task).as_deref(), Some("b"));
 }
 
--- a/crates/pond-job/tests/leases.rs
+++ b/crates/pond-job/tests/leases.rs
@@ -4,7 +4,7 @@
 
 use pond_job::{Change, Output};
 use pond_proto::fleet::{EndRow, Report};
-use pond_proto::job::{How, Phase};
+use pond_proto::job::{EndReason, Phase};
 use support::{Harness, step, task};
 
 fn one_run_on_a() -> Harness {
@@ -61,7 +61,7 @@
 fn job_that_ended_long_ago_is_dropped_once() {
     let mut harness = one_run_on_a();
     let run = harness.started("a")[0];
-    harness.end("a", run, pond_proto::job::How::Done);
+    harness.end("a", run, pond_proto::job::EndReason::Done);
     harness.advance(59, &["a", "b"]);
     assert!(harness.state.job(1).is_some());
     harness.advance(3, &["a", "b"]);
@@ -138,7 +138,7 @@
     let run = harness.started("a")[0];
     let vm = harness.vms.remove("a").unwrap();
     harness.vms.insert("a2".to_owned(), vm);
-    harness.end("a2", run, How::Done);
+    harness.end("a2", run, EndReason::Done);
     harness.advance(2, &["a2", "b"]);
     assert_eq!(harness.phase(1), Some(Phase::Completed));
     assert!(harness.started("b").is_empty());
@@ -163,7 +163,8 @@
     let link = vm.link;
     harness.vms.insert("a2".to_owned(), vm);
     harness.report("a2");
-    let end = EndRow { number: 1, run: ended, how: How::Done as i32, checkpoint: String::new() };
+    let end =
+        EndRow { number: 1, run: ended, how: EndReason::Done as i32, checkpoint: String::new() };
     let ended_report =
         Report { worker: "a".to_owned(), gone: true, ends: vec![end], ..Report::default() };
     harness.leader.report(&harness.state, harness.now, link, "agent-of-a", ended_report);
--- a/crates/pond-job/tests/order.rs
+++ b/crates/pond-job/tests/order.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pond_proto::job::{How, Step};
+use pond_proto::job::{EndReason, Step};
 use support::{Harness, step, task};
 
 #[test]
@@ -37,7 +37,7 @@
     harness.start_ordered("a");
     // Due earlier, but not started.
     harness.submit_batch(3, vec![step(1, 800)]);
-    harness.end("a", harness.started("a")[0], How::Done);
+    harness.end("a", harness.started("a")[0], EndReason::Done);
     let places = [harness.worker_of(task(2, 1, 0)), harness.worker_of(task(3, 0, 0))];
     assert_eq!(places.map(|place| place.is_some()), [true, false]);
 }
@@ -77,9 +77,9 @@
     let started = harness.started("a");
     assert_eq!(started.len(), 10);
     for run in &started[..9] {
-        harness.end("a", *run, How::Done);
+        harness.end("a", *run, EndReason::Done);
     }
-    harness.end("a", started[9], How::Failed);
+    harness.end("a", started[9], EndReason::Failed);
     let places = [harness.worker_of(task(1, 0, 9)), harness.worker_of(task(2, 0, 0))];
     assert_eq!(places.map(|place| place.is_some()), [true, false]);
 }
@@ -95,7 +95,7 @@
         harness.start_ordered("a");
         harness.advance(2, &["a"]);
         let run = *harness.started("a").last().expect("a run was ordered");
-        harness.end("a", run, How::Done);
+        harness.end("a", run, EndReason::Done);
     }
     harness.vms.get_mut("a").expect("the worker exists").draining = true;
     harness.report("a");
--- a/crates/pond-job/tests/placement.rs
+++ b/crates/pond-job/tests/placement.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pond_proto::job::{How, Step, TaskName};
+use pond_proto::job::{EndReason, Step, TaskName};
 use support::{Harness, SERVING, best_effort, serving, step, task};
 
 #[test]
@@ -41,9 +41,9 @@
     harness.run_until_idle();
     harness.start_ordered("a");
     let runs = harness.started("a");
-    harness.end("a", runs[0], How::Done);
+    harness.end("a", runs[0], EndReason::Done);
     assert_eq!(harness.worker_of(task(1, 1, 0)), None);
-    harness.end("a", runs[1], How::Done);
+    harness.end("a", runs[1], EndReason::Done);
     assert_eq!(harness.worker_of(task(1, 1, 0)).as_deref(), Some("a"));
 }
 
@@ -106,7 +106,7 @@
     for _ in 0..8 {
         harness.start_ordered("a");
         let run = harness.vms["a"].runs.keys().find(|run| run.task.job == 1).copied();
-        harness.end("a", run.unwrap(), How::Done);
+        harness.end("a", run.unwrap(), EndReason::Done);
     }
     assert_eq!(harness.worker_of(task(2, 0, 0)).as_deref(), Some("a"));
 }
@@ -122,7 +122,7 @@
         harness.run_until_idle();
         harness.start_ordered("a");
         let run = harness.vms["a"].runs.keys().find(|run| run.task.job == job).copied();
-        harness.end("a", run.unwrap(), How::Failed);
+        harness.end("a", run.unwrap(), EndReason::Failed);
     }
     harness.advance(10, &["a"]);
     harness.start_ordered("a");
--- a/crates/pond-job/tests/room.rs
+++ b/crates/pond-job/tests/room.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use pond_proto::job::How;
+use pond_proto::job::EndReason;
 use support::{Harness, step, task};
 
 fn resize(harness: &mut Harness, incarnation: &str, room: u32) {
@@ -80,5 +80,5 @@
     resize(&mut harness, "a", 4_000);
     assert_eq!(harness.worker_of(task(2, 0, 0)).as_deref(), Some("a"));
     let run = harness.started("a")[0];
-    harness.end("a", run, How::Done);
+    harness.end("a", run, EndReason::Done);
 }
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -4,7 +4,7 @@
 
 use pond_agent::{Call, Refusal, Reply};
 use pond_proto::fleet::{EndRow, RunRow};
-use pond_proto::job::{How, RunName, Step, TaskName};
+use pond_proto::job::{EndReason, RunName, Step, TaskName};
 use pond_proto::{Millis, Size, Span};
 
 use super::workload::Workload;
@@ -125,7 +125,7 @@
                 Some(self.start(now, workload, call))
             }
             Call::Stop { run } => {
-                self.end(*run, How::Stopped);
+                self.end(*run, EndReason::Stopped);
                 let ended = self.ended.entry(run.task).or_default();
                 *ended = run.number.max(*ended);
                 Some(Reply::Done)
@@ -185,7 +185,7 @@
         Reply::Done
     }
 
-    fn end(&mut self, name: RunName, how: How) {
+    fn end(&mut self, name: RunName, how: EndReason) {
         let Some(run) = self.runs.remove(&name) else { return };
         let save = run.checkpoint();
         self.last_end += 1;
@@ -229,7 +229,7 @@
             if let Some(how) = run.end_reason(*name, now, complete_gangs, self.health) {
                 ends.push((*name, how));
             } else if lease_expired {
-                ends.push((*name, How::Lapsed));
+                ends.push((*name, EndReason::Lapsed));
             }
         }
         for (name, how) in ends {
@@ -336,19 +336,19 @@
         now: Millis,
         complete_gangs: &CompleteGangs,
         health: Health,
-    ) -> Option<How> {
+    ) -> Option<EndReason> {
         let age = now.since(self.began);
         let gang = self.step.gang;
         if health == Health::Failing && age >= FAILURE_MS {
-            Some(How::Failed)
+            Some(EndReason::Failed)
         } else if gang && self.gang_complete && !complete_gangs.contains(&gang_of(name)) {
-            Some(How::Broken)
+            Some(EndReason::Broken)
         } else if gang && !self.gang_complete && age >= GANG_TIMEOUT_MS {
-            Some(How::Alone)
+            Some(EndReason::Alone)
         } else if self.always_fails && self.worked_ms * 2.0 >= self.total_ms {
-            Some(How::Failed)
+            Some(EndReason::Failed)
         } else if !self.step.long_running && self.worked_ms >= self.total_ms {
-            Some(How::Done)
+            Some(EndReason::Done)
         } else {
             None
         }
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -14,7 +14,7 @@
 
 mod support;
 
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, SERVING, best_effort, serving, step};
 
 /// The accepted limit for a job that is starved while most of the room is free, in milliseconds.
@@ -62,7 +62,7 @@
     advance(&mut harness, Figures { tail_ms: 9, milli_cpu: 1_600 });
     advance(&mut harness, Figures { tail_ms: 60, milli_cpu: 3_200 });
     let run = harness.stopped("a")[0];
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     harness.cancel(2);
     advance(&mut harness, IDLE);
     harness
@@ -96,7 +96,7 @@
             advance(harness, IDLE);
         }
         for run in placed.into_iter().filter(|_| run_end == RunEnd::Done) {
-            harness.end("a", run, How::Done);
+            harness.end("a", run, EndReason::Done);
         }
     }
     60_000
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -4,7 +4,7 @@
 
 use pond_job::{Change, End, Reply, Start, State};
 use pond_proto::Millis;
-use pond_proto::job::{How, Phase, RunName, Spec, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Spec, Step};
 use support::{HOST, PATH, configuration, spec, step, task};
 
 fn state(steps: Vec<Step>) -> State {
@@ -36,7 +36,7 @@
     }
 }
 
-fn end(state: &mut State, worker: &str, number: u64, run: RunName, how: How) {
+fn end(state: &mut State, worker: &str, number: u64, run: RunName, how: EndReason) {
     let ends = vec![End { number, run, how, checkpoint: String::new() }];
     state.apply(Change::Ended { worker: worker.to_owned(), ends, unstarted: vec![] });
 }
@@ -70,7 +70,7 @@
 fn done_task_never_starts_again() {
     let mut state = state(vec![step(2, 100)]);
     start(&mut state, run(0, 0, 1), "a");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Done);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Done);
     assert_eq!(start(&mut state, run(0, 0, 2), "b"), 0);
 }
 
@@ -78,8 +78,8 @@
 fn repeated_end_counts_once() {
     let mut state = state(vec![step(1, 100)]);
     start(&mut state, run(0, 0, 1), "a");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
-    end(&mut state, "a", 1, run(0, 0, 1), How::Failed);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Failed);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Failed);
     assert_eq!(state.job(1).unwrap().task(task(1, 0, 0)).unwrap().failures, 1);
     assert_eq!(phase(&state), Phase::Running);
 }
@@ -89,7 +89,7 @@
     let mut state = state(vec![step(1, 100)]);
     for number in 1..=2 {
         start(&mut state, run(0, 0, number), "a");
-        end(&mut state, "a", u64::from(number), run(0, 0, number), How::Failed);
+        end(&mut state, "a", u64::from(number), run(0, 0, number), EndReason::Failed);
     }
     assert_eq!(phase(&state), Phase::Failed);
     assert_eq!(start(&mut state, run(0, 0, 3), "a"), 0);
@@ -98,7 +98,7 @@
 #[test]
 fn ends_that_the_job_did_not_cause_use_no_attempt() {
     let mut state = state(vec![step(1, 100)]);
-    let hows = [How::Stopped, How::Lapsed, How::Broken, How::Alone];
+    let hows = [EndReason::Stopped, EndReason::Lapsed, EndReason::Broken, EndReason::Alone];
     for (i, how) in hows.into_iter().enumerate() {
         let number = i as u32 + 1;
         start(&mut state, run(0, 0, number), "a");
@@ -113,9 +113,9 @@
     let mut state = state(vec![step(2, 100)]);
     start(&mut state, run(0, 0, 1), "a");
     start(&mut state, run(0, 1, 1), "a");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Done);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Done);
     assert_eq!(phase(&state), Phase::Running);
-    end(&mut state, "a", 2, run(0, 1, 1), How::Done);
+    end(&mut state, "a", 2, run(0, 1, 1), EndReason::Done);
     assert_eq!(phase(&state), Phase::Completed);
 }
 
@@ -130,7 +130,7 @@
 fn long_running_task_is_never_done() {
     let mut state = state(vec![Step { long_running: true, ..step(1, 100) }]);
     start(&mut state, run(0, 0, 1), "a");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Done);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Done);
     assert_eq!(phase(&state), Phase::Running);
     assert_eq!(start(&mut state, run(0, 0, 2), "a"), 1);
 }
@@ -140,7 +140,7 @@
     let mut state = state(vec![Step { gang: true, ..step(2, 100) }]);
     start(&mut state, run(0, 0, 1), "a");
     start(&mut state, run(0, 1, 1), "b");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Done);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Done);
     assert_eq!(phase(&state), Phase::Completed);
 }
 
@@ -195,7 +195,7 @@
     let mut state = state(vec![step(1, 100)]);
     start(&mut state, run(0, 0, 1), "a");
     lose(&mut state, "a");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Done);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Done);
     assert_eq!(phase(&state), Phase::Completed);
     assert_eq!(start(&mut state, run(0, 0, 2), "b"), 0);
 }
@@ -213,7 +213,7 @@
 fn snapshot_holds_the_complete_state() {
     let mut state = state(vec![step(2, 100)]);
     start(&mut state, run(0, 0, 1), "a");
-    end(&mut state, "a", 1, run(0, 0, 1), How::Done);
+    end(&mut state, "a", 1, run(0, 0, 1), EndReason::Done);
     let copy = State::decode(&state.encode().unwrap()).unwrap();
     assert_eq!(copy, state);
 }
@@ -272,7 +272,8 @@
     let mut state = state(vec![step(2, 100)]);
     start(&mut state, run(0, 0, 1), "a");
     start(&mut state, run(0, 1, 1), "a");
-    let end = End { number: 1, run: run(0, 0, 1), how: How::Failed, checkpoint: String::new() };
+    let end =
+        End { number: 1, run: run(0, 0, 1), how: EndReason::Failed, checkpoint: String::new() };
     let (ends, unstarted) = ([end], [run(0, 1, 1)]);
     let uncommitted = |state: &State| {
         let (ends, unstarted) = state.uncommitted("a", &ends, &unstarted);
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -4,7 +4,7 @@
 
 use pond_job::State;
 use pond_proto::fleet::{EndRow, Report, RunRow};
-use pond_proto::job::{How, Phase, RunName, TaskName};
+use pond_proto::job::{EndReason, Phase, RunName, TaskName};
 use pond_proto::{Millis, Span};
 
 use super::Harness;
@@ -220,7 +220,12 @@
         vm.clock_ms += REPORT_MS;
         for run in ended_runs {
             let number = vm.ends.len() as u64 + 1;
-            vm.ends.push(EndRow { number, run, how: How::Done as i32, checkpoint: String::new() });
+            vm.ends.push(EndRow {
+                number,
+                run,
+                how: EndReason::Done as i32,
+                checkpoint: String::new(),
+            });
         }
         vm.runs = rows.into_iter().map(|row| (row.run, row)).collect();
         self.harness.report(&incarnation);
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -12,7 +12,7 @@
 };
 use pond_proto::Millis;
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder};
-use pond_proto::job::{How, Phase, RunName, Spec, Step, TaskName};
+use pond_proto::job::{EndReason, Phase, RunName, Spec, Step, TaskName};
 
 pub const HOST: &str = "jobs.example";
 pub const PATH: &str = "/quick/";
@@ -304,11 +304,17 @@
     }
 
     /// Ends a run on a worker, which reports it.
-    pub fn end(&mut self, incarnation: &str, run: RunName, how: How) {
+    pub fn end(&mut self, incarnation: &str, run: RunName, how: EndReason) {
         self.end_with_checkpoint(incarnation, run, how, "");
     }
 
-    pub fn end_with_checkpoint(&mut self, incarnation: &str, run: RunName, how: How, save: &str) {
+    pub fn end_with_checkpoint(
+        &mut self,
+        incarnation: &str,
+        run: RunName,
+        how: EndReason,
+        save: &str,
+    ) {
         let Some(vm) = self.vms.get_mut(incarnation) else { return };
         vm.runs.remove(&run);
         let number = vm.ends.len() as u64 + 1;
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -5,7 +5,7 @@
 
 use pond_job::{Blame, Change, End, Start, State, Suspicion, Task, Verdict};
 use pond_proto::fleet::{Report, RunRow};
-use pond_proto::job::{How, Phase, RunName, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Step};
 use pond_proto::{Millis, Span};
 use support::{HOST, Harness, PATH, configuration, spec, step, task};
 
@@ -144,7 +144,7 @@
     assert_eq!(suspicion(&state).map(|suspicion| suspicion.losses), Some(1));
 }
 
-fn end(state: &mut State, number: u32, how: How) {
+fn end(state: &mut State, number: u32, how: EndReason) {
     let end = End { number: 1, run: run(number), how, checkpoint: String::new() };
     let worker = format!("worker-{number}");
     state.apply(Change::Ended { worker, ends: vec![end], unstarted: vec![] });
@@ -162,7 +162,7 @@
 
     state.apply(loss(2, Verdict::Suspected));
     start(&mut state, 3);
-    end(&mut state, 3, How::Done);
+    end(&mut state, 3, EndReason::Done);
     assert_eq!(suspicion(&state), None);
 }
 
@@ -175,7 +175,7 @@
     let mut state = state(vec![step(1, 100)]);
     lose(&mut state, &[Suspected, Suspected, Proven]);
     start(&mut state, 4);
-    end(&mut state, 4, How::Failed);
+    end(&mut state, 4, EndReason::Failed);
     assert_eq!(
         suspicion(&state).map(|suspicion| (suspicion.losses, suspicion.failed_starts)),
         Some((3, 4))
--- a/crates/pond-job/tests/unhealthy.rs
+++ b/crates/pond-job/tests/unhealthy.rs
@@ -4,7 +4,7 @@
 
 use pond_job::{Decision, Permit};
 use pond_proto::fleet::EndRow;
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, step, task};
 
 /// The accepted limit for a wait, in milliseconds.
@@ -44,7 +44,7 @@
     for run in runs {
         vm.runs.remove(run);
         let number = vm.ends.len() as u64 + 1;
-        let how = How::Failed as i32;
+        let how = EndReason::Failed as i32;
         vm.ends.push(EndRow { number, run: *run, how, checkpoint: String::new() });
     }
     harness.report(incarnation);
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -6,7 +6,7 @@
 use pond_job::{Change, Decision, Leader, Output, State};
 use pond_proto::Span;
 use pond_proto::fleet::EndRow;
-use pond_proto::job::{How, Phase, RunName, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Step};
 use support::{Harness, step, task, terms};
 
 /// Step of the injected clock, in milliseconds.
@@ -145,7 +145,7 @@
     vm.ends.push(EndRow {
         number: 1,
         run: run(1, 0, 1),
-        how: How::Done as i32,
+        how: EndReason::Done as i32,
         checkpoint: String::new(),
     });
     harness.report("a");
@@ -175,7 +175,7 @@
         vm.clock_ms += 500;
         vm.runs.remove(&run(1, index, 1));
         let number = u64::from(index);
-        let how = How::Done as i32;
+        let how = EndReason::Done as i32;
         vm.ends.push(EndRow { number, run: run(1, index, 1), how, checkpoint: String::new() });
         harness.report("a");
         harness.run_until_idle();
@@ -205,7 +205,7 @@
     let end = |number: u64, index: u32| EndRow {
         number,
         run: run(1, index, 1),
-        how: How::Done as i32,
+        how: EndReason::Done as i32,
         checkpoint: String::new(),
     };
     let vm = harness.vms.get_mut("a").unwrap();
@@ -319,7 +319,7 @@
         harness.start_ordered("a");
         for index in order {
             assert_eq!(harness.worker_of(task(1, 1, 0)), None);
-            harness.end("a", run(1, index, 1), How::Done);
+            harness.end("a", run(1, index, 1), EndReason::Done);
             // The same end is reported again.
             harness.report("a");
             harness.run_until_idle();
@@ -340,7 +340,7 @@
         .map(|index| EndRow {
             number: u64::from(index) + 1,
             run: run(1, index, 1),
-            how: How::Done as i32,
+            how: EndReason::Done as i32,
             checkpoint: String::new(),
         })
         .collect();
@@ -374,7 +374,7 @@
     vm.ends.push(EndRow {
         number: 1,
         run: run(1, 0, 1),
-        how: How::Done as i32,
+        how: EndReason::Done as i32,
         checkpoint: String::new(),
     });
     vm.clock_ms += 7_000;
@@ -386,7 +386,7 @@
     vm.ends.push(EndRow {
         number: 2,
         run: run(1, 1, 1),
-        how: How::Lapsed as i32,
+        how: EndReason::Lapsed as i32,
         checkpoint: String::new(),
     });
     harness.advance(2, &["a"]);
--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use prost::{Message, Oneof};
 
-use crate::job::{How, Phase, RunName, Spec};
+use crate::job::{EndReason, Phase, RunName, Spec};
 
 /// Where a caller's request about jobs is directed: control finds the queue by it.
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -137,7 +137,7 @@
     /// The newest save of its progress; empty for none.
     #[prost(string, tag = "2")]
     pub checkpoint: String,
-    /// How far it is, in percent.
+    /// EndReason far it is, in percent.
     #[prost(uint32, tag = "3")]
     pub percent: u32,
     /// Tail of the answer times of a serving task in milliseconds, else thousandths of a processor
@@ -169,8 +169,8 @@
     /// The run.
     #[prost(message, required, tag = "2")]
     pub run: RunName,
-    /// How it ended.
-    #[prost(enumeration = "How", tag = "3")]
+    /// EndReason it ended.
+    #[prost(enumeration = "EndReason", tag = "3")]
     pub how: i32,
     /// The newest save of its progress; empty for none.
     #[prost(string, tag = "4")]
@@ -243,7 +243,7 @@
     /// The save to go on from; empty for none.
     #[prost(string, tag = "3")]
     pub checkpoint: String,
-    /// How the agent should watch it.
+    /// EndReason the agent should watch it.
     #[prost(message, required, tag = "4")]
     pub watch: Watch,
     /// What the worker wants to see before it runs a step that an adviser must allow; empty for
@@ -252,7 +252,7 @@
     pub ticket: String,
 }
 
-/// How an agent should watch a run.
+/// EndReason an agent should watch a run.
 #[derive(Clone, PartialEq, Message)]
 pub struct Watch {
     /// The run.
@@ -267,7 +267,7 @@
     /// Its image; filling runs of one image are slowed down together.
     #[prost(string, tag = "4")]
     pub image: String,
-    /// How much a filling run is expected to add to the pressure on the serving ones beside it, the
+    /// EndReason much a filling run is expected to add to the pressure on the serving ones beside it, the
     /// worst of them, in thousandths.
     #[prost(uint32, tag = "5")]
     pub interference_permille: u32,
@@ -301,7 +301,7 @@
     /// Unstarted runs that control knows of, so that they need not be reported again.
     #[prost(message, repeated, tag = "7")]
     pub forget: Vec<RunName>,
-    /// How to watch runs that were started before.
+    /// EndReason to watch runs that were started before.
     #[prost(message, repeated, tag = "8")]
     pub watches: Vec<Watch>,
 }
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -24,7 +24,7 @@
 /// A group of equal tasks.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// EndReason many tasks.
     #[prost(uint32, tag = "1")]
     pub tasks: u32,
     /// Thousandths of a processor for each task.
@@ -79,7 +79,7 @@
     #[prost(bool, tag = "17")]
     #[serde(rename = "fills")]
     pub best_effort: bool,
-    /// How many lasting tasks of the step may be away at once through planned stops.
+    /// EndReason many lasting tasks of the step may be away at once through planned stops.
     #[prost(uint32, tag = "18")]
     #[serde(rename = "may_miss")]
     pub max_unavailable: u32,
@@ -120,7 +120,7 @@
 /// When a repeated job runs.
 #[derive(Clone, Copy, PartialEq, Message, Serialize, Deserialize)]
 pub struct Repeat {
-    /// How many times.
+    /// EndReason many times.
     #[prost(uint32, tag = "1")]
     pub times: u32,
     /// The first time, in milliseconds since 1970.
@@ -173,12 +173,12 @@
     }
 }
 
-/// How a run ended.
+/// EndReason a run ended.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
-pub enum How {
+pub enum EndReason {
     /// It did all its work.
     Done = 0,
     /// It failed, through its own fault or the worker's.
