--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -1,307 +1,309 @@
-//! Frames about jobs: between entries, agents and control replicas.
+//! Messages about jobs between entries, agents and control replicas.
 
 use prost::{Message, Oneof};
 
 use crate::job::{EndReason, Phase, RunName, Spec};
 
-/// Where a caller's request about jobs is directed: control finds the queue by it.
+/// The host and path of a caller's request about jobs. Control selects the queue by them.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Target {
-    /// The host that the caller named.
+    /// Host from the caller's request.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// The whole path that the caller named.
+    /// Complete path from the caller's request.
     #[prost(string, tag = "2")]
     pub path: String,
 }
 
-/// Entry to control: a caller's request about jobs.
+/// A caller's request about jobs, sent from an entry to control.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobRequest {
-    /// Comes back in [`JobReply`].
+    /// Correlates the request with its [`JobReply`].
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// Where it is directed.
+    /// Host and path that the caller addressed.
     #[prost(message, required, tag = "2")]
     pub target: Target,
-    /// What is asked.
+    /// The requested operation.
     #[prost(oneof = "Verb", tags = "3,4,5,6")]
     pub verb: Option<Verb>,
 }
 
-/// Names a job in a request.
+/// A reference to a job in a request.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct JobRef {
-    /// The job's id.
+    /// Job id, chosen by the job's owner.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
 }
 
-/// A job that is handed in.
+/// Submits a job.
 #[derive(Clone, PartialEq, Message)]
 pub struct Submit {
-    /// The id that its owner chose.
+    /// Job id, chosen by the job's owner.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// What it consists of.
+    /// Description of the job.
     #[prost(message, required, tag = "2")]
     pub spec: Spec,
 }
 
-/// Counts the jobs of a queue of which no task has begun.
+/// Counts the jobs of a queue in which no task has started yet.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Count {}
 
-/// What a caller wants.
+/// The operation that a caller requests.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Verb {
-    /// Hand in a job.
+    /// Submit a job.
     #[prost(message, tag = "3")]
     Submit(Submit),
-    /// Tell the phase of a job.
+    /// Return the phase of a job.
     #[prost(message, tag = "4")]
     Look(JobRef),
     /// Cancel a job.
     #[prost(message, tag = "5")]
     Cancel(JobRef),
-    /// Count waiting jobs.
+    /// Count the jobs that wait in the queue.
     #[prost(message, tag = "6")]
     Count(Count),
 }
 
-/// What became of an [`JobRequest`].
+/// The result of a [`JobRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Outcome {
-    /// The job is accepted, or its cancelling is; it lasts.
+    /// The job or its cancellation is accepted and committed; it survives the failure of a minority
+    /// of the replicas.
     Accepted = 0,
-    /// No queue is at that target.
+    /// No queue is configured for the target.
     NoQueue = 1,
-    /// There is no configuration yet.
+    /// The cluster has no configuration yet.
     NotConfigured = 2,
-    /// No such job exists.
+    /// The job does not exist.
     NoJob = 3,
-    /// The phase is told.
+    /// The reply holds the job's phase.
     Known = 4,
-    /// The count is told.
+    /// The reply holds the number of waiting jobs.
     Counted = 5,
-    /// This replica does not lead, and nothing was done.
+    /// This replica is not the leader and has changed nothing.
     NotLeader = 6,
-    /// The job cannot be run as it is described.
+    /// The job's description is invalid.
     Invalid = 7,
 }
 
-/// Control to entry: the answer to an [`JobRequest`].
+/// The reply to a [`JobRequest`], sent from control to an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobReply {
-    /// The ask's.
+    /// Ticket of the request.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// What became of it.
+    /// Result of the request.
     #[prost(enumeration = "Outcome", tag = "2")]
     pub outcome: i32,
-    /// The phase, with [`Outcome::Known`].
+    /// Phase of the job, if the outcome is [`Outcome::Known`].
     #[prost(enumeration = "Phase", tag = "3")]
     pub phase: i32,
-    /// The count, with [`Outcome::Counted`].
+    /// Number of waiting jobs, if the outcome is [`Outcome::Counted`].
     #[prost(uint64, tag = "4")]
     pub count: u64,
 }
 
-/// Control to everyone: who leads, and where the replicas are.
+/// The current leader and the addresses of the replicas, sent by control to all other processes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaderInfo {
-    /// Address of the leader's internal links; empty if none is known.
+    /// Address at which the leader accepts internal links; empty if the leader is unknown.
     #[prost(string, tag = "1")]
     pub leader: String,
-    /// Addresses of all replicas.
+    /// Addresses of all control replicas.
     #[prost(string, repeated, tag = "2")]
     pub replicas: Vec<String>,
-    /// The sender's term.
+    /// Term of the sender.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// Whether the sender leads and may answer.
+    /// Whether the sender is the leader and may answer requests.
     #[prost(bool, tag = "4")]
     pub is_leader: bool,
-    /// Whether the sender holds a configuration.
+    /// Whether the sender has a configuration.
     #[prost(bool, tag = "5")]
     pub configured: bool,
 }
 
-/// A run as a worker sees it.
+/// The state of a run as reported by its worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunRow {
     /// The run.
     #[prost(message, required, tag = "1")]
     pub run: RunName,
-    /// The newest save of its progress; empty for none.
+    /// Latest checkpoint of the run; empty if there is none.
     #[prost(string, tag = "2")]
     pub checkpoint: String,
-    /// EndReason far it is, in percent.
+    /// Progress in percent.
     #[prost(uint32, tag = "3")]
     pub percent: u32,
-    /// Tail of the answer times of a serving task in milliseconds, else thousandths of a processor
-    /// in use; over the last half second.
+    /// For a serving task, its tail latency in milliseconds; for other tasks, their processor use
+    /// in thousandths of a processor. Measured over the last 500 ms.
     #[prost(uint32, tag = "4")]
     pub measurement: u32,
-    /// The worker has not listed it yet; its agent tells of it because it was ordered.
+    /// Whether the run has been ordered but the worker has not listed it yet.
     #[prost(bool, tag = "5")]
     pub unlisted: bool,
-    /// For how long the worker has been known to live on since the run was first known to be there, in
-    /// milliseconds.
+    /// Time in milliseconds that the worker is known to have survived since the run was first known
+    /// to be on it.
     #[prost(uint32, tag = "6")]
     pub survived_ms: u32,
-    /// No call to start it can have reached the worker.
+    /// Whether no call to start the run can have reached the worker.
     #[prost(bool, tag = "7")]
     pub unsent: bool,
-    /// The worker has answered a call just before the last call to start it, or since: it was not down
-    /// already.
+    /// Whether the worker answered a call shortly before the last call to start the run, or after
+    /// it. Such a worker was not down before the run started.
     #[prost(bool, tag = "8")]
     pub confirmed_up: bool,
 }
 
-/// The end of a run at a worker.
+/// The end of a run on a worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct EndRow {
-    /// Counts the ends of one life of the worker, from one.
+    /// Sequence number of the end within one incarnation of the worker, starting at 1.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The run.
     #[prost(message, required, tag = "2")]
     pub run: RunName,
-    /// EndReason it ended.
+    /// Reason for the end.
     #[prost(enumeration = "EndReason", tag = "3")]
     pub how: i32,
-    /// The newest save of its progress; empty for none.
+    /// Latest checkpoint of the run; empty if there is none.
     #[prost(string, tag = "4")]
     pub checkpoint: String,
 }
 
-/// Agent to control: all that it knows of its worker.
+/// The state of a worker, sent by its agent to control.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// This life of the worker.
+    /// Incarnation of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The pool that it belongs to.
+    /// Pool of the worker.
     #[prost(string, tag = "2")]
     pub pool: String,
-    /// Its room: thousandths of a processor.
+    /// Processor capacity in thousandths of a processor.
     #[prost(uint32, tag = "3")]
     pub milli_cpu: u32,
-    /// Its room: memory in MiB.
+    /// Memory capacity in MiB.
     #[prost(uint32, tag = "4")]
     pub memory_mib: u32,
-    /// Its room: accelerators.
+    /// Number of accelerators.
     #[prost(uint32, tag = "5")]
     pub accelerators: u32,
-    /// Its labels: its kind and its rack.
+    /// Labels of the worker: its kind and its rack.
     #[prost(string, repeated, tag = "6")]
     pub labels: Vec<String>,
-    /// It will leave and starts nothing more.
+    /// Whether the worker is draining: it is about to leave and starts no more runs.
     #[prost(bool, tag = "7")]
     pub draining: bool,
-    /// Time on the worker's clock, not later than the report, in milliseconds.
+    /// A reading of the worker's clock in milliseconds, taken no later than the report.
     #[prost(uint64, tag = "8")]
     pub clock_ms: u64,
-    /// The worker answers the agent's calls.
+    /// Whether the worker answers the agent's calls.
     #[prost(bool, tag = "9")]
     pub responsive: bool,
-    /// This life of the worker is over. The report holds the runs that it had at last and the ends that are not
-    /// known to be settled, and nothing else of it.
+    /// Whether this incarnation of the worker has ended. The report then holds only the runs that
+    /// were last on the worker and the ends that are not known to be committed.
     #[prost(bool, tag = "10")]
     pub gone: bool,
-    /// Runs that were ordered or run.
+    /// Runs that are ordered or running.
     #[prost(message, repeated, tag = "11")]
     pub runs: Vec<RunRow>,
-    /// Ends that are not yet settled.
+    /// Ends that are not yet committed.
     #[prost(message, repeated, tag = "12")]
     pub ends: Vec<EndRow>,
-    /// Runs that were ordered, never started and never will.
+    /// Runs that were ordered but have not started and will not start.
     #[prost(message, repeated, tag = "13")]
     pub unstarted: Vec<RunName>,
-    /// The data centre of the worker.
+    /// Data centre of the worker.
     #[prost(string, tag = "14")]
     pub data_centre: String,
-    /// The time that a draining worker has left at least, in milliseconds.
+    /// Minimum time in milliseconds until a draining worker leaves.
     #[prost(uint64, tag = "15")]
     pub remaining_ms: u64,
-    /// The life that is over had said that it would leave.
+    /// Whether the ended incarnation had announced that it would leave.
     #[prost(bool, tag = "16")]
     pub deregistered: bool,
 }
 
-/// A run that a worker should start.
+/// An order to start a run on a worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct StartOrder {
     /// The run.
     #[prost(message, required, tag = "1")]
     pub run: RunName,
-    /// The job's text.
+    /// Text of the job's description, passed to the task.
     #[prost(string, tag = "2")]
     pub text: String,
-    /// The save to go on from; empty for none.
+    /// Checkpoint to resume from; empty if there is none.
     #[prost(string, tag = "3")]
     pub checkpoint: String,
-    /// EndReason the agent should watch it.
+    /// How the agent monitors the run.
     #[prost(message, required, tag = "4")]
     pub watch: Watch,
-    /// What the worker wants to see before it runs a step that an adviser must allow; empty for
-    /// none.
+    /// Token that the worker requires before it runs a step that needs an adviser's permission;
+    /// empty if the step needs none.
     #[prost(string, tag = "5")]
     pub ticket: String,
 }
 
-/// EndReason an agent should watch a run.
+/// How an agent monitors a run.
 #[derive(Clone, PartialEq, Message)]
 pub struct Watch {
     /// The run.
     #[prost(message, required, tag = "1")]
     pub run: RunName,
-    /// The target of a serving task in milliseconds; zero for none.
+    /// Tail latency target of a serving task in milliseconds; zero if it has none.
     #[prost(uint32, tag = "2")]
     pub tail_target_ms: u32,
-    /// Whether it fills what others leave.
+    /// Whether the run is best-effort: it uses only processor time that other runs leave idle.
     #[prost(bool, tag = "3")]
     pub best_effort: bool,
-    /// Its image; filling runs of one image are slowed down together.
+    /// Image of the run. Best-effort runs of one image are throttled together.
     #[prost(string, tag = "4")]
     pub image: String,
-    /// EndReason much a filling run is expected to add to the pressure on the serving ones beside it, the
-    /// worst of them, in thousandths.
+    /// Expected increase, in thousandths, of the utilization of the co-located serving run that a
+    /// best-effort run affects most.
     #[prost(uint32, tag = "5")]
     pub interference_permille: u32,
-    /// Report at once when the worker has lived on with the run for this long, in milliseconds; zero for
-    /// a run of which that is no news.
+    /// Survival time of the worker with the run, in milliseconds, after which the agent sends a
+    /// report immediately; zero if no such report is needed.
     #[prost(uint32, tag = "6")]
     pub report_after_ms: u32,
 }
 
-/// Control to agent: what its worker should do.
+/// Instructions for a worker, sent by control to its agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct Order {
-    /// The life of the worker that it is for.
+    /// Incarnation of the worker that the order applies to.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The sender's term, used as fencing token.
+    /// Term of the sender, used as a fencing token.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Everything at the worker may run until this time on its clock; zero to leave it as it is.
+    /// Lease for all runs on the worker: the time on the worker's clock, in milliseconds, until
+    /// which they may run; zero leaves the lease unchanged.
     #[prost(uint64, tag = "3")]
     pub lease_end_ms: u64,
-    /// Ends up to this number are settled.
+    /// Ends up to this sequence number are committed.
     #[prost(uint64, tag = "4")]
     pub committed: u64,
-    /// Runs to start; one that was ordered before is not started again.
+    /// Runs to start. A run that was ordered before is not started again.
     #[prost(message, repeated, tag = "5")]
     pub starts: Vec<StartOrder>,
-    /// Runs to stop, also if they have not started.
+    /// Runs to stop, including those that have not started.
     #[prost(message, repeated, tag = "6")]
     pub stops: Vec<RunName>,
-    /// Unstarted runs that control knows of, so that they need not be reported again.
+    /// Unstarted runs that control has recorded, so that the agent need not report them again.
     #[prost(message, repeated, tag = "7")]
     pub forget: Vec<RunName>,
-    /// EndReason to watch runs that were started before.
+    /// Updated monitoring settings for runs that are already started.
     #[prost(message, repeated, tag = "8")]
     pub watches: Vec<Watch>,
 }
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs of several steps, as callers hand them in and as they are named between processes.
+//! Jobs with several steps, as callers submit them, and the names of their tasks and runs.
 
 use std::fmt;
 
@@ -7,92 +7,95 @@
 
 use crate::Size;
 
-/// What a job consists of. It never changes once the job is accepted.
+/// The description of a job. It is immutable once the job is accepted.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Spec {
-    /// Free text that every task is started with.
+    /// Free text that is passed to every task.
     #[prost(string, tag = "1")]
     pub text: String,
-    /// The steps; a step refers to earlier ones by their place in this list.
+    /// Steps of the job. A step refers to earlier steps by their index in this list.
     #[prost(message, repeated, tag = "2")]
     pub steps: Vec<Step>,
-    /// Runs all steps several times at set times of day; none for a job that runs once, at once.
+    /// Schedule on which all steps are repeated; none for a job that runs once, immediately.
     #[prost(message, optional, tag = "3")]
     pub repeat: Option<Repeat>,
 }
 
-/// A group of equal tasks.
+/// A group of identical tasks.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Step {
-    /// EndReason many tasks.
+    /// Number of tasks.
     #[prost(uint32, tag = "1")]
     pub tasks: u32,
-    /// Thousandths of a processor for each task.
+    /// Processor demand of each task in thousandths of a processor.
     #[prost(uint32, tag = "2")]
     pub milli_cpu: u32,
-    /// Memory for each task, in MiB.
+    /// Memory demand of each task in MiB.
     #[prost(uint32, tag = "3")]
     pub memory_mib: u32,
-    /// Accelerators for each task.
+    /// Number of accelerators that each task needs.
     #[prost(uint32, tag = "4")]
     pub accelerators: u32,
-    /// The owner's guess of the time of a task, in milliseconds.
+    /// The owner's estimate of a task's duration in milliseconds.
     #[prost(uint64, tag = "5")]
     pub estimate_ms: u64,
-    /// The steps whose tasks must all be done before this one starts.
+    /// Indices of the steps whose tasks must all complete before this step starts.
     #[prost(uint32, repeated, tag = "6")]
     pub after: Vec<u32>,
-    /// Whether tasks save their progress and can go on from it.
+    /// Whether tasks write checkpoints and can resume from them.
     #[prost(bool, tag = "7")]
     #[serde(rename = "saves")]
     pub checkpoints: bool,
     /// Whether all tasks must run at the same time.
     #[prost(bool, tag = "8")]
     pub gang: bool,
-    /// Whether a gang is faster with all its tasks in one rack.
+    /// Whether a gang runs faster with all its tasks in one rack.
     #[prost(bool, tag = "9")]
     pub one_rack: bool,
-    /// A label that the worker must have; empty for none.
+    /// Label that the worker must have; empty for none.
     #[prost(string, tag = "10")]
     pub required_label: String,
-    /// The rack with the data that the tasks read; empty for none.
+    /// Rack that stores the input data of the tasks; empty for none.
     #[prost(string, tag = "11")]
     pub data_rack: String,
-    /// Most tasks of the step on one worker; zero for no limit.
+    /// Maximum number of tasks of the step on one worker; zero for no limit.
     #[prost(uint32, tag = "12")]
     #[serde(rename = "most_per_worker")]
     pub max_per_worker: u32,
-    /// Whether a second copy of a task may run beside the first.
+    /// Whether a backup copy of a task may run in parallel with the first.
     #[prost(bool, tag = "13")]
     pub backups: bool,
     /// Whether the tasks run until the job is cancelled.
     #[prost(bool, tag = "14")]
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// Names the program that the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run. Tasks of one image are expected to behave alike.
     #[prost(string, tag = "15")]
     pub image: String,
-    /// The tail of the answer times that serving tasks should keep, in milliseconds; zero for none.
+    /// Tail latency target of serving tasks in milliseconds; zero if the tasks are not serving.
     #[prost(uint32, tag = "16")]
     pub tail_target_ms: u32,
-    /// Whether the tasks only use processors that others leave unused.
+    /// Whether the tasks are best-effort: they use only processor time that other tasks leave idle.
     #[prost(bool, tag = "17")]
     #[serde(rename = "fills")]
     pub best_effort: bool,
-    /// EndReason many lasting tasks of the step may be away at once through planned stops.
+    /// Maximum number of long-running tasks of the step that planned stops may make unavailable at
+    /// the same time.
     #[prost(uint32, tag = "18")]
     #[serde(rename = "may_miss")]
     pub max_unavailable: u32,
 }
 
 impl Step {
-    /// What one task takes of a worker's room. A filling task takes no processors of it.
+    /// Returns the capacity that one task reserves on a worker. A best-effort task reserves no
+    /// processors.
     pub fn size(&self) -> Size {
         let milli_cpu = if self.best_effort { 0 } else { self.milli_cpu };
         Size::new(milli_cpu, self.memory_mib, self.accelerators)
     }
 
-    /// Whether the tasks serve users of their own and have a target for it.
+    /// Returns whether the tasks are serving: they answer requests of users and have a latency
+    /// target.
     pub fn serves(&self) -> bool {
         self.tail_target_ms > 0
     }
@@ -117,34 +120,34 @@
     }
 }
 
-/// When a repeated job runs.
+/// The schedule of a repeated job.
 #[derive(Clone, Copy, PartialEq, Message, Serialize, Deserialize)]
 pub struct Repeat {
-    /// EndReason many times.
+    /// Number of repetitions.
     #[prost(uint32, tag = "1")]
     pub times: u32,
-    /// The first time, in milliseconds since 1970.
+    /// Start of the first repetition, in milliseconds since 1970.
     #[prost(uint64, tag = "2")]
     pub first_ms: u64,
-    /// From one time to the next, in milliseconds.
+    /// Interval between the starts of repetitions, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub every_ms: u64,
 }
 
-/// Names a task.
+/// The identity of a task.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Message, Serialize, Deserialize)]
 pub struct TaskName {
-    /// The job's id, chosen by its owner.
+    /// Job id, chosen by the job's owner.
     #[prost(fixed64, tag = "1")]
     pub job: u64,
-    /// Which time of a repeated job, from zero.
+    /// Repetition of a repeated job, counted from zero.
     #[prost(uint32, tag = "2")]
     #[serde(rename = "time")]
     pub repetition: u32,
-    /// Which step, from zero.
+    /// Index of the step, counted from zero.
     #[prost(uint32, tag = "3")]
     pub step: u32,
-    /// Which task of the step, from zero.
+    /// Index of the task within the step, counted from zero.
     #[prost(uint32, tag = "4")]
     pub index: u32,
 }
@@ -156,13 +159,13 @@
     }
 }
 
-/// Names one start of a task.
+/// The identity of a run: one start of a task.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Message, Serialize, Deserialize)]
 pub struct RunName {
-    /// The task.
+    /// Task that was started.
     #[prost(message, required, tag = "1")]
     pub task: TaskName,
-    /// Counts the starts of the task, from one.
+    /// Number of this start of the task, counted from one.
     #[prost(uint32, tag = "2")]
     pub number: u32,
 }
@@ -173,48 +176,49 @@
     }
 }
 
-/// EndReason a run ended.
+/// Why a run ended.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
 pub enum EndReason {
-    /// It did all its work.
+    /// The run completed its work.
     Done = 0,
-    /// It failed, through its own fault or the worker's.
+    /// The run failed because of an error of its own or of the worker.
     Failed = 1,
-    /// It was stopped by an order.
+    /// The run was stopped by an order.
     Stopped = 2,
-    /// Its lease ran out.
+    /// The lease of the run expired.
     Lapsed = 3,
     /// Another task of its gang ended.
     Broken = 4,
     /// The other tasks of its gang did not start in time.
     Alone = 5,
-    /// It never started, and never will.
+    /// The run did not start and will not start.
     Unstarted = 6,
 }
 
-/// What is known of a job.
+/// The phase of a job.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
 pub enum Phase {
-    /// Accepted; no task has begun.
+    /// Accepted; no task has started.
     Queued = 0,
-    /// At least one task has begun.
+    /// At least one task has started.
     Running = 1,
-    /// All tasks are done.
+    /// All tasks have completed.
     Completed = 2,
-    /// A task has failed as often as its queue allows.
+    /// A task has used up the attempts that its queue allows.
     Failed = 3,
-    /// Cancelled by its owner.
+    /// Cancelled by the job's owner.
     Cancelled = 4,
 }
 
 impl Phase {
-    /// Whether nothing more of the job is started. Runs of it may still be stopping.
+    /// Returns whether the job has ended, so that none of its tasks is started again. Runs of the
+    /// job may still be stopping.
     pub fn ended(self) -> bool {
         matches!(self, Phase::Completed | Phase::Failed | Phase::Cancelled)
     }
--- a/crates/pond-proto/src/label.rs
+++ b/crates/pond-proto/src/label.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-/// Label keys and their values, in key order.
+/// Label keys and their values, sorted by key.
 ///
-/// Ordered so that every replica writes the same bytes.
+/// The order is fixed so that every replica serializes the same labels to the same bytes.
 pub type Labels = BTreeMap<String, String>;
--- a/crates/pond-proto/src/lib.rs
+++ b/crates/pond-proto/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared types of every pondbay process.
+//! Types shared by all pondbay processes, and the messages between them.
 //!
-//! The bottom crate: it depends on no other pondbay crate, does no I/O and reads no clock.
+//! This is the lowest crate: it depends on no other pondbay crate, does no I/O and reads no clock.
 
 mod key;
 mod label;
--- a/crates/pond-proto/src/outcome.rs
+++ b/crates/pond-proto/src/outcome.rs
@@ -1,22 +1,22 @@
-//! What a caller is told about its request.
+//! The outcome of a request, as it is reported to the caller.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The promise that every answer to a caller carries in `Pondbay-Outcome`.
+/// The guarantee that every response to a caller carries in the `Pondbay-Outcome` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The body is the endpoint's whole answer to this request.
+    /// The body is the endpoint's complete answer to this request.
     Answered,
     /// The request did not run and will not run.
     NotRun,
-    /// The request may have run; its answer is not known.
+    /// The request may have run, but its answer is unknown.
     Unknown,
 }
 
 impl Outcome {
-    /// The header value.
+    /// Returns the value of the `Pondbay-Outcome` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
--- a/crates/pond-proto/src/view.rs
+++ b/crates/pond-proto/src/view.rs
@@ -1,32 +1,32 @@
-//! What entries and endpoint processes are told of the shared state.
+//! The part of the replicated state that is sent to entries and endpoint processes.
 
 use prost::Message;
 
 /// One endpoint: a running task of a service.
 #[derive(Clone, PartialEq, Message)]
 pub struct Endpoint {
-    /// The task, see [`crate::TaskKey`].
+    /// Task of the endpoint; see [`crate::TaskKey`].
     #[prost(uint64, tag = "1")]
     pub task: u64,
-    /// The service's name.
+    /// Name of the service.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// Address of the endpoint process beside it, as `ip:port`.
+    /// Address of the endpoint process on the same VM, as `ip:port`.
     #[prost(string, tag = "3")]
     pub process: String,
-    /// Address of the endpoint itself, reached only by its endpoint process.
+    /// Address of the endpoint itself. Only its endpoint process connects to it.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Its data centre.
+    /// Data centre of the endpoint.
     #[prost(string, tag = "5")]
     pub data_centre: String,
-    /// It takes no new requests.
+    /// Whether the endpoint is leaving and accepts no new requests.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// Requests it runs at a time.
+    /// Maximum number of requests that the endpoint runs concurrently.
     #[prost(uint32, tag = "7")]
     pub slots: u32,
-    /// Connections it accepts.
+    /// Maximum number of connections that the endpoint accepts.
     #[prost(uint32, tag = "8")]
     pub connections: u32,
 }
@@ -34,45 +34,46 @@
 /// The limits of one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Requests under way at one entry.
+    /// Maximum number of concurrent requests for the service at one entry.
     #[prost(uint32, tag = "2")]
     pub concurrency: u32,
-    /// The team it counts against.
+    /// Team whose quota the service counts against.
     #[prost(string, tag = "3")]
     pub team: String,
-    /// Its priority.
+    /// Priority of the service.
     #[prost(int32, tag = "4")]
     pub priority: i32,
-    /// Requests a second at one entry; zero for no limit.
+    /// Maximum number of requests per second for the service at one entry; zero for no limit.
     #[prost(uint32, tag = "5")]
     pub rate: u32,
 }
 
-/// A step from one version of the view to another.
+/// The difference between two versions of the view.
 #[derive(Clone, PartialEq, Message)]
 pub struct Delta {
-    /// The term of the leader that sent it; a lower one than seen before is refused.
+    /// Term of the leader that sent the delta. Receivers refuse a delta whose term is lower than
+    /// one that they have seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The version it starts from; zero starts from nothing.
+    /// Version that the delta applies to; zero if it contains the complete view.
     #[prost(uint64, tag = "2")]
     pub from: u64,
-    /// The version it leads to.
+    /// Version of the view after the delta.
     #[prost(uint64, tag = "3")]
     pub to: u64,
-    /// Endpoints that are new or have changed.
+    /// Added and changed endpoints.
     #[prost(message, repeated, tag = "4")]
     pub endpoints: Vec<Endpoint>,
-    /// Tasks that are no longer endpoints.
+    /// Tasks whose endpoints have been removed.
     #[prost(uint64, repeated, tag = "5")]
     pub removed: Vec<u64>,
-    /// Services that are new or have changed.
+    /// Added and changed services.
     #[prost(message, repeated, tag = "6")]
     pub services: Vec<Service>,
-    /// Services that are no more.
+    /// Names of removed services.
     #[prost(string, repeated, tag = "7")]
     pub removed_services: Vec<String>,
 }
