--- a/crates/pond-proto/src/quorum.rs
+++ b/crates/pond-proto/src/quorum.rs
@@ -106,7 +106,7 @@
 pub struct VoteRequest {
     /// Only a question: the voter's term and vote stay as they are.
     #[prost(bool, tag = "1")]
-    pub pre: bool,
+    pub pre_vote: bool,
     /// Index of the candidate's last entry.
     #[prost(uint64, tag = "2")]
     pub last_index: u64,
@@ -115,7 +115,7 @@
     pub last_term: u64,
     /// The leader itself asked the candidate to take over.
     #[prost(bool, tag = "4")]
-    pub handover: bool,
+    pub leadership_transfer: bool,
 }
 
 /// Answer to [`VoteRequest`].
@@ -123,7 +123,7 @@
 pub struct VoteReply {
     /// Whether it answers a pre-vote.
     #[prost(bool, tag = "1")]
-    pub pre: bool,
+    pub pre_vote: bool,
     /// Whether the vote is given.
     #[prost(bool, tag = "2")]
     pub granted: bool,
@@ -161,7 +161,7 @@
     pub index: u64,
     /// If they did not fit, the follower's term at that index.
     #[prost(uint64, tag = "3")]
-    pub hint_term: u64,
+    pub conflict_term: u64,
     /// The round of the append it answers.
     #[prost(uint64, tag = "4")]
     pub round: u64,
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -232,9 +232,9 @@
         // refused for the sake of the current leader must not raise the term either.
         let ignores_term = match &body {
             Body::VoteRequest(request) => {
-                request.pre || !self.accepts_candidate(now, request.handover)
+                request.pre_vote || !self.accepts_candidate(now, request.leadership_transfer)
             }
-            Body::VoteReply(reply) => reply.pre && reply.granted,
+            Body::VoteReply(reply) => reply.pre_vote && reply.granted,
             _ => false,
         };
         if message.term > self.hard.term && !ignores_term {
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -54,10 +54,10 @@
 
     fn request_votes(&mut self, pre: bool, handover: bool) {
         let request = VoteRequest {
-            pre,
+            pre_vote: pre,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            handover,
+            leadership_transfer: handover,
         };
         let voters: Vec<u64> = self.lists.current().voters().filter(|id| *id != self.id).collect();
         for to in voters {
@@ -78,14 +78,14 @@
     ) {
         let up_to_date = (request.last_term, request.last_index)
             >= (self.log.last_term(), self.log.last_index());
-        let willing = up_to_date && self.accepts_candidate(now, request.handover);
-        if request.pre {
+        let willing = up_to_date && self.accepts_candidate(now, request.leadership_transfer);
+        if request.pre_vote {
             let granted = willing && term > self.hard.term;
             let message = Envelope {
                 from: self.id,
                 to: from,
                 term: if granted { term } else { self.hard.term },
-                body: Some(Body::VoteReply(VoteReply { pre: true, granted })),
+                body: Some(Body::VoteReply(VoteReply { pre_vote: true, granted })),
             };
             self.outputs.push(Output::Send(message));
             return;
@@ -96,7 +96,7 @@
             self.hard.vote = from;
             self.reset_deadline(now);
         }
-        self.send_durable(from, Body::VoteReply(VoteReply { pre: false, granted }));
+        self.send_durable(from, Body::VoteReply(VoteReply { pre_vote: false, granted }));
     }
 
     pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteReply) {
@@ -105,13 +105,13 @@
         }
         let majority = self.lists.current().majority();
         match &mut self.state {
-            State::PreCandidate(votes) if reply.pre && term == self.hard.term + 1 => {
+            State::PreCandidate(votes) if reply.pre_vote && term == self.hard.term + 1 => {
                 votes.insert(from);
                 if votes.len() >= majority {
                     self.start_vote(now, false);
                 }
             }
-            State::Candidate(votes) if !reply.pre && term == self.hard.term => {
+            State::Candidate(votes) if !reply.pre_vote && term == self.hard.term => {
                 votes.insert(from);
                 if votes.len() >= majority {
                     self.become_leader(now);
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -36,14 +36,17 @@
     pub(crate) fn handle_append(&mut self, now: Millis, from: u64, term: u64, append: Append) {
         if !self.heard_leader(now, from, term) {
             // Informs an outdated leader of the new term.
-            let reply = AppendReply { matched: false, index: 0, hint_term: 0, round: append.round };
+            let reply =
+                AppendReply { matched: false, index: 0, conflict_term: 0, round: append.round };
             self.send(from, Body::AppendReply(reply));
             return;
         }
         let round = append.round;
         let reply = match self.merge(append) {
-            Ok(index) => AppendReply { matched: true, index, hint_term: 0, round },
-            Err((index, hint_term)) => AppendReply { matched: false, index, hint_term, round },
+            Ok(index) => AppendReply { matched: true, index, conflict_term: 0, round },
+            Err((index, hint_term)) => {
+                AppendReply { matched: false, index, conflict_term: hint_term, round }
+            }
         };
         self.send_durable(from, Body::AppendReply(reply));
     }
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -232,7 +232,7 @@
             self.hand_over_if_ready(from);
         } else if reply.index < progress.next {
             // Backs up to the last index at which the terms of the two logs can match.
-            let at = self.log.last_at_most(reply.index, reply.hint_term);
+            let at = self.log.last_at_most(reply.index, reply.conflict_term);
             progress.next = at.max(progress.matched) + 1;
             progress.probing = true;
             progress.in_flight = 0;
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -45,7 +45,7 @@
 }
 
 fn ask(last_index: u64, last_term: u64) -> VoteRequest {
-    VoteRequest { pre: false, last_index, last_term, handover: false }
+    VoteRequest { pre_vote: false, last_index, last_term, leadership_transfer: false }
 }
 
 fn granted(answer: Option<Body>) -> Option<bool> {
@@ -98,7 +98,7 @@
         Some(false)
     );
     assert_eq!(core.term(), TERM);
-    let handover = VoteRequest { handover: true, ..ask(9, 9) };
+    let handover = VoteRequest { leadership_transfer: true, ..ask(9, 9) };
     assert_eq!(
         granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(handover))),
         Some(true)
@@ -108,7 +108,7 @@
 #[test]
 fn pre_vote_changes_neither_term_nor_vote() {
     let mut core = replica(0);
-    let pre = VoteRequest { pre: true, ..ask(9, 9) };
+    let pre = VoteRequest { pre_vote: true, ..ask(9, 9) };
     assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(pre))), Some(true));
     assert_eq!(core.term(), TERM);
     assert_eq!(
@@ -161,7 +161,7 @@
 fn leader() -> Core {
     let mut core = replica(0);
     core.step(Millis(AFTER_TIMEOUT), Input::Tick);
-    let vote = |pre| Body::VoteReply(VoteReply { pre, granted: true });
+    let vote = |pre| Body::VoteReply(VoteReply { pre_vote: pre, granted: true });
     answer(&mut core, AFTER_TIMEOUT, TERM + 1, vote(true));
     let message = Envelope { from: 2, to: 1, term: TERM + 1, body: Some(vote(false)) };
     core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
@@ -171,7 +171,7 @@
 
 /// Lets replica 2 acknowledge the log up to an index.
 fn acknowledge(core: &mut Core, index: u64) {
-    let reply = AppendReply { matched: true, index, hint_term: 0, round: 1 };
+    let reply = AppendReply { matched: true, index, conflict_term: 0, round: 1 };
     let body = Some(Body::AppendReply(reply));
     let message = Envelope { from: 2, to: 1, term: TERM + 1, body };
     core.step(Millis(AFTER_TIMEOUT + 10), Input::Message(message));
