--- a/crates/pond-command/src/command/describe.rs
+++ b/crates/pond-command/src/command/describe.rs
@@ -1,7 +1,7 @@
 //! `pondbay describe`.
 
 use pond_proto::Kind;
-use pond_proto::operator::{ResumeRow, UnitShown};
+use pond_proto::operator::{ResumeRow, UnitDetails};
 
 use super::get::tasks;
 use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
@@ -28,7 +28,7 @@
 
     fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let path = format!("/v1/units/{}", call.arguments[0]);
-        let shown: UnitShown = Client::from_call(call)?.get(&path)?;
+        let shown: UnitDetails = Client::from_call(call)?.get(&path)?;
         if call.switch("json") {
             return out.json(&shown).map(|()| Exit::SUCCESS);
         }
@@ -38,7 +38,7 @@
     }
 }
 
-fn unit_lines(shown: &UnitShown) -> Vec<String> {
+fn unit_lines(shown: &UnitDetails) -> Vec<String> {
     let unit = &shown.unit;
     let labels: Vec<String> =
         unit.labels.iter().map(|(key, value)| format!("{key}={value}")).collect();
--- a/crates/pond-command/src/command/explain.rs
+++ b/crates/pond-command/src/command/explain.rs
@@ -1,6 +1,6 @@
 //! `pondbay explain`.
 
-use pond_proto::operator::{DecisionRow, UnitShown};
+use pond_proto::operator::{DecisionRow, UnitDetails};
 
 use crate::{Call, Client, Command, Error, Example, Exit, Output, Signature};
 
@@ -38,7 +38,7 @@
 
     fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let path = format!("/v1/units/{}", call.arguments[0]);
-        let shown: UnitShown = Client::from_call(call)?.get(&path)?;
+        let shown: UnitDetails = Client::from_call(call)?.get(&path)?;
         if call.switch("json") {
             return out.json(&shown.decisions).map(|()| Exit::SUCCESS);
         }
@@ -53,7 +53,7 @@
     }
 }
 
-fn summary(shown: &UnitShown) -> String {
+fn summary(shown: &UnitDetails) -> String {
     let name = &shown.row.name;
     let placements: Vec<String> =
         shown.tasks.iter().map(|task| format!("{} ({})", task.vm, task.phase)).collect();
--- a/crates/pond-control/src/operator/api.rs
+++ b/crates/pond-control/src/operator/api.rs
@@ -11,7 +11,7 @@
 use pond_process::Error;
 use pond_proto::operator::{
     Accepted, ApplyOrder, Audit, CancelOrder, DrainOrder, EvacuateOrder, EvacuationRow, LabelOrder,
-    Origin, QuotaOrder, Status, TaskRow, UnitRow, UnitShown, VmRow,
+    Origin, QuotaOrder, Status, TaskRow, UnitDetails, UnitRow, VmRow,
 };
 use pond_state::{Order, Target};
 use schemars::JsonSchema;
@@ -166,7 +166,7 @@
 async fn show_unit(
     context: Context,
     path: Path<UnitPath>,
-) -> Result<HttpResponseOk<UnitShown>, HttpError> {
+) -> Result<HttpResponseOk<UnitDetails>, HttpError> {
     authorize(&context)?;
     let name = path.into_inner().name;
     let wanted = name.clone();
--- a/crates/pond-control/src/operator/show.rs
+++ b/crates/pond-control/src/operator/show.rs
@@ -1,7 +1,7 @@
 //! Converts the state to the rows that operators are shown.
 
 use pond_proto::operator::{
-    DecisionRow, EvacuationRow, ResumeRow, TaskRow, UnitRow, UnitShown, VmRow,
+    DecisionRow, EvacuationRow, ResumeRow, TaskRow, UnitDetails, UnitRow, VmRow,
 };
 use pond_state::{Decision, Evacuation, Phase, Standing, State, Task, UnitRecord, VmRecord};
 
@@ -98,14 +98,14 @@
 }
 
 /// Returns the details of a unit.
-pub fn unit_shown(state: &State, name: &str) -> Option<UnitShown> {
+pub fn unit_shown(state: &State, name: &str) -> Option<UnitDetails> {
     let record = state.unit(name)?;
     let tasks = record.tasks.values().filter_map(|key| state.task(*key));
     let reason = match &record.standing {
         Standing::Failed { reason } => Some(reason.clone()),
         _ => None,
     };
-    Some(UnitShown {
+    Some(UnitDetails {
         row: unit_row(state, record),
         unit: record.unit.clone(),
         reason,
--- a/crates/pond-proto/src/operator.rs
+++ b/crates/pond-proto/src/operator.rs
@@ -206,7 +206,8 @@
 
 /// All that is known of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct UnitShown {
+#[schemars(rename = "UnitShown")]
+pub struct UnitDetails {
     /// The row of the list.
     pub row: UnitRow,
     /// As the operator described it.
