--- a/crates/pond-proto/src/quorum.rs
+++ b/crates/pond-proto/src/quorum.rs
@@ -1,66 +1,66 @@
-//! The replicated log and the messages between control replicas.
+//! The replicated log and the messages between control replicas (Raft).
 
 use prost::{Message, Oneof};
 
-/// What an entry of the log holds.
+/// The kind of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Kind {
-    /// Nothing: a new leader's first entry.
+    /// No content: the first entry of a new leader.
     Empty = 0,
-    /// A change of the replicated state.
+    /// A change to the replicated state.
     Change = 1,
-    /// A new list of members, encoded [`Members`].
+    /// A new list of members, encoded as [`Members`].
     Members = 2,
 }
 
-/// One entry of the log.
+/// An entry of the replicated log.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
-    /// Its place; the first is 1.
+    /// Index in the log; the first entry has index 1.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The term of the leader that wrote it.
+    /// Term of the leader that created the entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// What it holds.
+    /// Kind of the content; see [`Kind`].
     #[prost(enumeration = "Kind", tag = "3")]
     pub kind: i32,
-    /// The encoded content.
+    /// Encoded content.
     #[prost(bytes = "vec", tag = "4")]
     pub data: Vec<u8>,
 }
 
-/// What a replica must not forget besides its log.
+/// The state that a replica must persist in addition to its log (Raft's hard state).
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct HardState {
-    /// The highest term it has seen.
+    /// Highest term that the replica has seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The replica it voted for in that term; zero for none.
+    /// Replica that it voted for in that term; zero if it has not voted.
     #[prost(fixed64, tag = "2")]
     pub vote: u64,
-    /// Entries up to here are known to be accepted.
+    /// Highest index that is known to be committed.
     #[prost(uint64, tag = "3")]
     pub commit: u64,
 }
 
-/// One replica of the quorum.
+/// A member of the quorum: one control replica.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Member {
-    /// The identity of its disk, drawn when its data folder was made.
+    /// Identity of the replica's disk, generated at random when its data directory is created.
     ///
-    /// A replica that comes back with an empty disk is another member, so it cannot vote as what
-    /// it was.
+    /// A replica that restarts with an empty disk becomes a new member, so it cannot vote again
+    /// under its former identity.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// Its name from the settings.
+    /// Name of the replica in the settings.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Where it takes internal links, as `ip:port`.
+    /// Address at which the replica accepts internal links, as `ip:port`.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Whether it votes; one that does not is a learner.
+    /// Whether the member votes; a member without a vote is a learner.
     #[prost(bool, tag = "4")]
     pub voter: bool,
 }
@@ -68,43 +68,43 @@
 /// The members of the quorum.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Members {
-    /// In the order of their identities.
+    /// Members, sorted by identity.
     #[prost(message, repeated, tag = "1")]
     pub list: Vec<Member>,
 }
 
 impl Members {
-    /// A list in the order of identities.
+    /// Creates a member list, sorted by identity.
     pub fn new(mut list: Vec<Member>) -> Members {
         list.sort_by_key(|member| member.id);
         Members { list }
     }
 
-    /// The member with that identity.
+    /// Returns the member with the given identity.
     pub fn get(&self, id: u64) -> Option<&Member> {
         self.list.iter().find(|member| member.id == id)
     }
 
-    /// Whether that replica votes.
+    /// Returns whether the given replica is a voter.
     pub fn is_voter(&self, id: u64) -> bool {
         self.get(id).is_some_and(|member| member.voter)
     }
 
-    /// The identities of those that vote.
+    /// Returns the identities of the voters.
     pub fn voters(&self) -> impl Iterator<Item = u64> + '_ {
         self.list.iter().filter(|member| member.voter).map(|member| member.id)
     }
 
-    /// How many votes decide.
+    /// Returns the number of votes that form a majority.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 }
 
-/// Asks for a vote, or (pre-vote) whether a vote would be given.
+/// Requests a vote or, as a pre-vote, asks whether a vote would be granted.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct VoteRequest {
-    /// Only a question: the voter's term and vote stay as they are.
+    /// Whether this is a pre-vote, which leaves the voter's term and vote unchanged.
     #[prost(bool, tag = "1")]
     pub pre_vote: bool,
     /// Index of the candidate's last entry.
@@ -113,114 +113,116 @@
     /// Term of the candidate's last entry.
     #[prost(uint64, tag = "3")]
     pub last_term: u64,
-    /// The leader itself asked the candidate to take over.
+    /// Whether the leader has asked the candidate to take over.
     #[prost(bool, tag = "4")]
     pub leadership_transfer: bool,
 }
 
-/// Answer to [`VoteRequest`].
+/// The reply to a [`VoteRequest`].
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct VoteReply {
-    /// Whether it answers a pre-vote.
+    /// Whether this is the reply to a pre-vote.
     #[prost(bool, tag = "1")]
     pub pre_vote: bool,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     #[prost(bool, tag = "2")]
     pub granted: bool,
 }
 
-/// Entries for a follower; without entries a heartbeat.
+/// Appends entries to a follower's log; without entries it is a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Append {
-    /// Index of the entry before the first one.
+    /// Index of the entry that precedes the first one in `entries`.
     #[prost(uint64, tag = "1")]
     pub previous_index: u64,
     /// Term of that entry.
     #[prost(uint64, tag = "2")]
     pub previous_term: u64,
-    /// The entries, in order.
+    /// Entries, in log order.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<Entry>,
-    /// The leader's commit index.
+    /// Commit index of the leader.
     #[prost(uint64, tag = "4")]
     pub commit: u64,
-    /// The leader's round of heartbeats, sent back in the answer.
+    /// Heartbeat round of the leader; the follower returns it in its reply.
     #[prost(uint64, tag = "5")]
     pub round: u64,
 }
 
-/// Answer to [`Append`].
+/// The reply to an [`Append`].
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct AppendReply {
-    /// Whether the entries fitted.
+    /// Whether the follower's log matched at `previous_index`, so that the entries were appended.
     #[prost(bool, tag = "1")]
     pub matched: bool,
-    /// If they fitted, the last index that is durable and equal to the leader's; if not, the
-    /// last index that may be equal.
+    /// If the log matched, the last index that is durable and equal to the leader's log; otherwise
+    /// the last index at which the logs may be equal.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// If they did not fit, the follower's term at that index.
+    /// If the log did not match, the follower's term at `index`.
     #[prost(uint64, tag = "3")]
     pub conflict_term: u64,
-    /// The round of the append it answers.
+    /// Heartbeat round of the [`Append`].
     #[prost(uint64, tag = "4")]
     pub round: u64,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotChunk {
-    /// Index of the last entry that the snapshot holds.
+    /// Index of the last log entry that the snapshot includes.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// Term of that entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The members at that entry.
+    /// Members of the quorum at that entry.
     #[prost(message, required, tag = "3")]
     pub members: Members,
-    /// Where the piece starts, in bytes.
+    /// Offset of the chunk in bytes.
     #[prost(uint64, tag = "4")]
     pub offset: u64,
-    /// Length of the whole snapshot, in bytes.
+    /// Length of the complete snapshot in bytes.
     #[prost(uint64, tag = "5")]
     pub total: u64,
-    /// CRC-32C of the whole snapshot.
+    /// CRC-32C of the complete snapshot.
     #[prost(uint32, tag = "6")]
     pub crc: u32,
-    /// The piece.
+    /// Data of the chunk.
     #[prost(bytes = "vec", tag = "7")]
     pub data: Vec<u8>,
-    /// The leader's round of heartbeats.
+    /// Heartbeat round of the leader.
     #[prost(uint64, tag = "8")]
     pub round: u64,
 }
 
-/// Answer to [`SnapshotChunk`]: where the next piece should start.
+/// The reply to a [`SnapshotChunk`]; it says where the next chunk should start.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SnapshotChunkReply {
-    /// Index of the snapshot.
+    /// Index of the last log entry that the snapshot includes.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Bytes that have arrived.
+    /// Number of bytes received so far; the offset of the next chunk.
     #[prost(uint64, tag = "2")]
     pub received_bytes: u64,
-    /// The round of the chunk it answers.
+    /// Heartbeat round of the [`SnapshotChunk`].
     #[prost(uint64, tag = "3")]
     pub round: u64,
 }
 
-/// The leader asks the receiver to take over at once.
+/// Asks the receiver to start an election immediately; sent by the leader to transfer its
+/// leadership.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct TakeOver {}
 
-/// Tells another replica who the sender is, before the quorum is formed or when it is unknown.
+/// Announces the sender to another replica, before the quorum is formed or while the sender is not
+/// a member that the receiver knows.
 #[derive(Clone, PartialEq, Message)]
 pub struct Announce {
-    /// The sender as it would be a member.
+    /// Member entry that the sender would have.
     #[prost(message, required, tag = "1")]
     pub member: Member,
-    /// Whether the sender's disk holds a quorum's log already.
+    /// Whether the sender's disk already contains the log of a quorum.
     #[prost(bool, tag = "2")]
     pub formed: bool,
     /// Index of the last entry in the sender's log.
@@ -228,7 +230,7 @@
     pub last_index: u64,
 }
 
-/// The content of a message.
+/// The content of an [`Envelope`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
     /// See [`VoteRequest`].
@@ -257,47 +259,48 @@
     Announce(Announce),
 }
 
-/// One message between replicas.
+/// A message between two replicas.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    /// The sender's identity.
+    /// Identity of the sender.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
-    /// The receiver's identity; zero before it is known.
+    /// Identity of the receiver; zero if it is not known yet.
     #[prost(fixed64, tag = "2")]
     pub to: u64,
-    /// The sender's term, or for a pre-vote the term it would take.
+    /// Term of the sender; in a pre-vote, the term that the candidate would start.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// The content.
+    /// Content of the message.
     #[prost(oneof = "Body", tags = "4,5,6,7,8,9,10,11")]
     pub body: Option<Body>,
 }
 
-/// What one group of writes to the log's files holds.
+/// The writes that are appended to the log files together.
 #[derive(Clone, PartialEq, Message)]
 pub struct Batch {
-    /// The hard state after it, if it changed.
+    /// Hard state after the batch, if it changed.
     #[prost(message, optional, tag = "1")]
     pub hard: Option<HardState>,
-    /// Entries; one with an index that is there already replaces it and all after it.
+    /// Entries to write. An entry replaces an existing entry with the same index and all later
+    /// ones.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<Entry>,
-    /// Entries with a higher index than this that were there before are dropped.
+    /// If present, existing entries with an index above this one are removed.
     #[prost(uint64, optional, tag = "3")]
     pub truncate_after: Option<u64>,
 }
 
-/// What a snapshot file says of itself.
+/// The header of a snapshot file.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotHeader {
-    /// Index of the last entry that it holds.
+    /// Index of the last log entry that the snapshot includes.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// Term of that entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The members at that entry.
+    /// Members of the quorum at that entry.
     #[prost(message, required, tag = "3")]
     pub members: Members,
 }
--- a/crates/pond-proto/src/wire.rs
+++ b/crates/pond-proto/src/wire.rs
@@ -1,24 +1,24 @@
-//! Messages between pondbay's own processes.
+//! Messages between the processes of pondbay.
 //!
-//! Every frame is a length (4 bytes, big endian) and a prost message. The structs are written
-//! by hand, so that the build needs no generator.
+//! A frame consists of a length (4 bytes, big endian) and a prost message. The structs are written
+//! by hand, so the build needs no code generator.
 
 use prost::{Message, Oneof};
 
 use crate::{fleet, quorum, view};
 
-/// The version of this protocol; both sides of a link must speak the same.
+/// Protocol version; both sides of a link must use the same.
 pub const VERSION: u32 = 1;
 
-/// The identity of a request: the entry's life and a count within it.
+/// The identity of a request: the incarnation of the entry and a sequence number within it.
 ///
-/// Unique across restarts, since a life is drawn at random at each start.
+/// It is unique across restarts because an entry draws a random incarnation at each start.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
 pub struct RequestId {
-    /// The life of the entry that took the request in.
+    /// Incarnation of the entry that received the request.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Its number within that life.
+    /// Sequence number of the request within that incarnation.
     #[prost(uint64, tag = "2")]
     pub number: u64,
 }
@@ -27,212 +27,213 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Role {
-    /// A replica of the control state.
+    /// Control replica: holds the replicated state.
     Control = 0,
-    /// Takes in callers' requests.
+    /// Entry: receives the requests of callers.
     Entry = 1,
-    /// Stands beside the endpoints of one VM.
+    /// Endpoint process: forwards requests to the endpoints of one VM.
     Endpoint = 2,
-    /// Stands beside one worker and gives it its orders.
+    /// Agent: controls one worker on its VM.
     Agent = 3,
 }
 
-/// First frame in both directions.
+/// The first frame in each direction of a link.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// See [`VERSION`].
+    /// Protocol version; see [`VERSION`].
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// Role of the sender.
     #[prost(enumeration = "Role", tag = "2")]
     pub role: i32,
-    /// The sender's name from its settings.
+    /// Name of the sender in its settings.
     #[prost(string, tag = "3")]
     pub name: String,
-    /// The sender's life.
+    /// Incarnation of the sender.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// The sender's data centre.
+    /// Data centre of the sender.
     #[prost(string, tag = "5")]
     pub data_centre: String,
-    /// The shared token of internal links; empty where none is set.
+    /// Shared token of internal links; empty if none is configured.
     #[prost(string, tag = "6")]
     pub token: String,
-    /// Where the sender takes internal links, as `ip:port`; empty where it takes none.
+    /// Address at which the sender accepts internal links, as `ip:port`; empty if it accepts none.
     #[prost(string, tag = "7")]
     pub address: String,
 }
 
-/// A caller's request, offered to an endpoint.
+/// A caller's request that an entry offers to an endpoint.
 #[derive(Clone, PartialEq, Message)]
 pub struct Offer {
-    /// Its identity; a retry is a new offer with a new `attempt`.
+    /// Identity of the request; a retry is a new offer with a new `attempt`.
     #[prost(message, required, tag = "1")]
     pub id: RequestId,
-    /// Counts offers of one request.
+    /// Number of this offer among the offers of the request.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// The endpoint that shall run it.
+    /// Task of the endpoint that should run the request.
     #[prost(uint64, tag = "3")]
     pub task: u64,
-    /// Milliseconds it may still take; it is not started after that.
+    /// Remaining time of the request in milliseconds; it is not started once this time has passed.
     #[prost(uint32, tag = "4")]
     pub remaining_ms: u32,
-    /// What is passed on.
+    /// Content that is forwarded to the endpoint.
     #[prost(message, required, tag = "5")]
     pub content: Content,
-    /// Requests of the same life with a lower number are settled: nobody will ask for them.
+    /// Lowest sequence number of this incarnation whose request may still be queried; the fates of
+    /// requests below it need not be kept.
     #[prost(uint64, tag = "6")]
     pub oldest_open: u64,
 }
 
-/// What of a request is passed on.
+/// The part of a request that is forwarded to the endpoint.
 #[derive(Clone, PartialEq, Message)]
 pub struct Content {
-    /// The service's name.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// `Content-Type` of the body, if any.
+    /// `Content-Type` of the body; empty if there is none.
     #[prost(string, tag = "2")]
     pub content_type: String,
-    /// The caller's idempotency key, if any.
+    /// Idempotency key of the caller; empty if there is none.
     #[prost(string, tag = "3")]
     pub key: String,
-    /// The body.
+    /// Body of the request.
     #[prost(bytes = "vec", tag = "4")]
     pub body: Vec<u8>,
 }
 
-/// Names one offer in messages about it.
+/// The identity of an offer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
 pub struct OfferId {
-    /// The request.
+    /// Identity of the request.
     #[prost(message, required, tag = "1")]
     pub id: RequestId,
-    /// The offer's number within the request.
+    /// Number of the offer within the request.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
 }
 
-/// Why an endpoint process did not run an offer.
+/// Why an endpoint process refused an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Refusal {
-    /// All slots are taken and the queue is full.
+    /// All slots are in use and the queue is full.
     Full = 0,
-    /// The endpoint or its process is leaving.
+    /// The endpoint or its endpoint process is leaving.
     Leaving = 1,
-    /// The process knows no such endpoint.
+    /// The endpoint process does not know the endpoint.
     NoEndpoint = 2,
-    /// The deadline passed before it could start.
+    /// The deadline passed before the request started.
     Expired = 3,
-    /// The entry revoked it before it started.
+    /// The entry revoked the offer before the request started.
     Revoked = 4,
-    /// The process could not connect to the endpoint.
+    /// The endpoint process could not connect to the endpoint.
     Unreachable = 5,
 }
 
-/// The offer did not run and will not run.
+/// Refuses an offer: the request did not run and will not run under it.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Refused {
-    /// Which offer.
+    /// Identity of the offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
-    /// Why.
+    /// Reason for the refusal.
     #[prost(enumeration = "Refusal", tag = "2")]
     pub refusal: i32,
-    /// Offers that the entry may have open at the endpoint from now on; see [`Answer::grant`].
+    /// New limit on the entry's open offers at the endpoint; see [`Answer::grant`].
     #[prost(uint32, tag = "3")]
     pub grant: u32,
 }
 
-/// The endpoint's whole answer.
+/// The complete answer of an endpoint.
 #[derive(Clone, PartialEq, Message)]
 pub struct Answer {
-    /// Which offer.
+    /// Identity of the offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
-    /// The endpoint's HTTP status.
+    /// HTTP status code of the answer.
     #[prost(uint32, tag = "2")]
     pub status: u32,
-    /// `Content-Type` of the body, if any.
+    /// `Content-Type` of the body; empty if there is none.
     #[prost(string, tag = "3")]
     pub content_type: String,
-    /// The whole body.
+    /// Complete body of the answer.
     #[prost(bytes = "vec", tag = "4")]
     pub body: Vec<u8>,
-    /// Microseconds that the endpoint took.
+    /// Service time of the endpoint in microseconds.
     #[prost(uint32, tag = "5")]
     pub service_us: u32,
-    /// Offers running and queued at the endpoint when the answer left.
+    /// Number of offers running and queued at the endpoint when the answer was sent.
     #[prost(uint32, tag = "6")]
     pub load: u32,
-    /// Offers that the entry may have open at the endpoint from now on: what it has there and its
-    /// share of the free slots.
+    /// New limit on the entry's open offers at the endpoint: those that it has there and its share
+    /// of the free slots.
     #[prost(uint32, tag = "7")]
     pub grant: u32,
-    /// Microseconds that the offer waited for a slot.
+    /// Time that the offer waited for a slot, in microseconds.
     #[prost(uint32, tag = "8")]
     pub queue_us: u32,
 }
 
-/// The offer started, and its answer was lost.
+/// The request was started but its answer was lost.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct AnswerLost {
-    /// Which offer.
+    /// Identity of the offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
 }
 
-/// Asks for the fate of open offers after a link was lost.
+/// Queries the fates of open offers after a link was lost.
 #[derive(Clone, PartialEq, Message)]
 pub struct FateRequest {
-    /// The offers.
+    /// Identities of the offers.
     #[prost(message, repeated, tag = "1")]
     pub offers: Vec<OfferId>,
 }
 
-/// What became of one offer.
+/// The fate of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Fate {
-    /// It did not start in this life and will not start.
+    /// The offer did not start in this incarnation of the endpoint process and will not start.
     NotRun = 0,
-    /// It started; its answer follows on this link.
+    /// The offer started; its answer will be sent on this link.
     Running = 1,
-    /// It started and its answer is gone.
+    /// The offer started, but its answer is lost.
     Lost = 2,
 }
 
-/// Answer to [`FateRequest`] for one offer.
+/// The reply to a [`FateRequest`] for one offer.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct FateReply {
-    /// Which offer.
+    /// Identity of the offer.
     #[prost(message, required, tag = "1")]
     pub offer: OfferId,
-    /// What became of it.
+    /// Fate of the offer; see [`Fate`].
     #[prost(enumeration = "Fate", tag = "2")]
     pub fate: i32,
 }
 
-/// The sender takes no new offers from now on.
+/// Announces that the sender accepts no new offers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Leave {
-    /// The endpoint concerned; zero for all of the process.
+    /// Task of the leaving endpoint; zero if the whole endpoint process is leaving.
     #[prost(uint64, tag = "1")]
     pub task: u64,
 }
 
-/// Tells a process who leads, and that a link is alive.
+/// Keeps a link alive and reports the current leader.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// The leader's address as far as the sender knows; empty if unknown.
+    /// Address of the leader as known to the sender; empty if unknown.
     #[prost(string, tag = "1")]
     pub leader: String,
-    /// The leader's term.
+    /// Term of the leader.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Index of the sender's last snapshot, between control replicas.
+    /// Index of the sender's latest snapshot; set between control replicas.
     #[prost(uint64, tag = "3")]
     pub snapshot_index: u64,
     /// Checksum of the replicated state at that index.
@@ -240,95 +241,95 @@
     pub checksum: u32,
 }
 
-/// Acknowledges that a view is in force at the sender.
+/// Acknowledges that the sender has applied a version of the view.
 #[derive(Clone, PartialEq, Message)]
 pub struct ViewAck {
-    /// The version in force.
+    /// Applied version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Leaving endpoints at the sender that run and hold no request any more.
+    /// Leaving endpoints of the sender that have no running or queued request left.
     #[prost(uint64, repeated, tag = "2")]
     pub drained: Vec<u64>,
 }
 
-/// Asks for the right to run a request that is not repeatable.
+/// Requests a claim: the right to run a request that is not repeatable.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimRequest {
-    /// Number within the asking process.
+    /// Correlates the request with its [`ClaimReply`]; unique within the requesting process.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// The service's name.
+    /// Name of the service.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     #[prost(string, tag = "3")]
     pub key: String,
-    /// Checksum of the request's body: the same key with another body is refused.
+    /// Checksum of the request's body. The same key with a different body is refused.
     #[prost(uint32, tag = "4")]
     pub digest: u32,
-    /// The request that would run.
+    /// Identity of the request that would run.
     #[prost(message, required, tag = "5")]
     pub id: RequestId,
 }
 
-/// Records how a claimed request ended.
+/// Records the end of a claimed request.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimEnd {
-    /// The service's name.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// The request that held the claim.
+    /// Identity of the request that holds the claim.
     #[prost(message, required, tag = "3")]
     pub id: RequestId,
-    /// The request did not run: the claim is free again.
+    /// Whether the request did not run, so that the claim is released.
     #[prost(bool, tag = "4")]
     pub not_run: bool,
-    /// The answer, if it is small enough to keep.
+    /// Answer of the endpoint, if it is small enough to be stored.
     #[prost(message, optional, tag = "5")]
     pub answer: Option<Answer>,
 }
 
-/// How a claim was decided.
+/// The decision on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Verdict {
-    /// Run it.
+    /// The claim is granted and the request may run.
     Granted = 0,
     /// Another request holds the claim and has not ended.
     Held = 1,
-    /// It ran and the answer is here.
+    /// The request has already run; its answer is included.
     Answered = 2,
-    /// It ran, or may have run, and the answer was not kept.
+    /// The request ran or may have run, but its answer was not stored.
     Ended = 3,
-    /// The same key came with another body.
+    /// The same key was used with a different body.
     Mismatch = 4,
-    /// The table of claims is full.
+    /// The claim table is full.
     Full = 5,
-    /// There is no quorum to ask, or this replica does not lead.
+    /// No quorum is available, or this replica is not the leader.
     NoQuorum = 6,
 }
 
-/// Answer to [`ClaimRequest`].
+/// The reply to a [`ClaimRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimReply {
-    /// The ask's ticket.
+    /// Ticket of the request.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// The decision.
+    /// Decision on the claim; see [`Verdict`].
     #[prost(enumeration = "Verdict", tag = "2")]
     pub verdict: i32,
-    /// The kept answer.
+    /// Stored answer of the endpoint.
     #[prost(message, optional, tag = "3")]
     pub answer: Option<Answer>,
 }
 
-/// What a frame carries.
+/// The content of a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// Opens a link.
+    /// Opens a link; sent by both sides.
     #[prost(message, tag = "1")]
     Hello(Hello),
     /// Keeps a link alive.
@@ -337,7 +338,7 @@
     /// Entry to endpoint process.
     #[prost(message, tag = "3")]
     Offer(Offer),
-    /// Entry to endpoint process: do not start it.
+    /// Entry to endpoint process: withdraws an offer that has not started.
     #[prost(message, tag = "4")]
     Revoke(OfferId),
     /// Endpoint process to entry.
@@ -373,7 +374,7 @@
     /// Control to entry.
     #[prost(message, tag = "15")]
     ClaimReply(ClaimReply),
-    /// Between control replicas.
+    /// Control replica to control replica.
     #[prost(message, tag = "16")]
     Quorum(quorum::Envelope),
     /// Entry to control: a caller's request about jobs.
@@ -393,16 +394,16 @@
     LeaderInfo(fleet::LeaderInfo),
 }
 
-/// One frame.
+/// A frame of the protocol.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// What it carries; a frame of an unknown kind decodes to none and is a protocol error.
+    /// Content of the frame. A frame of an unknown kind decodes to `None` and is a protocol error.
     #[prost(oneof = "Body", tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20,21")]
     pub body: Option<Body>,
 }
 
 impl Frame {
-    /// A frame that carries `body`.
+    /// Creates a frame with the given content.
     pub fn new(body: Body) -> Frame {
         Frame { body: Some(body) }
     }
