--- a/crates/pond-proto/src/audit.rs
+++ b/crates/pond-proto/src/audit.rs
@@ -5,17 +5,18 @@
 
 use crate::Millis;
 
-/// One accepted change.
+/// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Record {
-    /// Version of the configuration that the change made, or the one in force for decisions.
+    /// Version of the configuration that the change created or, for a decision, the version that
+    /// was in force.
     pub version: u64,
-    /// When the leader took it in, milliseconds since 1970.
+    /// When the leader accepted the change, in milliseconds since 1970.
     pub at: Millis,
-    /// The operator, or `scheduler` or `platform`.
+    /// Author of the change: an operator, `scheduler` or `platform`.
     pub who: String,
-    /// The identity that the sender gave the change.
+    /// Identity of the change, chosen by its sender.
     pub request: String,
-    /// What it changed, for people.
+    /// Human-readable description of the change.
     pub what: String,
 }
--- a/crates/pond-proto/src/key.rs
+++ b/crates/pond-proto/src/key.rs
@@ -1,37 +1,38 @@
-//! Small `Copy` keys for things kept in tables.
+//! Small `Copy` keys for entries of tables.
 
 use std::fmt;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Names one VM inside the replicated state.
+/// Identifies a VM in the replicated state.
 ///
-/// Handed out in order by the state machine and never used again, so that every replica
-/// gives the same key to the same VM.
+/// Keys are assigned in increasing order by the state machine and never reused, so that every
+/// replica assigns the same key to the same VM.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct VmKey(pub u32);
 
-/// Names one run of a unit on one VM.
+/// Identifies one run of a unit on one VM.
 ///
-/// A task that is started again elsewhere gets a new key.
+/// A task that is started again on another VM gets a new key.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct TaskKey(pub u64);
 
-/// Names one life of a process, from its start to its end.
+/// Identifies one incarnation of a process, from its start to its end.
 ///
-/// Drawn at random when the process starts. Two lives at one address are told apart by it.
+/// It is drawn at random when the process starts and distinguishes successive processes at the same
+/// address.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Draws a new life from the operating system's randomness.
+    /// Returns a new incarnation, drawn from the operating system's random number generator.
     pub fn random() -> Incarnation {
         Incarnation(rand::random())
     }
--- a/crates/pond-proto/src/operator.rs
+++ b/crates/pond-proto/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators send and are told over HTTP.
+//! Requests and responses of the operators' HTTP interface.
 
 use std::collections::BTreeMap;
 
@@ -8,110 +8,111 @@
 use crate::audit::Record;
 use crate::{Labels, Millis, Selector, Size, Unit, UnitName};
 
-/// Who changes something, and based on what.
+/// The author of a change and the version that it is based on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Origin {
-    /// The operator; with tokens in use, the token's owner counts instead.
+    /// Name of the operator. If tokens are configured, the owner of the token is recorded instead.
     pub who: String,
-    /// An identity of the change, chosen by the sender. A resend with the same identity gets the
-    /// first result again.
+    /// Identity of the change, chosen by the sender. A repeated request with the same identity
+    /// returns the first result.
     pub request: String,
-    /// The version that the sender looked at; if an order was accepted since, this one is refused.
+    /// Version that the change is based on. The change is refused if another one has been accepted
+    /// since.
     #[serde(default)]
     pub expect: Option<u64>,
 }
 
-/// Create units, or replace those of the same names.
+/// Creates units, or replaces units with the same names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ApplyOrder {
-    /// Who, and based on what.
+    /// Author of the change and the version that it is based on.
     pub origin: Origin,
-    /// The units.
+    /// Units to create or replace.
     pub units: Vec<Unit>,
 }
 
-/// Set and remove labels.
+/// Sets and removes labels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct LabelOrder {
-    /// Who, and based on what.
+    /// Author of the change and the version that it is based on.
     pub origin: Origin,
-    /// On VMs; otherwise on units.
+    /// Whether the labels are those of VMs; otherwise they are those of units.
     pub vms: bool,
-    /// On which.
+    /// Selects the VMs or units.
     pub selector: Selector,
     /// Labels to set.
     #[serde(default)]
     pub set: Labels,
-    /// Keys to remove.
+    /// Keys of the labels to remove.
     #[serde(default)]
     pub unset: Vec<String>,
 }
 
-/// Take VMs out of use, or back into it.
+/// Drains VMs, or returns them to use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct DrainOrder {
-    /// Who, and based on what.
+    /// Author of the change and the version that it is based on.
     pub origin: Origin,
-    /// Which VMs.
+    /// Selects the VMs.
     pub selector: Selector,
-    /// Out of use, or back.
+    /// Whether to drain the VMs; otherwise they return to use.
     pub drained: bool,
 }
 
-/// Place nothing more in a data centre, or use it again.
+/// Evacuates a data centre, so that nothing more is placed in it, or returns it to use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct EvacuateOrder {
-    /// Who, and based on what.
+    /// Author of the change and the version that it is based on.
     pub origin: Origin,
-    /// Which data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// Nothing more, or again.
+    /// Whether to evacuate the data centre; otherwise it returns to use.
     pub evacuated: bool,
 }
 
 /// An evacuated data centre in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct EvacuationRow {
-    /// The data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// Who ordered it.
+    /// Operator who ordered the evacuation.
     pub who: String,
-    /// Since when, milliseconds since 1970.
+    /// When the evacuation was ordered, in milliseconds since 1970.
     pub since: Millis,
-    /// How many VMs stand there.
+    /// Number of VMs in the data centre.
     pub vms: u32,
-    /// How many tasks are on them.
+    /// Number of tasks on these VMs.
     pub tasks: u32,
 }
 
-/// Cancel units.
+/// Cancels units.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct CancelOrder {
-    /// Who, and based on what.
+    /// Author of the change and the version that it is based on.
     pub origin: Origin,
-    /// Their names, where no selector is given.
+    /// Names of the units, if no selector is given.
     #[serde(default)]
     pub names: Vec<UnitName>,
-    /// Which, by unit labels.
+    /// Selects the units by their labels.
     #[serde(default)]
     pub selector: Option<Selector>,
 }
 
-/// Limit what teams may have running.
+/// Limits the resources that the running tasks of each team may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct QuotaOrder {
-    /// Who, and based on what.
+    /// Author of the change and the version that it is based on.
     pub origin: Origin,
-    /// The limits.
+    /// Limit of each team.
     pub teams: BTreeMap<String, Size>,
 }
 
-/// An order was accepted: it is durable on a majority of the control replicas.
+/// Confirms a change: it is accepted and durable on a majority of the control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Accepted {
-    /// The version of the configuration with it.
+    /// Version of the configuration that includes the change.
     pub version: u64,
-    /// What changed.
+    /// Description of the change.
     pub what: String,
 }
 
@@ -120,40 +121,40 @@
 pub struct UnitRow {
     /// Its name.
     pub name: String,
-    /// `service` or `job`.
+    /// Kind of the unit: `service` or `job`.
     pub kind: String,
-    /// Its team.
+    /// Team of the unit.
     pub team: String,
-    /// Its priority.
+    /// Priority of the unit.
     pub priority: i32,
-    /// Where it stands, in a word.
+    /// Status of the unit in one word.
     #[serde(rename = "standing")]
     pub status: String,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that shall run.
+    /// Number of tasks that should run.
     #[serde(rename = "wanted")]
     pub desired: u32,
-    /// The version that last changed it.
+    /// Version of the configuration that last changed the unit.
     pub version: u64,
 }
 
 /// A task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct TaskRow {
-    /// Its key.
+    /// Key of the task.
     pub task: String,
-    /// Its unit.
+    /// Unit of the task.
     pub unit: String,
-    /// Which replica of the unit.
+    /// Index of the replica within the unit.
     pub replica: u32,
-    /// Counts the runs of the replica.
+    /// Number of this run among the runs of the replica.
     pub attempt: u32,
-    /// The VM.
+    /// VM that the task runs on.
     pub vm: String,
-    /// Where it stands.
+    /// Phase of the task.
     pub phase: String,
-    /// The checkpoint that it resumed from.
+    /// Checkpoint that the task resumed from.
     pub resumed_from: Option<u64>,
 }
 
@@ -162,127 +163,127 @@
 pub struct VmRow {
     /// Its name.
     pub name: String,
-    /// Its labels.
+    /// Labels of the VM.
     pub labels: Labels,
-    /// What it has.
+    /// Capacity of the VM.
     pub size: Size,
-    /// What its tasks take.
+    /// Resources reserved by the tasks on the VM.
     pub taken: Size,
-    /// What is believed of it.
+    /// Liveness of the VM as recorded by control.
     pub liveness: String,
-    /// An operator took it out of use.
+    /// Whether an operator has drained the VM.
     pub drained: bool,
-    /// An operator evacuated its data centre.
+    /// Whether an operator has evacuated the VM's data centre.
     pub evacuated: bool,
-    /// How many tasks are on it.
+    /// Number of tasks on the VM.
     pub tasks: u32,
 }
 
-/// A decision with its reasons.
+/// A decision of the scheduler with its reasons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct DecisionRow {
-    /// When, milliseconds since 1970.
+    /// When the decision was made, in milliseconds since 1970.
     pub at: Millis,
-    /// What.
+    /// Action that was decided.
     pub action: String,
-    /// The VM concerned.
+    /// VM that the decision concerns.
     pub vm: Option<String>,
-    /// The task concerned.
+    /// Task that the decision concerns.
     pub task: Option<String>,
-    /// What was known and weighed.
+    /// Reasons for the decision.
     pub why: String,
-    /// The alternative that came next.
+    /// Second-best alternative.
     pub next_best: Option<String>,
 }
 
-/// An eviction that a resume has not yet consumed.
+/// An eviction after which the task has not resumed yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ResumeRow {
-    /// The run that was evicted.
+    /// Number of the evicted run.
     pub attempt: u32,
-    /// How far it came.
+    /// Last checkpoint of the evicted run.
     pub checkpoint: u64,
 }
 
-/// All that is known of a unit.
+/// Details of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "UnitShown")]
 pub struct UnitDetails {
-    /// The row of the list.
+    /// The unit as shown in a list.
     pub row: UnitRow,
-    /// As the operator described it.
+    /// The unit as the operator described it.
     pub unit: Unit,
-    /// Why it failed, if it did.
+    /// Reason for the failure, if the unit has failed.
     pub reason: Option<String>,
-    /// Its tasks.
+    /// Tasks of the unit.
     pub tasks: Vec<TaskRow>,
-    /// The open eviction, if there is one.
+    /// Eviction after which the task has not resumed yet, if there is one.
     pub resume: Option<ResumeRow>,
-    /// The last decisions, oldest first.
+    /// Most recent decisions about the unit, oldest first.
     pub decisions: Vec<DecisionRow>,
 }
 
-/// One process that is told the configuration.
+/// A process that receives the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Follower {
-    /// Its role.
+    /// Role of the process.
     pub role: String,
     /// Its name.
     pub name: String,
-    /// The version in force there; zero before its first.
+    /// Version of the configuration in force at the process; zero before the first.
     pub version: u64,
 }
 
-/// One replica of the quorum.
+/// A member of the quorum: one control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct MemberRow {
     /// Its name.
     pub name: String,
-    /// Whether it votes.
+    /// Whether the replica is a voter.
     pub voter: bool,
-    /// Whether it leads.
+    /// Whether the replica is the leader.
     #[serde(rename = "leads")]
     pub is_leader: bool,
 }
 
-/// The state of the installation in a few figures.
+/// A summary of the state of the installation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Status {
-    /// The replica that answered.
+    /// Name of the replica that answered.
     pub replica: String,
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// Accepted entries of the log.
+    /// Commit index of the replicated log.
     pub commit: u64,
-    /// The replicas.
+    /// Members of the quorum.
     pub members: Vec<MemberRow>,
-    /// The version of the configuration.
+    /// Version of the configuration.
     pub version: u64,
-    /// Processes in which that version is in force.
+    /// Number of processes in which this version is in force.
     pub in_force: u32,
-    /// Processes that are linked and are told the configuration.
+    /// Number of linked processes that receive the configuration.
     #[serde(rename = "told")]
     pub followers: u32,
-    /// Those in which it is not yet in force.
+    /// Processes in which this version is not yet in force.
     pub stragglers: Vec<Follower>,
-    /// VMs that take work.
+    /// Number of VMs that accept tasks.
     pub vms_open: u32,
-    /// All VMs.
+    /// Total number of VMs.
     pub vms: u32,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Units that lack tasks.
+    /// Number of units that have fewer tasks than they should.
     #[serde(rename = "wanting")]
     pub incomplete_units: u32,
-    /// Claims kept.
+    /// Number of stored claims.
     pub claims: u64,
     /// Checksum of the replicated state.
     pub checksum: String,
 }
 
-/// The newest records of the audit trail, oldest first.
+/// The most recent records of the audit trail, oldest first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Audit {
-    /// The records.
+    /// Records of the trail.
     pub records: Vec<Record>,
 }
--- a/crates/pond-proto/src/selector.rs
+++ b/crates/pond-proto/src/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors over labels.
+//! Label selectors.
 
 use std::fmt;
 
@@ -7,16 +7,16 @@
 
 use crate::Labels;
 
-/// How a term compares a label.
+/// The comparison that a term applies to a label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 pub enum Operator {
-    /// The label is there and its value is one of the term's.
+    /// The label is present and its value is one of the term's values.
     In,
-    /// The label is missing or its value is none of the term's.
+    /// The label is absent or its value is none of the term's values.
     NotIn,
-    /// The label is there.
+    /// The label is present.
     Exists,
-    /// The label is missing.
+    /// The label is absent.
     DoesNotExist,
 }
 
@@ -25,7 +25,7 @@
     pub const ALL: [Operator; 4] =
         [Operator::In, Operator::NotIn, Operator::Exists, Operator::DoesNotExist];
 
-    /// The operator's name in unit files.
+    /// Returns the operator's name in unit files.
     pub fn as_str(self) -> &'static str {
         match self {
             Operator::In => "In",
@@ -35,31 +35,32 @@
         }
     }
 
-    /// Whether the operator compares values.
+    /// Returns whether the operator compares values.
     pub fn takes_values(self) -> bool {
         matches!(self, Operator::In | Operator::NotIn)
     }
 }
 
-/// One condition on one label.
+/// A condition on one label.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 pub struct Term {
-    /// The label's key.
+    /// Key of the label.
     pub key: String,
-    /// How it is compared.
+    /// Comparison to apply.
     pub operator: Operator,
-    /// The values for `In` and `NotIn`; empty for the others.
+    /// Values for `In` and `NotIn`; empty for the other operators.
     #[serde(default)]
     pub values: Vec<String>,
 }
 
 impl Term {
-    /// Whether the labels meet the condition.
+    /// Returns whether the labels satisfy the condition.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.matches_value(labels.get(&self.key).map(String::as_str))
     }
 
-    /// Whether a label with that value, or none, meets the condition.
+    /// Returns whether a label with the given value, or an absent label for `None`, satisfies the
+    /// condition.
     pub fn matches_value(&self, value: Option<&str>) -> bool {
         let among = |value: &str| self.values.iter().any(|other| other == value);
         match self.operator {
@@ -71,35 +72,35 @@
     }
 }
 
-/// Conditions that must all hold; none at all matches everything.
+/// A conjunction of conditions; an empty selector matches everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 pub struct Selector {
-    /// The conditions.
+    /// Conditions that must all hold.
     pub terms: Vec<Term>,
 }
 
 impl Selector {
-    /// A selector for one key with one value.
+    /// Creates a selector that requires one value for one key.
     pub fn equals(key: &str, value: &str) -> Selector {
         let term =
             Term { key: key.to_owned(), operator: Operator::In, values: vec![value.to_owned()] };
         Selector { terms: vec![term] }
     }
 
-    /// Whether the labels meet every condition.
+    /// Returns whether the labels satisfy every condition.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.terms.iter().all(|term| term.matches(labels))
     }
 
-    /// Whether there is no condition.
+    /// Returns whether the selector has no conditions.
     pub fn is_empty(&self) -> bool {
         self.terms.is_empty()
     }
 
-    /// Reads the command line's form: `key=a|b,key!=c,key,!key`.
+    /// Parses the command-line syntax: `key=a|b,key!=c,key,!key`.
     ///
     /// # Errors
-    /// The part that could not be read, with what was expected.
+    /// Returns a message with the part that could not be parsed and the expected syntax.
     pub fn parse(text: &str) -> Result<Selector, String> {
         let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
         let terms = parts.map(parse_term).collect::<Result<Vec<_>, _>>()?;
--- a/crates/pond-proto/src/size.rs
+++ b/crates/pond-proto/src/size.rs
@@ -1,4 +1,4 @@
-//! How much of a VM something takes or has.
+//! Resource amounts: what a VM provides or a task needs.
 
 use std::fmt;
 
@@ -8,29 +8,29 @@
 /// An amount of processors, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 pub struct Size {
-    /// Thousandths of a processor.
+    /// Processors, in thousandths.
     pub milli_cpu: u32,
     /// Memory in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
 
 impl Size {
-    /// An amount of all three.
+    /// Creates an amount from its three parts.
     pub fn new(milli_cpu: u32, memory_mib: u32, accelerators: u32) -> Size {
         Size { milli_cpu, memory_mib, accelerators }
     }
 
-    /// Whether all three fit into `room`.
-    pub fn fits(self, room: Size) -> bool {
-        self.milli_cpu <= room.milli_cpu
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    /// Returns whether all three resources fit into `capacity`.
+    pub fn fits(self, capacity: Size) -> bool {
+        self.milli_cpu <= capacity.milli_cpu
+            && self.memory_mib <= capacity.memory_mib
+            && self.accelerators <= capacity.accelerators
     }
 
-    /// Both amounts together.
+    /// Returns the sum of both amounts, saturating at the maximum.
     pub fn plus(self, other: Size) -> Size {
         Size {
             milli_cpu: self.milli_cpu.saturating_add(other.milli_cpu),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What is left after taking `other`; never below zero.
+    /// Returns the amount that remains after subtracting `other`, saturating at zero.
     pub fn minus(self, other: Size) -> Size {
         Size {
             milli_cpu: self.milli_cpu.saturating_sub(other.milli_cpu),
--- a/crates/pond-proto/src/time.rs
+++ b/crates/pond-proto/src/time.rs
@@ -1,17 +1,17 @@
-//! Points and lengths of time, in milliseconds.
+//! Points in time and durations.
 
 use std::ops::{Add, Sub};
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 pub type Span = u64;
 
-/// A point in time in milliseconds on the clock of whoever passes it in.
+/// A point in time in milliseconds on the clock of the caller that passes it in.
 ///
-/// Decision cores never read a clock: they are given `Millis`. A monotonic clock's zero is the
-/// start of the process; the operators' clock counts from 1970.
+/// Decision cores never read a clock; the current time is passed to them as `Millis`. A monotonic
+/// clock starts at zero when the process starts; the clock for operators counts from 1970.
 #[derive(
     Clone,
     Copy,
@@ -29,7 +29,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// How long after `earlier` this is; zero if it is not later.
+    /// Returns the time elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Millis) -> Span {
         self.0.saturating_sub(earlier.0)
     }
@@ -49,17 +49,17 @@
     }
 }
 
-/// A point in time in microseconds on a monotonic clock, for the path of requests.
+/// A point in time in microseconds on a monotonic clock, used when handling requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// How long after `earlier` this is, in microseconds; zero if it is not later.
+    /// Returns the microseconds elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// This many milliseconds later.
+    /// Returns the point in time that is `ms` milliseconds later.
     pub fn plus_ms(self, ms: u64) -> Micros {
         Micros(self.0.saturating_add(ms.saturating_mul(1000)))
     }
--- a/crates/pond-proto/src/unit.rs
+++ b/crates/pond-proto/src/unit.rs
@@ -8,82 +8,84 @@
 /// The name of a unit, unique among units.
 pub type UnitName = String;
 
-/// What is particular to a service.
+/// The properties that only services have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Service {
-    /// How many tasks, each an endpoint, shall run.
+    /// Number of tasks that should run; each is an endpoint.
     pub replicas: u32,
-    /// Requests that one endpoint runs at a time.
+    /// Maximum number of requests that one endpoint runs concurrently.
     pub slots: u32,
-    /// Connections that one endpoint accepts.
+    /// Maximum number of connections that one endpoint accepts.
     pub connections: u32,
-    /// The objective for the 99th percentile of its latency, in milliseconds.
+    /// Objective for the 99th percentile of the latency, in milliseconds.
     pub p99_ms: Option<u32>,
-    /// Requests that may be under way for the service at one entry.
+    /// Maximum number of concurrent requests for the service at one entry.
     pub concurrency: u32,
-    /// Requests a second that one entry takes for the service; zero for no limit.
+    /// Maximum number of requests per second for the service at one entry; zero for no limit.
     #[serde(default)]
     pub rate: u32,
 }
 
-/// What is particular to a job.
+/// The properties that only jobs have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Job {
-    /// Declared run time in milliseconds; often far from the truth.
+    /// Declared run time in milliseconds; it is often far from the actual run time.
     pub run_ms: Span,
-    /// When it must have ended, in milliseconds after it was accepted.
+    /// Deadline for the end of the job, in milliseconds after it was accepted.
     pub deadline_ms: Option<Span>,
-    /// How often it is started again after it failed.
+    /// Number of times that the job is restarted after a failure.
     pub retries: u32,
 }
 
-/// Service or job.
+/// The kind of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Runs until it is cancelled and answers requests.
+    /// A service: runs until it is cancelled and answers requests.
     Service(Service),
-    /// Runs to its end.
+    /// A job: runs to completion.
     Job(Job),
 }
 
-/// One unit of work as an operator described it.
+/// A unit of work as described by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Unit {
-    /// Its name.
+    /// Name of the unit.
     pub name: UnitName,
-    /// Service or job.
+    /// Whether the unit is a service or a job, with the properties of that kind.
     pub kind: Kind,
-    /// Its labels; selectors of other units may ask for them.
+    /// Labels of the unit. Affinity selectors of other units can refer to them.
     #[serde(default)]
     pub labels: Labels,
-    /// What one task of it takes.
+    /// Resources that one task of the unit needs.
     pub size: Size,
-    /// Higher goes first; 100 and above is urgent.
+    /// Priority of the unit. Higher values are placed first; 100 and above is urgent.
     pub priority: i32,
-    /// The team whose quota it counts against.
+    /// Team whose quota the unit counts against.
     pub team: String,
-    /// Where it may run, over VM labels.
+    /// Selects the VMs that the unit may run on, by VM labels.
     #[serde(default)]
     pub selector: Selector,
-    /// Where it wants to be, over the labels of units already on the VM; one must match.
+    /// Selects units by their labels; the unit is placed only on a VM that already runs a matching
+    /// unit.
     #[serde(default)]
     pub affinity: Option<Selector>,
-    /// What it must not meet, over the labels of units already on the VM.
+    /// Selects units by their labels; the unit is not placed on a VM that already runs a matching
+    /// unit.
     #[serde(default)]
     pub anti_affinity: Option<Selector>,
-    /// The program that workers run, passed on as it is.
+    /// Program that workers run; it is passed on unchanged.
     pub program: String,
 }
 
 impl Unit {
-    /// The priority from which work is urgent.
+    /// Lowest priority of urgent work.
     pub const URGENT: i32 = 100;
 
-    /// The label that says what a unit is like.
+    /// Key of the label that names a unit's workload kind.
     pub const KIND: &'static str = "kind";
 
-    /// The service part, if it is one.
+    /// Returns the service properties, or `None` for a job.
     pub fn service(&self) -> Option<&Service> {
         match &self.kind {
             Kind::Service(service) => Some(service),
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The job part, if it is one.
+    /// Returns the job properties, or `None` for a service.
     pub fn job(&self) -> Option<&Job> {
         match &self.kind {
             Kind::Job(job) => Some(job),
@@ -99,13 +101,14 @@
         }
     }
 
-    /// What it is like, for learning: its label `kind`, else the first word of its program.
+    /// Returns the workload kind, by which measurements of similar units are combined: the label
+    /// `kind`, otherwise the first word of the program, otherwise the unit's name.
     pub fn kind_name(&self) -> &str {
         let word = || self.program.split_whitespace().next();
         self.labels.get(Unit::KIND).map(String::as_str).or_else(word).unwrap_or(&self.name)
     }
 
-    /// How many tasks of it shall run.
+    /// Returns the number of tasks of the unit that should run.
     pub fn replicas(&self) -> u32 {
         self.service().map_or(1, |service| service.replicas)
     }
--- a/crates/pond-proto/src/vm.rs
+++ b/crates/pond-proto/src/vm.rs
@@ -1,49 +1,49 @@
-//! VMs as the platform lists them.
+//! VMs as listed by the platform.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::{Labels, Size};
 
-/// What the platform's list says of a VM.
+/// The state of a VM in the platform's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Presence {
-    /// It may take work.
+    /// The VM accepts work.
     #[default]
     Live,
-    /// It is going away and takes no new work.
+    /// The VM will be removed and accepts no new work.
     Leaving,
 }
 
-/// One VM of the platform's list.
+/// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Vm {
-    /// The platform's name for it; unique for as long as the VM lives.
+    /// Name of the VM on the platform; unique as long as the VM exists.
     pub name: String,
     /// Labels such as `data-centre` and `rack`.
     #[serde(default)]
     pub labels: Labels,
-    /// What it has to give.
+    /// Capacity of the VM.
     pub size: Size,
-    /// Address of its worker, as `ip:port`.
+    /// Address of the VM's worker, as `ip:port`.
     pub worker: String,
-    /// Address of the endpoint process beside its endpoints, as `ip:port`, if it has one.
+    /// Address of the endpoint process on the VM, as `ip:port`, if there is one.
     #[serde(default)]
     pub endpoint_process: Option<String>,
-    /// Live or leaving.
+    /// Whether the VM is live or leaving.
     #[serde(default)]
     pub presence: Presence,
 }
 
 impl Vm {
-    /// The label that names a VM's data centre.
+    /// Key of the label that names the data centre of a VM.
     pub const DATA_CENTRE: &'static str = "data-centre";
 
-    /// The label that names a VM's rack.
+    /// Key of the label that names the rack of a VM.
     pub const RACK: &'static str = "rack";
 
-    /// The data centre of the VM, or the empty string where it is not labelled.
+    /// Returns the data centre of the VM, or an empty string if the VM has no such label.
     pub fn data_centre(&self) -> &str {
         self.labels.get(Vm::DATA_CENTRE).map_or("", String::as_str)
     }
