--- a/crates/pond-proto/src/unit.rs
+++ b/crates/pond-proto/src/unit.rs
@@ -103,7 +103,7 @@
 
     /// Returns the workload kind, by which measurements of similar units are combined: the label
     /// `kind`, otherwise the first word of the program, otherwise the unit's name.
-    pub fn kind_name(&self) -> &str {
+    pub fn workload_kind(&self) -> &str {
         let word = || self.program.split_whitespace().next();
         self.labels.get(Unit::KIND).map(String::as_str).or_else(word).unwrap_or(&self.name)
     }
--- a/crates/pond-sched/src/info.rs
+++ b/crates/pond-sched/src/info.rs
@@ -34,7 +34,7 @@
         let unit = &state.unit(&task.unit)?.unit;
         let p99_ms = unit.service().and_then(|service| service.p99_ms);
         let info = Info {
-            kind: kinds.key(unit.kind_name()),
+            kind: kinds.key(unit.workload_kind()),
             is_job: unit.job().is_some(),
             objective_us: p99_ms.map(|p99_ms| f64::from(p99_ms) * 1000.0),
         };
--- a/crates/pond-sched/src/neighbours.rs
+++ b/crates/pond-sched/src/neighbours.rs
@@ -37,7 +37,7 @@
 
     /// Adds one more task of a unit.
     pub fn add(&mut self, kinds: &Kinds, usage: &Usage, unit: &Unit) {
-        let kind = kinds.get(unit.kind_name());
+        let kind = kinds.get(unit.workload_kind());
         self.expected_memory_mib += u64::from(usage.expected(kind, unit.size).memory_mib);
         let Some(kind) = kind else { return };
         match unit.service() {
@@ -59,12 +59,12 @@
     /// itself if it is a service.
     pub fn with(&self, interference: &Interference, kinds: &Kinds, unit: &Unit) -> Effect {
         let mut effect = Effect::default();
-        let new = kinds.get(unit.kind_name()).filter(|_| unit.service().is_none());
+        let new = kinds.get(unit.workload_kind()).filter(|_| unit.service().is_none());
         let new = new.map(|kind| Colocated { kind, share: 1.0 });
         for service in &self.services {
             effect.include(interference, service, &self.colocated, new);
         }
-        if let (Some(service), Some(kind)) = (unit.service(), kinds.get(unit.kind_name()))
+        if let (Some(service), Some(kind)) = (unit.service(), kinds.get(unit.workload_kind()))
             && let Some(p99_ms) = service.p99_ms
         {
             let objective_us = f64::from(p99_ms) * 1000.0;
--- a/crates/pond-sched/src/plan.rs
+++ b/crates/pond-sched/src/plan.rs
@@ -415,7 +415,7 @@
     /// Returns the score penalty for a VM on which tasks are expected to use more memory than it
     /// has.
     fn expected_overuse(&self, neighbours: &Neighbours, unit: &Unit, vm: &VmRecord) -> i64 {
-        let own = self.usage.expected(self.kinds.get(unit.kind_name()), unit.size);
+        let own = self.usage.expected(self.kinds.get(unit.workload_kind()), unit.size);
         let expected = neighbours.expected_memory_mib() + u64::from(own.memory_mib);
         let excess = expected.saturating_sub(u64::from(vm.vm.size.memory_mib));
         (excess * 4000 / u64::from(vm.vm.size.memory_mib.max(1))) as i64
--- a/crates/pond-test/src/colocation.rs
+++ b/crates/pond-test/src/colocation.rs
@@ -320,7 +320,7 @@
             let uses = self.truth(&task.unit).map_or(0.7, |truth| truth.uses);
             let mut p99_us = None;
             if let Some(service) = unit.service() {
-                let kind = unit.kind_name();
+                let kind = unit.workload_kind();
                 let alone = self.scene.alone_us.get(kind).copied().unwrap_or(1000.0);
                 let ratio = self.slowdown(kind, task.vm) * load;
                 let noisy = alone * ratio * (1.0 + self.rng.random_range(-0.03..0.03));
