--- a/crates/pond-agent/src/core/due.rs
+++ b/crates/pond-agent/src/core/due.rs
@@ -100,7 +100,11 @@
     fn wait_ms(&self) -> Span {
         let watches = || self.runs.values().filter_map(|run| run.watch.as_ref());
         let serves = watches().any(|watch| watch.tail_target_ms > 0);
-        if serves && watches().any(|watch| watch.fills) { SHORT_LIST_WAIT_MS } else { LIST_WAIT_MS }
+        if serves && watches().any(|watch| watch.best_effort) {
+            SHORT_LIST_WAIT_MS
+        } else {
+            LIST_WAIT_MS
+        }
     }
 
     /// Makes the call that is due for each run without a call in flight.
@@ -120,7 +124,7 @@
                     Call::Start {
                         run: *name,
                         text: order.text.clone(),
-                        checkpoint: order.save.clone(),
+                        checkpoint: order.checkpoint.clone(),
                         ticket: order.ticket.clone(),
                         lease_end_ms,
                     }
@@ -140,20 +144,22 @@
     pub(super) fn update_paces(&mut self, now: Millis) {
         let serving = self.runs.values().filter_map(|run| {
             let target = run.watch.as_ref()?.tail_target_ms;
-            (target > 0 && run.row.percent == 100).then_some((run.row.figure, target))
+            (target > 0 && run.row.percent == 100).then_some((run.row.measurement, target))
         });
         let mut groups: BTreeMap<String, Group> = BTreeMap::new();
         for watch in self.runs.values().filter_map(|run| run.watch.as_ref()) {
-            if watch.fills {
+            if watch.best_effort {
                 let group =
                     groups.entry(watch.image.clone()).or_insert(Group { blame_permille: 0 });
-                group.blame_permille += u64::from(watch.blame_permille);
+                group.blame_permille += u64::from(watch.interference_permille);
             }
         }
         self.pacing.update(now, serving, &groups);
         let mut calls = Vec::new();
         for (name, run) in &mut self.runs {
-            let Some(watch) = run.watch.as_ref().filter(|watch| watch.fills) else { continue };
+            let Some(watch) = run.watch.as_ref().filter(|watch| watch.best_effort) else {
+                continue;
+            };
             let percent = self.pacing.pace(&watch.image);
             if run.phase == Phase::Running && run.pace != Some(percent) && !run.calling {
                 run.calling = true;
@@ -218,13 +224,13 @@
             labels: worker.labels.clone(),
             draining: worker.draining,
             clock_ms: self.clock_ms,
-            answers: self.has_listed
+            responsive: self.has_listed
                 && !self.unreachable
                 && now.since(self.listed_at) < UNRESPONSIVE_MS,
             gone: false,
             runs: self.rows(),
             ends: self.ends.values().cloned().collect(),
-            left: false,
+            deregistered: false,
             unstarted: self.unstarted.iter().copied().collect(),
             data_centre: worker.data_centre.clone(),
             remaining_ms: worker.remaining_ms,
--- a/crates/pond-agent/tests/core.rs
+++ b/crates/pond-agent/tests/core.rs
@@ -8,7 +8,7 @@
 use pond_agent::{Answer, Call, Refusal, Registration, Reply};
 use pond_proto::Size;
 use pond_proto::fleet::{Order, StartOrder, Watch};
-use pond_proto::job::How;
+use pond_proto::job::EndReason;
 use support::{
     Harness, INCARNATION, best_effort, is_list, is_pace, is_start, is_stop, run, serving,
 };
@@ -85,7 +85,7 @@
     harness.answer(is_start, Reply::Refused(Refusal::Old));
     harness.advance(1);
     harness.answer(is_stop, Reply::Done);
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.advance(1_000);
     assert!(harness.last().unstarted.is_empty());
     assert_eq!(harness.last().ends.len(), 1);
@@ -96,10 +96,10 @@
     let mut harness = Harness::new();
     harness.start(0);
     harness.answer(is_start, Reply::Done);
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.advance(1_000);
     assert_eq!(harness.last().ends.len(), 1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_000);
     assert!(harness.last().ends.is_empty());
 }
@@ -107,8 +107,8 @@
 #[test]
 fn worker_may_forget_only_committed_ends() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done), (2, 1, How::Done)]);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.list(&[], &[(1, 0, EndReason::Done), (2, 1, EndReason::Done)]);
+    harness.order(Order { committed: 1, ..Order::default() });
     for _ in 0..5 {
         harness.advance(1_000);
     }
@@ -175,7 +175,7 @@
 fn unresponsive_worker_is_reported_as_such() {
     let mut harness = Harness::new();
     harness.advance(4_000);
-    assert!(!harness.last().answers);
+    assert!(!harness.last().responsive);
 }
 
 #[test]
@@ -205,7 +205,7 @@
 #[test]
 fn all_best_effort_runs_are_halted_before_a_tail_is_too_high_for_three_seconds() {
     let mut harness = Harness::new();
-    let serving = Watch { image: "s".to_owned(), blame_permille: 10, ..serving(0, 10) };
+    let serving = Watch { image: "s".to_owned(), interference_permille: 10, ..serving(0, 10) };
     harness.run_all(vec![serving, best_effort(1, "blamed", 900), best_effort(2, "spared", 10)]);
     let mut paces = BTreeMap::new();
     for _ in 0..6 {
@@ -353,9 +353,9 @@
     harness.answer(is_list, Reply::OtherLife);
     harness.advance(1);
     let last = harness.gone();
-    assert!(!last.left);
+    assert!(!last.deregistered);
     let reported: Vec<_> =
-        last.runs.iter().map(|row| (row.run.task.index, row.lived_ms, row.unsent)).collect();
+        last.runs.iter().map(|row| (row.run.task.index, row.survived_ms, row.unsent)).collect();
     assert_eq!(reported, [(0, 600, false), (1, 0, true), (2, 0, false), (3, 0, false)]);
 }
 
@@ -367,7 +367,7 @@
     harness.list(&[0], &[]);
     harness.core.deregistered(harness.now, INCARNATION);
     harness.answer(is_list, Reply::NotSent);
-    assert!(harness.gone().left);
+    assert!(harness.gone().deregistered);
 }
 
 /// A registration from another sender may name a known incarnation.
@@ -445,9 +445,9 @@
 #[test]
 fn nothing_is_acknowledged_while_a_start_is_in_flight() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.start(1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(100);
     assert_eq!(harness.acknowledged.len(), 0);
     harness.answer(is_start, Reply::Done);
@@ -459,8 +459,8 @@
 #[test]
 fn nothing_is_started_while_an_acknowledgement_is_in_flight() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
+    harness.order(Order { committed: 1, ..Order::default() });
     assert_eq!(harness.acknowledged, [1]);
     harness.start(1);
     assert_eq!(harness.count(is_start), 0);
@@ -471,9 +471,9 @@
 #[test]
 fn overdue_acknowledgement_delays_starts() {
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.start(1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_050);
     harness.start(2);
     assert_eq!(harness.count(is_start), 1);
@@ -482,9 +482,9 @@
     assert_eq!(harness.acknowledged, [1]);
     // An unanswered start delays the other starts only briefly.
     let mut harness = Harness::new();
-    harness.list(&[], &[(1, 0, How::Done)]);
+    harness.list(&[], &[(1, 0, EndReason::Done)]);
     harness.start(1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.advance(1_050);
     harness.start(2);
     harness.advance(200);
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -5,7 +5,7 @@
 
 use pond_agent::{Answer, Call, Core, Output, Refusal, Registration, Reply};
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder, Watch};
-use pond_proto::job::{How, RunName, TaskName};
+use pond_proto::job::{EndReason, RunName, TaskName};
 use pond_proto::{Millis, Size, Span};
 
 const INCARNATION: &str = "incarnation-1";
@@ -37,7 +37,7 @@
 const LEASE_MS: u64 = 6_000;
 
 fn run(index: u32) -> RunName {
-    RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
+    RunName { task: TaskName { job: 1, repetition: 0, step: 0, index }, number: 1 }
 }
 
 /// A call in flight, and when it is answered at the latest.
@@ -66,17 +66,22 @@
 }
 
 impl Worker {
-    fn end(&mut self, name: RunName, how: How) {
+    fn end(&mut self, name: RunName, how: EndReason) {
         if self.running.remove(&name) {
             let number = self.ends.len() as u64 + 1;
-            self.ends.push(EndRow { number, run: name, how: how as i32, save: String::new() });
+            self.ends.push(EndRow {
+                number,
+                run: name,
+                how: how as i32,
+                checkpoint: String::new(),
+            });
         }
     }
 
     fn stop(&mut self, name: RunName) {
         self.refused_runs.insert(name);
         if !self.runs_survive_stop {
-            self.end(name, How::Stopped);
+            self.end(name, EndReason::Stopped);
         }
     }
 
@@ -316,7 +321,7 @@
         harness.order_stop(0);
         harness.advance_until(100, |harness| !harness.last().ends.is_empty());
         let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        harness.order(Order { settled, ..Order::default() });
+        harness.order(Order { committed: settled, ..Order::default() });
         harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
@@ -378,7 +383,7 @@
     harness.order_stop(0);
     // The list requested after the stop still shows the run at its end.
     harness.advance(200);
-    harness.worker.end(run(0), How::Stopped);
+    harness.worker.end(run(0), EndReason::Stopped);
     harness.advance(5_000);
     assert_eq!(harness.stops.len(), 1);
 }
@@ -480,7 +485,7 @@
     harness.advance(2_500);
     harness.worker.stop(run(0));
     harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().ends.len() == 1);
-    harness.order(Order { settled: 1, ..Order::default() });
+    harness.order(Order { committed: 1, ..Order::default() });
     harness.stops.clear();
     harness.advance(10_000);
     assert_eq!(harness.stops, []);
@@ -496,9 +501,9 @@
     harness.worker.ignore_stops = true;
     harness.order_stop(0);
     harness.advance(1_200);
-    harness.worker.end(run(0), How::Done);
+    harness.worker.end(run(0), EndReason::Done);
     harness.advance_until(REPORTED_WITHIN_MS, |harness| harness.last().ends.len() == 1);
-    assert_eq!(harness.last().ends[0].how(), How::Done);
+    assert_eq!(harness.last().ends[0].how(), EndReason::Done);
     harness.stops.clear();
     harness.advance(10_000);
     assert_eq!(harness.stops, []);
@@ -536,7 +541,7 @@
         harness.order(stop);
         harness.advance_until(100, |harness| !harness.last().ends.is_empty());
         let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        harness.order(Order { term: TERM + 1, settled, ..Order::default() });
+        harness.order(Order { term: TERM + 1, committed: settled, ..Order::default() });
         harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -3,13 +3,13 @@
 
 use pond_agent::{Answer, Call, Core, Observation, Output, Registration, Reply};
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder, Watch};
-use pond_proto::job::{How, RunName, TaskName};
+use pond_proto::job::{EndReason, RunName, TaskName};
 use pond_proto::{Millis, Size};
 
 pub const INCARNATION: &str = "incarnation-1";
 
 pub fn run(index: u32) -> RunName {
-    RunName { task: TaskName { job: 1, time: 0, step: 0, index }, number: 1 }
+    RunName { task: TaskName { job: 1, repetition: 0, step: 0, index }, number: 1 }
 }
 
 /// The core of an agent, with all its outputs.
@@ -129,7 +129,7 @@
         let row = |index: u32, percent: u32, figure: u32| RunRow {
             run: run(index),
             percent,
-            figure,
+            measurement: figure,
             ..RunRow::default()
         };
         let fill = (1..=best_effort).map(|index| row(index, 10, 900));
@@ -175,13 +175,13 @@
         self.tick();
     }
 
-    pub fn list(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
+    pub fn list(&mut self, running: &[u32], ended: &[(u64, u32, EndReason)]) {
         let row = |index: &u32| RunRow { run: run(*index), percent: 5, ..RunRow::default() };
-        let end = |(number, index, how): &(u64, u32, How)| EndRow {
+        let end = |(number, index, how): &(u64, u32, EndReason)| EndRow {
             number: *number,
             run: run(*index),
             how: *how as i32,
-            save: String::new(),
+            checkpoint: String::new(),
         };
         let runs = running.iter().map(row).collect();
         let ends = ended.iter().map(end).collect();
@@ -189,7 +189,7 @@
     }
 
     /// Answers all requested lists, and those requested as a result.
-    pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, How)]) {
+    pub fn list_all(&mut self, running: &[u32], ended: &[(u64, u32, EndReason)]) {
         while self.count(is_list) > 0 {
             self.list(running, ended);
             if self.count(is_list) == 1 && self.list_waits() {
@@ -246,5 +246,11 @@
 
 pub fn best_effort(index: u32, image: &str, blame_permille: u32) -> Watch {
     let image = image.to_owned();
-    Watch { run: run(index), fills: true, image, blame_permille, ..Watch::default() }
+    Watch {
+        run: run(index),
+        best_effort: true,
+        image,
+        interference_permille: blame_permille,
+        ..Watch::default()
+    }
 }
--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -14,7 +14,7 @@
 use pond_control::Process;
 use pond_http::{Call, Client, Method};
 use pond_link::{Config, EventKind, LinkKey, dial};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::operator::{Origin, QuotaOrder, Status};
 use pond_proto::quorum::{Entry, Kind};
 use pond_proto::wire::{Body, Role as WireRole, ViewAck};
@@ -235,7 +235,7 @@
     let mut key = 0;
     for node in 0..FOLLOWERS {
         let link_config =
-            Config::new(WireRole::Endpoint, &format!("node-{node}"), "here", Life::random());
+            Config::new(WireRole::Endpoint, &format!("node-{node}"), "here", Incarnation::random());
         let link_config =
             link_config.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
         let link_config = Arc::new(
@@ -258,7 +258,7 @@
                 senders.insert(event.link, sender);
             }
             EventKind::Frame(Body::View(delta)) => {
-                let ack = ViewAck { version: delta.to, quiet: Vec::new() };
+                let ack = ViewAck { version: delta.to, drained: Vec::new() };
                 if let Some(sender) = senders.get(&event.link) {
                     sender.send(Body::ViewAck(ack));
                 }
@@ -281,8 +281,9 @@
         runtime.block_on(follow(replicas, flag));
     });
     let address = &operators[at];
-    let all_in =
-        |status: &Status| status.told as usize == FOLLOWERS && status.in_force == status.told;
+    let all_in = |status: &Status| {
+        status.followers as usize == FOLLOWERS && status.in_force == status.followers
+    };
     let wait = || async {
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(30) {
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -9,7 +9,7 @@
 use pond_log::{Logger, event};
 use pond_platform::{HttpPlatform, Platform};
 use pond_process::{Error, Threads, listen, read_token};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::quorum::Member;
 use pond_proto::wire::Role;
 use pond_settings::{Process as Settings, Role as SettingsRole};
@@ -124,12 +124,16 @@
         let address = internal.local_addr().map(|address| address.to_string());
         let token = read_token(settings)?;
         let limits = settings.limits;
-        let link_config =
-            Config::new(Role::Control, &settings.name, &settings.data_centre, Life::random())
-                .with_limits(limits.frame_bytes, limits.link_queue)
-                .with_address(&address.unwrap_or_default())
-                .with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
-                .with_token(&token);
+        let link_config = Config::new(
+            Role::Control,
+            &settings.name,
+            &settings.data_centre,
+            Incarnation::random(),
+        )
+        .with_limits(limits.frame_bytes, limits.link_queue)
+        .with_address(&address.unwrap_or_default())
+        .with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
+        .with_token(&token);
         let link_config = Arc::new(link_config);
         // There is one link for each pair of replicas: the one whose name sorts first dials.
         let dialled: Vec<SocketAddr> = settings
--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -3,8 +3,8 @@
 use pond_link::{Event, EventKind, LinkKey};
 use pond_log::event;
 use pond_proto::Millis;
-use pond_proto::quorum::{Body as Letter, Letter as QuorumLetter, Present};
-use pond_proto::wire::{Beat, Body, Role as WireRole};
+use pond_proto::quorum::{Announce, Body as QuorumBody, Envelope};
+use pond_proto::wire::{Body, Heartbeat, Role as WireRole};
 use pond_quorum::{Core, Input as QuorumInput, Start, Tuning};
 
 use super::Replica;
@@ -16,8 +16,9 @@
                 let role = hello.role();
                 self.links.insert(event.link, (role, hello.name.clone()));
                 if role == WireRole::Control {
-                    let present = Letter::Present(self.formation.present(self.core.last_index()));
-                    let letter = QuorumLetter {
+                    let present =
+                        QuorumBody::Announce(self.formation.present(self.core.last_index()));
+                    let letter = Envelope {
                         from: self.core.id(),
                         to: 0,
                         term: self.core.term(),
@@ -56,16 +57,16 @@
         let Some((role, _)) = self.links.get(&link) else { return };
         match (role, body) {
             (WireRole::Control, Body::Quorum(letter)) => self.letter(now, letter),
-            (WireRole::Control, Body::Beat(beat)) => self.compare(link, &beat),
+            (WireRole::Control, Body::Heartbeat(beat)) => self.compare(link, &beat),
             (_, Body::ViewAck(ack)) => self.publisher.acknowledged(link, ack),
-            (WireRole::Entry, Body::ClaimAsk(ask)) => self.claim(now, link, ask),
+            (WireRole::Entry, Body::ClaimRequest(ask)) => self.claim(now, link, ask),
             (WireRole::Entry, Body::ClaimEnd(end)) => self.end_claim(now, end),
             _ => {}
         }
     }
 
-    pub(super) fn letter(&mut self, now: Millis, letter: QuorumLetter) {
-        if let Some(Letter::Present(present)) = letter.body {
+    pub(super) fn letter(&mut self, now: Millis, letter: Envelope) {
+        if let Some(QuorumBody::Announce(present)) = letter.body {
             self.names.insert(present.member.id, present.member.name.clone());
             self.refuse_older_disk(now, &present);
             self.formation.record_present(present);
@@ -94,7 +95,7 @@
 
     /// Removes a member whose log is shorter than what it has acknowledged: its disk was reset to
     /// an older state, and its votes cannot be trusted.
-    fn refuse_older_disk(&mut self, now: Millis, present: &Present) {
+    fn refuse_older_disk(&mut self, now: Millis, present: &Announce) {
         let id = present.member.id;
         let acknowledged = self.core.acknowledged(id).unwrap_or(0);
         if present.last_index < acknowledged {
@@ -105,7 +106,7 @@
     }
 
     /// Compares the checksum of the state with that of another replica at the same index.
-    pub(super) fn compare(&mut self, link: LinkKey, beat: &Beat) {
+    pub(super) fn compare(&mut self, link: LinkKey, beat: &Heartbeat) {
         let (index, checksum) = self.checksum;
         if index > 0 && beat.snapshot_index == index && beat.checksum != checksum {
             let peer = self.links.get(&link).map(|(_, name)| name.clone());
--- a/crates/pond-control/src/replica/report.rs
+++ b/crates/pond-control/src/replica/report.rs
@@ -12,7 +12,7 @@
         let members = self.core.members().list.iter().map(|member| MemberRow {
             name: member.name.clone(),
             voter: member.voter,
-            leads: Some(member.id) == leader,
+            is_leader: Some(member.id) == leader,
         });
         let version = self.state.version();
         let followers = self.publisher.followers();
@@ -26,12 +26,12 @@
             members: members.collect(),
             version,
             in_force: told - stragglers.len() as u32,
-            told,
+            followers: told,
             stragglers,
             vms_open: self.state.vms().filter(|vm| vm.open()).count() as u32,
             vms: self.state.vms().count() as u32,
             tasks: self.state.tasks().count() as u32,
-            wanting: self.state.incomplete_units().count() as u32,
+            incomplete_units: self.state.incomplete_units().count() as u32,
             claims: self.state.claims().len() as u64,
             checksum: format!("{:08x}", self.state.checksum()),
         }
--- a/crates/pond-entry/src/process.rs
+++ b/crates/pond-entry/src/process.rs
@@ -8,7 +8,7 @@
 use pond_link::Config;
 use pond_log::{Logger, Metrics, event};
 use pond_process::{Error, Threads, listen, read_token};
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::Role;
 use pond_settings::{Process as Settings, Role as SettingsRole};
 use tokio::sync::mpsc;
@@ -41,7 +41,7 @@
         let address = listener.local_addr().unwrap_or(entry.callers);
         let limits = settings.limits;
         let link_config =
-            Config::new(Role::Entry, &settings.name, &settings.data_centre, Life::random())
+            Config::new(Role::Entry, &settings.name, &settings.data_centre, Incarnation::random())
                 .with_limits(limits.frame_bytes, limits.link_queue)
                 .with_token(&read_token(settings)?);
         let metrics =
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -8,7 +8,7 @@
 use pond_follow::{Control, Notification};
 use pond_link::{Config, Event, EventKind, LinkKey, Sender, dial};
 use pond_log::{Logger, Metrics, event};
-use pond_proto::wire::{Body, Content, FateAsk, OfferId, RequestId};
+use pond_proto::wire::{Body, Content, FateRequest, OfferId, RequestId};
 use pond_proto::{Micros, Span};
 use pond_route::{Finish, Output, ProcessKey, Request, Router, Tuning};
 use pond_settings::Replica;
@@ -81,8 +81,11 @@
     let link_config = Arc::new(link_config);
     let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
     let control = Control::start(&replicas, &link_config, &events, log.clone());
-    let router =
-        Router::new(&link_config.hello.data_centre, Tuning::default(), link_config.hello.life);
+    let router = Router::new(
+        &link_config.hello.data_centre,
+        Tuning::default(),
+        link_config.hello.incarnation,
+    );
     let mut route = Route {
         router,
         control,
@@ -126,7 +129,8 @@
     fn submit(&mut self, submission: Submission) {
         let now = self.now();
         self.next_number += 1;
-        let id = RequestId { life: self.link_config.hello.life, number: self.next_number };
+        let id =
+            RequestId { incarnation: self.link_config.hello.incarnation, number: self.next_number };
         self.waiting.insert(id, submission.reply);
         let request = Request {
             id,
@@ -164,7 +168,7 @@
             EventKind::Up { hello, sender, .. } => {
                 link.sender = Some(sender);
                 event!(self.log, LINK_UP, "peer" => hello.name);
-                self.router.link_up(now, process, hello.life);
+                self.router.link_up(now, process, hello.incarnation);
             }
             EventKind::Down(error) => {
                 if link.sender.take().is_some() {
@@ -179,10 +183,10 @@
 
     fn frame(&mut self, now: Micros, process: ProcessKey, body: Body) {
         match body {
-            Body::Refuse(refuse) => self.router.offer_refused(now, process, refuse),
+            Body::Refused(refuse) => self.router.offer_refused(now, process, refuse),
             Body::Answer(answer) => self.router.answered(now, process, answer),
-            Body::Broken(broken) => self.router.answer_lost(now, process, broken.offer),
-            Body::FateTell(tell) => self.router.fate_reported(now, process, tell),
+            Body::AnswerLost(broken) => self.router.answer_lost(now, process, broken.offer),
+            Body::FateReply(tell) => self.router.fate_reported(now, process, tell),
             Body::Leave(leave) => self.router.endpoint_leaving(process, leave.task),
             _ => {}
         }
@@ -227,11 +231,11 @@
                 self.send(process, Body::Revoke(offer));
             }
             Output::AskFate { process, offers } => {
-                self.send(process, Body::FateAsk(FateAsk { offers }));
+                self.send(process, Body::FateRequest(FateRequest { offers }));
             }
             Output::Claim(ask) => {
                 let ticket = ask.ticket;
-                if !self.control.send_to_leader(Body::ClaimAsk(ask)) {
+                if !self.control.send_to_leader(Body::ClaimRequest(ask)) {
                     self.router.claim_failed(self.now(), ticket);
                 }
             }
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -7,7 +7,7 @@
 use pond_link::{Config, Event, EventKind, LinkKey, Sender, dial};
 use pond_log::{Logger, event};
 use pond_proto::view::Delta;
-use pond_proto::wire::{Body, ClaimTell, ViewAck};
+use pond_proto::wire::{Body, ClaimReply, ViewAck};
 use pond_settings::Replica;
 use tokio::sync::mpsc;
 
@@ -26,7 +26,7 @@
     /// An update of the configuration.
     View(Delta),
     /// The decision on a claim.
-    Claim(ClaimTell),
+    Claim(ClaimReply),
     /// The leader was lost or has changed: claims sent so far will not be decided.
     LeaderLost,
 }
@@ -92,9 +92,11 @@
         match event.kind {
             EventKind::Up { sender, .. } => self.link_up(link, sender),
             EventKind::Down(error) => return self.link_down(link, &error),
-            EventKind::Frame(Body::Beat(beat)) => return self.heartbeat(&beat.leader, beat.term),
+            EventKind::Frame(Body::Heartbeat(beat)) => {
+                return self.heartbeat(&beat.leader, beat.term);
+            }
             EventKind::Frame(Body::View(delta)) => return Some(Notification::View(delta)),
-            EventKind::Frame(Body::ClaimTell(tell)) => return Some(Notification::Claim(tell)),
+            EventKind::Frame(Body::ClaimReply(tell)) => return Some(Notification::Claim(tell)),
             EventKind::Frame(_) => {}
         }
         None
@@ -103,7 +105,8 @@
     fn link_up(&mut self, link: LinkKey, sender: Sender) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         event!(self.log, LINK_UP, "peer" => peer.name.clone());
-        sender.send(Body::ViewAck(ViewAck { version: self.version, quiet: self.drained.clone() }));
+        sender
+            .send(Body::ViewAck(ViewAck { version: self.version, drained: self.drained.clone() }));
         peer.sender = Some(sender);
     }
 
@@ -177,7 +180,7 @@
     fn send_acknowledgement(&self, version: u64) {
         for peer in self.peers.values() {
             if let Some(sender) = &peer.sender {
-                sender.send(Body::ViewAck(ViewAck { version, quiet: self.drained.clone() }));
+                sender.send(Body::ViewAck(ViewAck { version, drained: self.drained.clone() }));
             }
         }
     }
--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -138,7 +138,7 @@
         estimate_ms: 1_000,
         image: serving_image(i),
         tail_target_ms: 18,
-        lasting: true,
+        long_running: true,
         ..Step::default()
     }
 }
@@ -150,7 +150,7 @@
         memory_mib: 500,
         estimate_ms: 10_000,
         image: best_effort_image(i),
-        fills: true,
+        best_effort: true,
         ..Step::default()
     }
 }
@@ -193,7 +193,7 @@
         let id = u64::from(worker) * 2 + 1;
         self.submit(SERVING_PREFIX, id, steps);
         let places = (0..SERVING_PER_WORKER)
-            .map(|step| (TaskName { job: id, time: 0, step, index: 0 }, worker));
+            .map(|step| (TaskName { job: id, repetition: 0, step, index: 0 }, worker));
         let mut places: Vec<(TaskName, u32)> = places.collect();
         let id = id + 1;
         self.submit(
@@ -202,7 +202,7 @@
             vec![best_effort_step(worker, BEST_EFFORT_PER_WORKER, 1_000)],
         );
         places.extend((0..BEST_EFFORT_PER_WORKER).map(|index| {
-            (TaskName { job: id, time: 0, step: 0, index }, (worker + index) % self.workers)
+            (TaskName { job: id, repetition: 0, step: 0, index }, (worker + index) % self.workers)
         }));
         let start = |(task, worker): (TaskName, u32)| Start {
             run: RunName { task, number: 1 },
@@ -248,7 +248,7 @@
             let serves = self.state.step(run.task).is_some_and(Step::serves);
             let figure = if serves { 6 } else { 900 } + variation;
             let percent = if serves { 100 } else { 20 };
-            RunRow { run, percent, figure, ..RunRow::default() }
+            RunRow { run, percent, measurement: figure, ..RunRow::default() }
         };
         let incarnation = incarnation(worker);
         Report {
@@ -258,7 +258,7 @@
             milli_cpu: WORKER_MILLI_CPU,
             memory_mib: 128_000,
             clock_ms: self.now.0,
-            answers: true,
+            responsive: true,
             ..Report::default()
         }
     }
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pond_proto::fleet::{EndRow, Report};
-use pond_proto::job::{How, RunName};
+use pond_proto::job::{EndReason, RunName};
 use pond_proto::{Millis, Span};
 
 use super::wait::Wait;
@@ -94,7 +94,7 @@
         // Only the last report contains the ends that it listed.
         let last_report = self.last_reports.remove(incarnation);
         let end = end.or(last_report.as_ref());
-        let left = end.is_some_and(|end| end.left)
+        let left = end.is_some_and(|end| end.deregistered)
             || self.workers.get(incarnation).is_some_and(|worker| worker.draining);
         let logged =
             state.placed(incarnation).next().is_some() || state.last_committed_end(incarnation) > 0;
@@ -250,16 +250,16 @@
                 // sent according to an earlier report may have been sent since and have taken the
                 // worker down.
                 let unsent = row.unsent && end.is_some();
-                let survived_ms = (!unsent).then_some(row.lived_ms.into());
-                let alive_at_start = row.met && end.is_some();
-                let started = !row.unlisted || row.lived_ms > 0;
+                let survived_ms = (!unsent).then_some(row.survived_ms.into());
+                let alive_at_start = row.confirmed_up && end.is_some();
+                let started = !row.unlisted || row.survived_ms > 0;
                 LostRun {
                     run,
                     survived_ms,
                     reported: true,
                     alive_at_start,
                     started,
-                    checkpoint: row.save.clone(),
+                    checkpoint: row.checkpoint.clone(),
                 }
             }
             // If the agent reported the end but not the run, it never received the order to start
@@ -332,8 +332,8 @@
         for end in ends {
             self.unwanted.remove(&end.run);
             match end.how {
-                How::Done => health.record_success(),
-                How::Failed => {
+                EndReason::Done => health.record_success(),
+                EndReason::Failed => {
                     health.record_failure(now, end.run.task.job);
                     self.avoided.entry(end.run.task).or_default().insert(incarnation.to_owned());
                 }
@@ -372,5 +372,5 @@
 }
 
 fn end_from(row: &EndRow) -> End {
-    End { number: row.number, run: row.run, how: row.how(), checkpoint: row.save.clone() }
+    End { number: row.number, run: row.run, how: row.how(), checkpoint: row.checkpoint.clone() }
 }
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -95,10 +95,10 @@
             watches.push(Watch {
                 run,
                 tail_target_ms: step.tail_target_ms,
-                fills: step.fills,
+                best_effort: step.best_effort,
                 image: step.image.clone(),
-                blame_permille: permille(blame),
-                tell_ms: report_after_ms(state, run),
+                interference_permille: permille(blame),
+                report_after_ms: report_after_ms(state, run),
             });
         }
         watches
@@ -123,7 +123,7 @@
             worker: incarnation.to_owned(),
             term: self.term,
             lease_end_ms: worker.clock_ms + self.timing.lease_ms,
-            settled: state.last_committed_end(incarnation),
+            committed: state.last_committed_end(incarnation),
             forget: std::mem::take(&mut worker.forget).into_iter().collect(),
             starts,
             stops: stops(now, worker, &wanted),
@@ -197,8 +197,8 @@
 
 /// Returns whether the agent needs a new watch for a run.
 fn changed(sent: &Watch, watch: &Watch) -> bool {
-    sent.tell_ms != watch.tell_ms
-        || sent.blame_permille.abs_diff(watch.blame_permille) >= BLAME_STEP_PERMILLE
+    sent.report_after_ms != watch.report_after_ms
+        || sent.interference_permille.abs_diff(watch.interference_permille) >= BLAME_STEP_PERMILLE
 }
 
 /// Returns the order to start a run; `None` if its job or its watch is not known.
@@ -211,5 +211,5 @@
     let job = state.job(run.task.job)?;
     let save = job.task(run.task)?.checkpoint.clone();
     let text = job.spec.text.clone();
-    Some(StartOrder { run, text, save, watch: watch?, ticket: ticket.to_owned() })
+    Some(StartOrder { run, text, checkpoint: save, watch: watch?, ticket: ticket.to_owned() })
 }
--- a/crates/pond-job/src/lead/progress.rs
+++ b/crates/pond-job/src/lead/progress.rs
@@ -46,7 +46,7 @@
             let known = worker.progress.get(&row.run);
             // Nothing is known about a worker that does not answer, and one that crashed is healthy
             // once it is back. If its runs counted as stalled, it would be in backoff for 2 to 8 s.
-            let same = known.filter(|known| known.percent == row.percent && report.answers);
+            let same = known.filter(|known| known.percent == row.percent && report.responsive);
             let progress = same.copied().unwrap_or(Progress { percent: row.percent, since: now });
             worker.progress.insert(row.run, progress);
             if is_stalled(state, now, row.run, progress) {
@@ -84,13 +84,13 @@
         return false;
     };
     let elapsed_ms = now.since(progress.since);
-    if step.lasting {
+    if step.long_running {
         return progress.percent < 100 && elapsed_ms >= LONG_RUNNING_START_MS;
     }
     if progress.percent >= 100 {
         return elapsed_ms >= BEST_EFFORT_STALL_MS;
     }
-    let limit_ms = if step.fills { BEST_EFFORT_STALL_MS } else { STALL_MS };
+    let limit_ms = if step.best_effort { BEST_EFFORT_STALL_MS } else { STALL_MS };
     // A hundredth of the work should be visible within a hundredth of the time; slow workers get
     // more.
     elapsed_ms >= limit_ms.max(step.estimate_ms * STALL_ESTIMATE_TENTHS / 10)
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pond_proto::job::{How, Phase, RunName, TaskName};
+use pond_proto::job::{EndReason, Phase, RunName, TaskName};
 
 use super::State;
 use crate::change::{End, Reply, Start};
@@ -18,7 +18,7 @@
     fn place_run(&mut self, start: Start) -> Option<RunName> {
         let name = start.run.task;
         let job = self.jobs.get_mut(&name.job).filter(|job| !job.phase.ended())?;
-        if !job.is_step_ready(name.time as usize, name.step as usize) {
+        if !job.is_step_ready(name.repetition as usize, name.step as usize) {
             return None;
         }
         let task = job.task_mut(name)?;
@@ -78,30 +78,30 @@
         }
     }
 
-    fn apply_end(&mut self, run: RunName, how: How, checkpoint: String) {
+    fn apply_end(&mut self, run: RunName, how: EndReason, checkpoint: String) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         job.begun = true;
         let max_attempts = job.max_attempts;
         let Some(step) = job.step(run.task) else { return };
-        let (lasting, gang) = (step.lasting, step.gang);
+        let (lasting, gang) = (step.long_running, step.gang);
         let Some(task) = job.task_mut(run.task) else { return };
         if !checkpoint.is_empty() {
             task.checkpoint = checkpoint;
         }
         let newest = task.run == run.number;
-        if how == How::Done && newest {
+        if how == EndReason::Done && newest {
             task.suspicion = None;
         }
         // A failure does not clear the task: a worker on which every run fails shows nothing about the task's effect on
         // others.
-        let suspicion = task.suspicion.as_mut().filter(|_| how == How::Failed && newest);
+        let suspicion = task.suspicion.as_mut().filter(|_| how == EndReason::Failed && newest);
         let given_up = suspicion.is_some_and(|suspicion| {
             suspicion.record_failure();
             suspicion.is_culprit()
         });
         match how {
-            How::Done if !lasting => self.complete_task(run.task, gang),
-            How::Failed => {
+            EndReason::Done if !lasting => self.complete_task(run.task, gang),
+            EndReason::Failed => {
                 task.failures += u32::from(!lasting);
                 let exhausted = !lasting && task.failures >= max_attempts;
                 if (exhausted || given_up) && !job.phase.ended() {
@@ -116,7 +116,7 @@
     fn complete_task(&mut self, name: TaskName, gang: bool) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let mut completed = 0;
-        let steps = job.times.get_mut(name.time as usize);
+        let steps = job.times.get_mut(name.repetition as usize);
         let Some(tasks) = steps.and_then(|steps| steps.get_mut(name.step as usize)) else { return };
         for (index, task) in tasks.iter_mut().enumerate() {
             let completes = gang || index == name.index as usize;
--- a/crates/pond-job/tests/advice.rs
+++ b/crates/pond-job/tests/advice.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pond_job::{Decision, Permit, Question};
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, step, task};
 
 /// Answers the newest question: only these workers may run the step.
@@ -68,7 +68,7 @@
     harness.start_ordered("a");
     harness.advance(4, &["a"]);
     let first: RunName = harness.started("a")[0];
-    harness.end("a", first, How::Done);
+    harness.end("a", first, EndReason::Done);
     assert_eq!((harness.questions.len(), harness.started("a").len()), (2, 1));
     allow(&mut harness, &["a"]);
     assert_eq!(harness.started("a").len(), 2);
@@ -132,7 +132,7 @@
 #[test]
 fn adviser_is_asked_about_a_worker_whose_room_is_reserved_for_the_step() {
     let mut harness = Harness::new().with_vm("a", 1_000);
-    harness.submit_advised(1, vec![Step { lasting: true, ..step(1, 1_000) }]);
+    harness.submit_advised(1, vec![Step { long_running: true, ..step(1, 1_000) }]);
     harness.run_until_idle();
     assert_eq!(harness.questions.len(), 1);
     allow(&mut harness, &["a"]);
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -5,7 +5,7 @@
 
 use pond_job::{Change, Decision, Start};
 use pond_proto::fleet::EndRow;
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, SERVING, best_effort, serving, step, task};
 
 /// The accepted limit for a wait, in milliseconds.
@@ -25,7 +25,7 @@
         for (run, row) in &mut vm.runs {
             let serves = run.task.job == SERVING;
             row.percent = if serves { 100 } else { (row.percent + 1).min(99) };
-            row.figure = if serves { tail_ms } else { milli_cpu };
+            row.measurement = if serves { tail_ms } else { milli_cpu };
         }
         harness.report(incarnation);
     }
@@ -43,7 +43,7 @@
     advance(&mut harness, &["a"], 9, 1_600);
     advance(&mut harness, &["a"], 60, 3_200);
     let run = harness.stopped("a")[0];
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     harness.cancel(2);
     advance(&mut harness, &["a"], 6, 0);
     harness
@@ -54,12 +54,12 @@
 }
 
 /// Ends several runs in one report.
-fn end_all(harness: &mut Harness, incarnation: &str, runs: &[RunName], how: How) {
+fn end_all(harness: &mut Harness, incarnation: &str, runs: &[RunName], how: EndReason) {
     let vm = harness.vms.get_mut(incarnation).unwrap();
     for run in runs {
         vm.runs.remove(run);
         let number = vm.ends.len() as u64 + 1;
-        vm.ends.push(EndRow { number, run: *run, how: how as i32, save: String::new() });
+        vm.ends.push(EndRow { number, run: *run, how: how as i32, checkpoint: String::new() });
     }
     harness.report(incarnation);
     harness.run_until_idle();
@@ -94,7 +94,7 @@
     for _ in 0..60 {
         advance(&mut harness, &["a"], 6, 0);
     }
-    harness.end("a", run(9, 0, 1), How::Done);
+    harness.end("a", run(9, 0, 1), EndReason::Done);
     for _ in 0..8 {
         advance(&mut harness, &["a"], 6, 0);
     }
@@ -115,7 +115,7 @@
     for _ in 0..60 {
         advance(&mut harness, &["a"], 6, 0);
     }
-    end_all(&mut harness, "a", &[run(3, 0, 1), run(9, 0, 1)], How::Failed);
+    end_all(&mut harness, "a", &[run(3, 0, 1), run(9, 0, 1)], EndReason::Failed);
     assert!(
         harness.decisions.iter().any(|decision| matches!(decision, Decision::Unhealthy { .. }))
     );
@@ -135,7 +135,7 @@
     }
     harness.run_until_idle();
     advance(&mut harness, &["a"], 0, 0);
-    end_all(&mut harness, "a", &[run(11, 0, 1), run(12, 0, 1)], How::Failed);
+    end_all(&mut harness, "a", &[run(11, 0, 1), run(12, 0, 1)], EndReason::Failed);
     harness.cancel(11);
     harness.cancel(12);
     harness.submit(13, vec![Step { estimate_ms: 600_000, ..step(1, 1_000) }]);
@@ -167,11 +167,12 @@
 fn worker_that_is_probed_for_long_takes_work_although_a_full_healthy_one_exists() {
     let mut harness = probed_for_long();
     harness.add_vm("b", 4_000);
-    harness.submit(20, vec![Step { lasting: true, data_rack: String::new(), ..step(1, 4_000) }]);
+    harness
+        .submit(20, vec![Step { long_running: true, data_rack: String::new(), ..step(1, 4_000) }]);
     harness.run_until_idle();
     // The long-running task may have gone to either worker; make sure that `b` is full.
     if harness.worker_of(task(20, 0, 0)).as_deref() != Some("b") {
-        harness.submit(21, vec![Step { lasting: true, ..step(1, 4_000) }]);
+        harness.submit(21, vec![Step { long_running: true, ..step(1, 4_000) }]);
         harness.run_until_idle();
     }
     let b_is_full =
@@ -187,10 +188,10 @@
 #[test]
 fn reserved_room_holds_others_back_within_the_bound() {
     let mut harness = Harness::new().with_vm("a", 16_000).with_vm("b", 16_000);
-    harness.submit(30, vec![Step { estimate_ms: 600_000, most_per_worker: 1, ..step(2, 7_000) }]);
+    harness.submit(30, vec![Step { estimate_ms: 600_000, max_per_worker: 1, ..step(2, 7_000) }]);
     harness.run_until_idle();
     advance(&mut harness, &["a", "b"], 0, 0);
-    harness.submit(31, vec![Step { lasting: true, ..step(2, 9_500) }]);
+    harness.submit(31, vec![Step { long_running: true, ..step(2, 9_500) }]);
     harness.submit(32, vec![step(1, 4_000)]);
     let waited_ms = waits_ms(&mut harness, &["a", "b"], 32);
     assert!(waited_ms <= MAX_WAIT_MS, "{waited_ms}");
@@ -224,7 +225,7 @@
     for incarnation in &incarnations {
         harness.add_vm(incarnation, 32_000);
     }
-    let each = Step { tasks: 60, most_per_worker: 1, milli_cpu: 12_000, ..serving() };
+    let each = Step { tasks: 60, max_per_worker: 1, milli_cpu: 12_000, ..serving() };
     harness.submit(50, vec![each]);
     harness.run_until_idle();
     for job in 100..900 {
@@ -331,7 +332,7 @@
     let first = Start { run: run(9, 0, 1), worker: "a".into(), agent: "agent-of-a".into() };
     harness.apply(Change::Start(vec![first]));
     advance(&mut harness, &["a"], 6, 0);
-    end_all(&mut harness, "a", &[run(9, 0, 1)], How::Failed);
+    end_all(&mut harness, "a", &[run(9, 0, 1)], EndReason::Failed);
     let from = harness.now;
     while starved_ms(&harness, 9).is_empty() {
         assert!(harness.now.since(from) < 60_000, "no forced placement within a minute");
--- a/crates/pond-job/tests/interference.rs
+++ b/crates/pond-job/tests/interference.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pond_job::Decision;
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, best_effort, serving, task};
 
 /// Returns a worker with a running serving task of job 1, and best-effort runs of jobs 2 and on.
@@ -29,7 +29,7 @@
     for (run, row) in &mut vm.runs {
         row.percent = if run.task.job == 1 { 100 } else { 20 };
         let figure = figures.iter().find(|(job, _)| *job == run.task.job);
-        row.figure = figure.map_or(0, |(_, figure)| *figure);
+        row.measurement = figure.map_or(0, |(_, figure)| *figure);
     }
     harness.report(incarnation);
     harness.run_until_idle();
@@ -46,7 +46,7 @@
     let mut harness = colocated(&["noisy"]);
     interfere(&mut harness);
     let run = harness.stopped("a")[0];
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     (harness, run)
 }
 
@@ -76,7 +76,7 @@
     harness.now = harness.now + 500;
     let tail =
         harness.vms.get_mut("a").unwrap().runs.values_mut().find(|row| row.run.task.job == 1);
-    tail.unwrap().figure = 60;
+    tail.unwrap().measurement = 60;
     harness.report("a");
     harness.run_until_idle();
     assert!(moved(&harness).is_empty());
@@ -110,7 +110,7 @@
     interfere(&mut harness);
     let run = harness.stopped("a")[0];
     harness.add_vm("b", 32_000);
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     assert_eq!(harness.worker_of(run.task).as_deref(), Some("b"));
 }
 
--- a/crates/pond-job/tests/placement.rs
+++ b/crates/pond-job/tests/placement.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pond_proto::job::{How, Step, TaskName};
+use pond_proto::job::{EndReason, Step, TaskName};
 use support::{Harness, SERVING, best_effort, serving, step, task};
 
 #[test]
@@ -41,9 +41,9 @@
     harness.run_until_idle();
     harness.start_ordered("a");
     let runs = harness.started("a");
-    harness.end("a", runs[0], How::Done);
+    harness.end("a", runs[0], EndReason::Done);
     assert_eq!(harness.worker_of(task(1, 1, 0)), None);
-    harness.end("a", runs[1], How::Done);
+    harness.end("a", runs[1], EndReason::Done);
     assert_eq!(harness.worker_of(task(1, 1, 0)).as_deref(), Some("a"));
 }
 
@@ -60,7 +60,7 @@
 #[test]
 fn step_limit_per_worker_is_kept() {
     let mut harness = Harness::new().with_vm("a", 1_000).with_vm("b", 1_000);
-    harness.submit(1, vec![Step { most_per_worker: 1, ..step(3, 100) }]);
+    harness.submit(1, vec![Step { max_per_worker: 1, ..step(3, 100) }]);
     harness.run_until_idle();
     assert_eq!((harness.started("a").len(), harness.started("b").len()), (1, 1));
 }
@@ -101,12 +101,12 @@
     let mut harness = Harness::new().with_vm("a", 4_000);
     harness.submit_batch(1, vec![step(40, 500)]);
     harness.run_until_idle();
-    harness.submit(2, vec![Step { lasting: true, ..step(1, 3_000) }]);
+    harness.submit(2, vec![Step { long_running: true, ..step(1, 3_000) }]);
     harness.run_until_idle();
     for _ in 0..8 {
         harness.start_ordered("a");
         let run = harness.vms["a"].runs.keys().find(|run| run.task.job == 1).copied();
-        harness.end("a", run.unwrap(), How::Done);
+        harness.end("a", run.unwrap(), EndReason::Done);
     }
     assert_eq!(harness.worker_of(task(2, 0, 0)).as_deref(), Some("a"));
 }
@@ -114,7 +114,7 @@
 #[test]
 fn worker_with_long_running_runs_is_probed_after_failures() {
     let mut harness = Harness::new().with_vm("a", 4_000);
-    harness.submit(1, vec![Step { lasting: true, ..step(1, 500) }]);
+    harness.submit(1, vec![Step { long_running: true, ..step(1, 500) }]);
     harness.run_until_idle();
     harness.start_ordered("a");
     for job in 2..4 {
@@ -122,7 +122,7 @@
         harness.run_until_idle();
         harness.start_ordered("a");
         let run = harness.vms["a"].runs.keys().find(|run| run.task.job == job).copied();
-        harness.end("a", run.unwrap(), How::Failed);
+        harness.end("a", run.unwrap(), EndReason::Failed);
     }
     harness.advance(10, &["a"]);
     harness.start_ordered("a");
@@ -133,7 +133,7 @@
 /// them.
 #[test]
 fn similar_groups_are_ranked_separately_where_their_own_tasks_decide() {
-    let limited = Step { most_per_worker: 1, ..step(2, 100) };
+    let limited = Step { max_per_worker: 1, ..step(2, 100) };
     let gang = |tasks| Step { gang: true, ..step(tasks, 400) };
     let cases: [(&str, [Step; 2], TaskName); 2] = [
         ("each step has its own bound on a worker", [limited.clone(), limited], task(2, 0, 0)),
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -119,7 +119,7 @@
             if let Some(other) = tasks.insert(name.task, worker.incarnation.clone()) {
                 violations.push(format!("{name} runs on {} and on {other}", worker.incarnation));
             }
-            if run.step.lasting {
+            if run.step.long_running {
                 last_ran.push(name.task);
             }
         }
@@ -200,7 +200,7 @@
         for (id, job) in self.state.active().filter(|(_, job)| !job.phase.ended()) {
             for (step_index, step) in job.spec.steps.iter().enumerate() {
                 let idle = !long_running_only && !jobs_running.contains(&id);
-                if !(idle || step.lasting)
+                if !(idle || step.long_running)
                     || !job.is_step_ready(0, step_index)
                     || !self.fits_twice(id, step)
                 {
@@ -213,7 +213,7 @@
                     if idle {
                         waiting.push(Waiter::Job(id));
                     }
-                    if step.lasting && !running.contains(&task) && self.is_overdue(task) {
+                    if step.long_running && !running.contains(&task) && self.is_overdue(task) {
                         waiting.push(Waiter::Task(task));
                     }
                 }
@@ -359,7 +359,7 @@
 /// Returns the tasks of a step that are not done.
 fn open_tasks(id: u64, job: &Job, step: usize) -> Vec<TaskName> {
     let tasks = job.times[0][step].iter().enumerate().filter(|(_, task)| !task.done);
-    let name = |index| TaskName { job: id, time: 0, step: step as u32, index };
+    let name = |index| TaskName { job: id, repetition: 0, step: step as u32, index };
     tasks.map(|(index, _)| name(index as u32)).collect()
 }
 
@@ -374,12 +374,12 @@
     let capacity = |free: u32, needed: u32| free.checked_div(needed).unwrap_or(unlimited);
     let room =
         capacity(free.milli_cpu, size.milli_cpu).min(capacity(free.memory_mib, size.memory_mib));
-    if step.most_per_worker == 0 {
+    if step.max_per_worker == 0 {
         return room;
     }
     let same_step =
         worker.runs.iter().filter(|(name, run)| name.task.job == id && run.step == *step);
-    room.min(step.most_per_worker.saturating_sub(same_step.count() as u32))
+    room.min(step.max_per_worker.saturating_sub(same_step.count() as u32))
 }
 
 /// Returns whether a decision is about a job.
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -4,7 +4,7 @@
 
 use pond_agent::{Call, Refusal, Reply};
 use pond_proto::fleet::{EndRow, RunRow};
-use pond_proto::job::{How, RunName, Step, TaskName};
+use pond_proto::job::{EndReason, RunName, Step, TaskName};
 use pond_proto::{Millis, Size, Span};
 
 use super::workload::Workload;
@@ -125,7 +125,7 @@
                 Some(self.start(now, workload, call))
             }
             Call::Stop { run } => {
-                self.end(*run, How::Stopped);
+                self.end(*run, EndReason::Stopped);
                 let ended = self.ended.entry(run.task).or_default();
                 *ended = run.number.max(*ended);
                 Some(Reply::Done)
@@ -185,13 +185,13 @@
         Reply::Done
     }
 
-    fn end(&mut self, name: RunName, how: How) {
+    fn end(&mut self, name: RunName, how: EndReason) {
         let Some(run) = self.runs.remove(&name) else { return };
         let save = run.checkpoint();
         self.last_end += 1;
         let ended = self.ended.entry(name.task).or_default();
         *ended = name.number.max(*ended);
-        let end = EndRow { number: self.last_end, run: name, how: how as i32, save };
+        let end = EndRow { number: self.last_end, run: name, how: how as i32, checkpoint: save };
         self.ends.push(end);
     }
 
@@ -229,7 +229,7 @@
             if let Some(how) = run.end_reason(*name, now, complete_gangs, self.health) {
                 ends.push((*name, how));
             } else if lease_expired {
-                ends.push((*name, How::Lapsed));
+                ends.push((*name, EndReason::Lapsed));
             }
         }
         for (name, how) in ends {
@@ -254,9 +254,9 @@
                 requested
             }
         };
-        let others: f64 = self.runs.iter().filter(|(_, run)| !run.step.fills).map(used).sum();
+        let others: f64 = self.runs.iter().filter(|(_, run)| !run.step.best_effort).map(used).sum();
         let requested: f64 =
-            self.runs.values().filter(|run| run.step.fills).map(Run::requested).sum();
+            self.runs.values().filter(|run| run.step.best_effort).map(Run::requested).sum();
         ((f64::from(self.room.milli_cpu) - others).max(0.0) / requested.max(1.0)).min(1.0)
     }
 
@@ -266,13 +266,19 @@
         let row = |(name, run): (&RunName, &Run)| {
             let figure = if run.step.serves() {
                 self.tail_ms(workload, now, *name, run, rate)
-            } else if run.step.fills {
+            } else if run.step.best_effort {
                 (run.requested() * rate) as u32
             } else {
                 run.step.milli_cpu
             };
             let percent = run.percent(now, self.health);
-            RunRow { run: *name, save: run.checkpoint(), percent, figure, ..RunRow::default() }
+            RunRow {
+                run: *name,
+                checkpoint: run.checkpoint(),
+                percent,
+                measurement: figure,
+                ..RunRow::default()
+            }
         };
         self.runs.iter().map(row).collect()
     }
@@ -288,7 +294,7 @@
         rate: f64,
     ) -> u32 {
         let mut utilization = Worker::load(workload, name, now);
-        for other in self.runs.values().filter(|other| other.step.fills) {
+        for other in self.runs.values().filter(|other| other.step.best_effort) {
             let share = other.requested() * rate / f64::from(self.room.milli_cpu);
             utilization += workload.interference(&run.step.image, &other.step.image) * share;
         }
@@ -318,7 +324,7 @@
     ) {
         self.gang_complete |= complete_gangs.contains(&gang_of(name));
         let works = !self.step.gang || self.gang_complete;
-        let rate = if self.step.fills { rate * self.pace } else { 1.0 };
+        let rate = if self.step.best_effort { rate * self.pace } else { 1.0 };
         if works {
             self.worked_ms += span as f64 * rate;
         }
@@ -330,26 +336,26 @@
         now: Millis,
         complete_gangs: &CompleteGangs,
         health: Health,
-    ) -> Option<How> {
+    ) -> Option<EndReason> {
         let age = now.since(self.began);
         let gang = self.step.gang;
         if health == Health::Failing && age >= FAILURE_MS {
-            Some(How::Failed)
+            Some(EndReason::Failed)
         } else if gang && self.gang_complete && !complete_gangs.contains(&gang_of(name)) {
-            Some(How::Broken)
+            Some(EndReason::Broken)
         } else if gang && !self.gang_complete && age >= GANG_TIMEOUT_MS {
-            Some(How::Alone)
+            Some(EndReason::Alone)
         } else if self.always_fails && self.worked_ms * 2.0 >= self.total_ms {
-            Some(How::Failed)
-        } else if !self.step.lasting && self.worked_ms >= self.total_ms {
-            Some(How::Done)
+            Some(EndReason::Failed)
+        } else if !self.step.long_running && self.worked_ms >= self.total_ms {
+            Some(EndReason::Done)
         } else {
             None
         }
     }
 
     fn percent(&self, now: Millis, health: Health) -> u32 {
-        if self.step.lasting {
+        if self.step.long_running {
             let warm = now.since(self.began) >= WARM_UP_MS && health != Health::Stalled;
             return if warm { 100 } else { 0 };
         }
@@ -358,6 +364,10 @@
 
     fn checkpoint(&self) -> String {
         let part = (self.worked_ms * 1_000.0 / self.total_ms).min(1_000.0) as u32;
-        if self.step.saves && !self.step.lasting { part.to_string() } else { String::new() }
+        if self.step.checkpoints && !self.step.long_running {
+            part.to_string()
+        } else {
+            String::new()
+        }
     }
 }
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -14,7 +14,7 @@
 
 mod support;
 
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, SERVING, best_effort, serving, step};
 
 /// The accepted limit for a job that is starved while most of the room is free, in milliseconds.
@@ -44,7 +44,7 @@
     for (run, row) in &mut vm.runs {
         let serves = run.task.job == SERVING;
         row.percent = if serves { 100 } else { (row.percent + 1).min(99) };
-        row.figure = if serves { figures.tail_ms } else { figures.milli_cpu };
+        row.measurement = if serves { figures.tail_ms } else { figures.milli_cpu };
     }
     harness.report("a");
     harness.run_until_idle();
@@ -62,7 +62,7 @@
     advance(&mut harness, Figures { tail_ms: 9, milli_cpu: 1_600 });
     advance(&mut harness, Figures { tail_ms: 60, milli_cpu: 3_200 });
     let run = harness.stopped("a")[0];
-    harness.end("a", run, How::Stopped);
+    harness.end("a", run, EndReason::Stopped);
     harness.cancel(2);
     advance(&mut harness, IDLE);
     harness
@@ -96,7 +96,7 @@
             advance(harness, IDLE);
         }
         for run in placed.into_iter().filter(|_| run_end == RunEnd::Done) {
-            harness.end("a", run, How::Done);
+            harness.end("a", run, EndReason::Done);
         }
     }
     60_000
@@ -135,7 +135,7 @@
 fn jobs_take_turns_while_room_is_scarce() {
     let mut harness = with_known_interference();
     // Three quarters of the processors are requested now.
-    harness.submit(2_000, vec![Step { lasting: true, ..step(2, 8_000) }]);
+    harness.submit(2_000, vec![Step { long_running: true, ..step(2, 8_000) }]);
     advance(&mut harness, IDLE);
     for job in 3..10 {
         harness.submit_batch(job, vec![best_effort("noisy", 40)]);
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -4,7 +4,7 @@
 
 use pond_job::State;
 use pond_proto::fleet::{EndRow, Report, RunRow};
-use pond_proto::job::{How, Phase, RunName, TaskName};
+use pond_proto::job::{EndReason, Phase, RunName, TaskName};
 use pond_proto::{Millis, Span};
 
 use super::Harness;
@@ -193,7 +193,13 @@
         let end = machine.down.map_or(self.harness.now, |(since, _)| since);
         let row = |(run, began): (&RunName, &Millis)| {
             let lived_ms = end.since(*began) as u32;
-            RunRow { run: *run, percent: 10, lived_ms, met: true, ..RunRow::default() }
+            RunRow {
+                run: *run,
+                percent: 10,
+                survived_ms: lived_ms,
+                confirmed_up: true,
+                ..RunRow::default()
+            }
         };
         machine.runs.iter().map(row).collect()
     }
@@ -202,7 +208,8 @@
     fn report(&mut self, index: usize) {
         let (incarnation, now) = (self.machines[index].incarnation(index), self.harness.now);
         let state = &self.harness.state;
-        let is_long_running = |run: &RunName| state.step(run.task).is_some_and(|step| step.lasting);
+        let is_long_running =
+            |run: &RunName| state.step(run.task).is_some_and(|step| step.long_running);
         let done = |run: &RunName, began: &mut Millis| {
             now.since(*began) >= WORK_MS && !is_long_running(run)
         };
@@ -213,7 +220,12 @@
         vm.clock_ms += REPORT_MS;
         for run in ended_runs {
             let number = vm.ends.len() as u64 + 1;
-            vm.ends.push(EndRow { number, run, how: How::Done as i32, save: String::new() });
+            vm.ends.push(EndRow {
+                number,
+                run,
+                how: EndReason::Done as i32,
+                checkpoint: String::new(),
+            });
         }
         vm.runs = rows.into_iter().map(|row| (row.run, row)).collect();
         self.harness.report(&incarnation);
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -12,7 +12,7 @@
 };
 use pond_proto::Millis;
 use pond_proto::fleet::{EndRow, Order, Report, RunRow, StartOrder};
-use pond_proto::job::{How, Phase, RunName, Spec, Step, TaskName};
+use pond_proto::job::{EndReason, Phase, RunName, Spec, Step, TaskName};
 
 pub const HOST: &str = "jobs.example";
 pub const PATH: &str = "/quick/";
@@ -52,7 +52,7 @@
 }
 
 pub fn task(job: u64, step: u32, index: u32) -> TaskName {
-    TaskName { job, time: 0, step, index }
+    TaskName { job, repetition: 0, step, index }
 }
 
 /// The serving job in tests of co-located best-effort work.
@@ -61,12 +61,12 @@
 /// A serving step with a tail latency target of 18 ms, on a quarter of a worker with 32 processors.
 pub fn serving() -> Step {
     let image = "till".to_owned();
-    Step { lasting: true, image, tail_target_ms: 18, ..step(1, 8_000) }
+    Step { long_running: true, image, tail_target_ms: 18, ..step(1, 8_000) }
 }
 
 /// Best-effort tasks of an image, each of which requests a tenth of such a worker.
 pub fn best_effort(image: &str, tasks: u32) -> Step {
-    Step { fills: true, image: image.to_owned(), ..step(tasks, 3_200) }
+    Step { best_effort: true, image: image.to_owned(), ..step(tasks, 3_200) }
 }
 
 /// A worker and its agent as the leader sees them.
@@ -206,7 +206,7 @@
             data_centre: vm.data_centre.clone(),
             draining: vm.draining,
             clock_ms: vm.clock_ms,
-            answers: vm.answers,
+            responsive: vm.answers,
             runs: vm.runs.values().cloned().collect(),
             ends: vm.ends.clone(),
             unstarted: vm.unstarted.clone(),
@@ -304,15 +304,21 @@
     }
 
     /// Ends a run on a worker, which reports it.
-    pub fn end(&mut self, incarnation: &str, run: RunName, how: How) {
+    pub fn end(&mut self, incarnation: &str, run: RunName, how: EndReason) {
         self.end_with_checkpoint(incarnation, run, how, "");
     }
 
-    pub fn end_with_checkpoint(&mut self, incarnation: &str, run: RunName, how: How, save: &str) {
+    pub fn end_with_checkpoint(
+        &mut self,
+        incarnation: &str,
+        run: RunName,
+        how: EndReason,
+        save: &str,
+    ) {
         let Some(vm) = self.vms.get_mut(incarnation) else { return };
         vm.runs.remove(&run);
         let number = vm.ends.len() as u64 + 1;
-        vm.ends.push(EndRow { number, run, how: how as i32, save: save.to_owned() });
+        vm.ends.push(EndRow { number, run, how: how as i32, checkpoint: save.to_owned() });
         self.report(incarnation);
         self.run_until_idle();
     }
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -5,7 +5,7 @@
 
 use pond_job::{Blame, Change, End, Start, State, Suspicion, Task, Verdict};
 use pond_proto::fleet::{Report, RunRow};
-use pond_proto::job::{How, Phase, RunName, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Step};
 use pond_proto::{Millis, Span};
 use support::{HOST, Harness, PATH, configuration, spec, step, task};
 
@@ -128,7 +128,7 @@
 
 #[test]
 fn long_running_task_is_given_up_as_well() {
-    let mut state = state(vec![Step { lasting: true, ..step(1, 100) }]);
+    let mut state = state(vec![Step { long_running: true, ..step(1, 100) }]);
     lose(&mut state, &[Verdict::Suspected, Verdict::Proven, Verdict::Proven]);
     assert_eq!(phase(&state), Phase::Failed);
 }
@@ -144,7 +144,7 @@
     assert_eq!(suspicion(&state).map(|suspicion| suspicion.losses), Some(1));
 }
 
-fn end(state: &mut State, number: u32, how: How) {
+fn end(state: &mut State, number: u32, how: EndReason) {
     let end = End { number: 1, run: run(number), how, checkpoint: String::new() };
     let worker = format!("worker-{number}");
     state.apply(Change::Ended { worker, ends: vec![end], unstarted: vec![] });
@@ -162,7 +162,7 @@
 
     state.apply(loss(2, Verdict::Suspected));
     start(&mut state, 3);
-    end(&mut state, 3, How::Done);
+    end(&mut state, 3, EndReason::Done);
     assert_eq!(suspicion(&state), None);
 }
 
@@ -175,7 +175,7 @@
     let mut state = state(vec![step(1, 100)]);
     lose(&mut state, &[Suspected, Suspected, Proven]);
     start(&mut state, 4);
-    end(&mut state, 4, How::Failed);
+    end(&mut state, 4, EndReason::Failed);
     assert_eq!(
         suspicion(&state).map(|suspicion| (suspicion.losses, suspicion.failed_starts)),
         Some((3, 4))
@@ -243,13 +243,18 @@
 ) {
     let row = |(run, lived_ms): &(RunName, u32)| RunRow {
         run: *run,
-        lived_ms: *lived_ms,
-        met,
+        survived_ms: *lived_ms,
+        confirmed_up: met,
         ..RunRow::default()
     };
     let runs = runs.iter().map(row).collect();
-    let report =
-        Report { worker: incarnation.to_owned(), gone: true, left, runs, ..Report::default() };
+    let report = Report {
+        worker: incarnation.to_owned(),
+        gone: true,
+        deregistered: left,
+        runs,
+        ..Report::default()
+    };
     let (link, agent) = (harness.vms[incarnation].link, harness.vms[incarnation].agent.clone());
     harness.leader.report(&harness.state, harness.now, link, &agent, report);
     harness.run_until_idle();
--- a/crates/pond-job/tests/unhealthy.rs
+++ b/crates/pond-job/tests/unhealthy.rs
@@ -4,7 +4,7 @@
 
 use pond_job::{Decision, Permit};
 use pond_proto::fleet::EndRow;
-use pond_proto::job::{How, RunName, Step};
+use pond_proto::job::{EndReason, RunName, Step};
 use support::{Harness, step, task};
 
 /// The accepted limit for a wait, in milliseconds.
@@ -44,8 +44,8 @@
     for run in runs {
         vm.runs.remove(run);
         let number = vm.ends.len() as u64 + 1;
-        let how = How::Failed as i32;
-        vm.ends.push(EndRow { number, run: *run, how, save: String::new() });
+        let how = EndReason::Failed as i32;
+        vm.ends.push(EndRow { number, run: *run, how, checkpoint: String::new() });
     }
     harness.report(incarnation);
     harness.run_until_idle();
@@ -103,7 +103,7 @@
         harness.cancel(job);
     }
     harness.add_vm("b", 4_000);
-    harness.submit(30, vec![Step { lasting: true, ..step(1, 4_000) }]);
+    harness.submit(30, vec![Step { long_running: true, ..step(1, 4_000) }]);
     harness.run_until_idle();
     assert_eq!(harness.worker_of(task(30, 0, 0)).as_deref(), Some("b"));
     harness.submit(31, vec![step(1, 2_000)]);
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -6,7 +6,7 @@
 use pond_job::{Change, Decision, Leader, Output, State};
 use pond_proto::Span;
 use pond_proto::fleet::EndRow;
-use pond_proto::job::{How, Phase, RunName, Step};
+use pond_proto::job::{EndReason, Phase, RunName, Step};
 use support::{Harness, step, task, timing};
 
 /// Step of the simulated clock, in milliseconds.
@@ -145,8 +145,8 @@
     vm.ends.push(EndRow {
         number: 1,
         run: run(1, 0, 1),
-        how: How::Done as i32,
-        save: String::new(),
+        how: EndReason::Done as i32,
+        checkpoint: String::new(),
     });
     harness.report("a");
     harness.run_until_idle_dropping(|change| matches!(change, Change::Ended { .. }));
@@ -175,8 +175,8 @@
         vm.clock_ms += 500;
         vm.runs.remove(&run(1, index, 1));
         let number = u64::from(index);
-        let how = How::Done as i32;
-        vm.ends.push(EndRow { number, run: run(1, index, 1), how, save: String::new() });
+        let how = EndReason::Done as i32;
+        vm.ends.push(EndRow { number, run: run(1, index, 1), how, checkpoint: String::new() });
         harness.report("a");
         harness.run_until_idle();
     }
@@ -205,8 +205,8 @@
     let end = |number: u64, index: u32| EndRow {
         number,
         run: run(1, index, 1),
-        how: How::Done as i32,
-        save: String::new(),
+        how: EndReason::Done as i32,
+        checkpoint: String::new(),
     };
     let vm = harness.vms.get_mut("a").unwrap();
     vm.runs.remove(&run(1, 0, 1));
@@ -254,7 +254,7 @@
 
 #[test]
 fn new_leader_places_finite_tasks_after_200_ms_and_serving_ones_after_one_second() {
-    let serving = Step { lasting: true, tail_target_ms: 50, ..step(1, 100) };
+    let serving = Step { long_running: true, tail_target_ms: 50, ..step(1, 100) };
     for (waiting, known, longest) in
         [(step(1, 100), false, 300), (serving.clone(), true, 450), (serving, false, 1_050)]
     {
@@ -279,7 +279,8 @@
 
 #[test]
 fn long_running_task_that_fits_nowhere_holds_no_other_back() {
-    let long_running = |milli_cpu| Step { lasting: true, tail_target_ms: 50, ..step(1, milli_cpu) };
+    let long_running =
+        |milli_cpu| Step { long_running: true, tail_target_ms: 50, ..step(1, milli_cpu) };
     let mut harness = Harness::new().with_vm("a", 1_000);
     harness.submit(1, vec![long_running(5_000)]);
     harness.advance(3, &["a"]);
@@ -318,7 +319,7 @@
         harness.start_ordered("a");
         for index in order {
             assert_eq!(harness.worker_of(task(1, 1, 0)), None);
-            harness.end("a", run(1, index, 1), How::Done);
+            harness.end("a", run(1, index, 1), EndReason::Done);
             // The same end is reported again.
             harness.report("a");
             harness.run_until_idle();
@@ -339,8 +340,8 @@
         .map(|index| EndRow {
             number: u64::from(index) + 1,
             run: run(1, index, 1),
-            how: How::Done as i32,
-            save: String::new(),
+            how: EndReason::Done as i32,
+            checkpoint: String::new(),
         })
         .collect();
     harness.vms.get_mut("a").unwrap().runs.clear();
@@ -373,8 +374,8 @@
     vm.ends.push(EndRow {
         number: 1,
         run: run(1, 0, 1),
-        how: How::Done as i32,
-        save: String::new(),
+        how: EndReason::Done as i32,
+        checkpoint: String::new(),
     });
     vm.clock_ms += 7_000;
     harness.report("a");
@@ -385,8 +386,8 @@
     vm.ends.push(EndRow {
         number: 2,
         run: run(1, 1, 1),
-        how: How::Lapsed as i32,
-        save: String::new(),
+        how: EndReason::Lapsed as i32,
+        checkpoint: String::new(),
     });
     harness.advance(2, &["a"]);
     let tasks: Vec<(bool, u32)> = [0, 1]
--- a/crates/pond-link/src/config.rs
+++ b/crates/pond-link/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pond_proto::Life;
+use pond_proto::Incarnation;
 use pond_proto::wire::{Hello, Role, VERSION};
 
 /// Identity of a process towards its peers, with the limits and timeouts of its links.
@@ -24,12 +24,12 @@
 
 impl Config {
     /// Creates a configuration with default limits and without a token.
-    pub fn new(role: Role, name: &str, data_centre: &str, incarnation: Life) -> Config {
+    pub fn new(role: Role, name: &str, data_centre: &str, incarnation: Incarnation) -> Config {
         let hello = Hello {
             version: VERSION,
             role: role as i32,
             name: name.to_owned(),
-            life: incarnation.0,
+            incarnation: incarnation.0,
             data_centre: data_centre.to_owned(),
             token: String::new(),
             address: String::new(),
--- a/crates/pond-link/tests/invalid_peers.rs
+++ b/crates/pond-link/tests/invalid_peers.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use pond_link::{Config, Error, Event, EventKind, accept};
-use pond_proto::Life;
-use pond_proto::wire::{Beat, Body, Frame, Hello, Role, VERSION};
+use pond_proto::Incarnation;
+use pond_proto::wire::{Body, Frame, Heartbeat, Hello, Role, VERSION};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
 fn config() -> Config {
-    Config::new(Role::Endpoint, "endpoint", "here", Life(1))
+    Config::new(Role::Endpoint, "endpoint", "here", Incarnation(1))
         .with_limits(4096, 16)
         .with_token("secret")
         .with_heartbeat(Duration::from_millis(50), Duration::from_millis(300))
@@ -24,7 +24,7 @@
         version: VERSION,
         role: Role::Entry as i32,
         name: "entry".to_owned(),
-        life: 2,
+        incarnation: 2,
         token: "secret".to_owned(),
         ..Hello::default()
     }
@@ -68,7 +68,7 @@
     assert!(matches!(error, Error::Version { theirs: 99, .. }), "{error}");
     let other_token = Body::Hello(Hello { token: "guess".to_owned(), ..hello() });
     assert!(matches!(error_after(framed(other_token)).await, Error::Token));
-    let no_hello = Body::Beat(Beat { term: 7, ..Beat::default() });
+    let no_hello = Body::Heartbeat(Heartbeat { term: 7, ..Heartbeat::default() });
     assert!(matches!(error_after(framed(no_hello)).await, Error::NoHello));
 }
 
@@ -124,8 +124,9 @@
         panic!("the link is not up")
     };
     // The runtime is single-threaded: the writer does not run before the next await.
-    let sent =
-        (0..100).filter(|term| sender.send(Body::Beat(Beat { term: term + 1, ..Beat::default() })));
+    let sent = (0..100).filter(|term| {
+        sender.send(Body::Heartbeat(Heartbeat { term: term + 1, ..Heartbeat::default() }))
+    });
     assert_eq!(sent.count(), 16);
     let mut read = vec![0; 64];
     assert!(stream.read(&mut read).await.expect("reads") > 0);
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use pond_link::{Config, Error, Event, EventKind, LinkKey, Sender, accept, dial};
-use pond_proto::Life;
-use pond_proto::wire::{Beat, Body, Role};
+use pond_proto::Incarnation;
+use pond_proto::wire::{Body, Heartbeat, Role};
 use pond_test::{Blackhole, BlackholeProxy};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -43,12 +43,12 @@
 
     fn send(&self, term: u64) {
         let (_, sender) = self.up.as_ref().expect("it is up");
-        assert!(sender.send(Body::Beat(Beat { term, ..Beat::default() })));
+        assert!(sender.send(Body::Heartbeat(Heartbeat { term, ..Heartbeat::default() })));
     }
 
     async fn expect_frame(&mut self, term: u64) {
         match self.event().await.kind {
-            EventKind::Frame(Body::Beat(beat)) => assert_eq!(beat.term, term),
+            EventKind::Frame(Body::Heartbeat(beat)) => assert_eq!(beat.term, term),
             other => panic!("no frame: {other:?}"),
         }
     }
@@ -80,7 +80,7 @@
 
 fn config(role: Role, incarnation: u64) -> Arc<Config> {
     Arc::new(
-        Config::new(role, "name", "here", Life(incarnation))
+        Config::new(role, "name", "here", Incarnation(incarnation))
             .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
     )
 }
@@ -154,7 +154,7 @@
 fn send_continuously(end: &End) -> tokio::task::JoinHandle<()> {
     let (_, sender) = end.up.clone().expect("it is up");
     tokio::spawn(async move {
-        while sender.send(Body::Beat(Beat { term: 5, ..Beat::default() })) {
+        while sender.send(Body::Heartbeat(Heartbeat { term: 5, ..Heartbeat::default() })) {
             tokio::time::sleep(HEARTBEAT_INTERVAL / 5).await;
         }
     })
--- a/crates/pond-proto/src/lib.rs
+++ b/crates/pond-proto/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared types of every pondbay process.
+//! Types shared by all pondbay processes, and the messages between them.
 //!
-//! The bottom crate: it depends on no other pondbay crate, does no I/O and reads no clock.
+//! This is the lowest crate: it depends on no other pondbay crate, does no I/O and reads no clock.
 
 mod key;
 mod label;
@@ -19,7 +19,7 @@
 pub mod view;
 pub mod wire;
 
-pub use key::{Life, TaskKey, VmKey};
+pub use key::{Incarnation, TaskKey, VmKey};
 pub use label::Labels;
 pub use outcome::Outcome;
 pub use selector::{Operator, Selector, Term};
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pond_proto::quorum::{Body, Entry, Hard, Kind, Letter, Member, Members};
+use pond_proto::quorum::{Body, Entry, Envelope, HardState, Kind, Member, Members};
 use pond_proto::{Millis, Span};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
     /// The identity of its disk.
     pub id: u64,
     /// Term, vote and commit index from the disk.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot from the disk.
     pub snapshot: Option<SnapshotImage>,
     /// The entries after it.
@@ -59,7 +59,7 @@
     pub(crate) id: u64,
     pub(crate) tuning: Tuning,
     pub(crate) rng: SmallRng,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     pub(crate) log: Log,
     pub(crate) lists: Lists,
     pub(crate) snapshot: Option<SnapshotImage>,
@@ -74,7 +74,7 @@
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) unwritten: Vec<Entry>,
-    hard_written: Hard,
+    hard_written: HardState,
 }
 
 impl Core {
@@ -208,10 +208,10 @@
     }
 
     /// Returns the term and the members at an applied index, for a snapshot of the state there.
-    pub fn head_at(&self, index: u64) -> Option<pond_proto::quorum::SnapshotHead> {
+    pub fn head_at(&self, index: u64) -> Option<pond_proto::quorum::SnapshotHeader> {
         let term = self.log.term(index)?;
         let members = self.lists.at(index).clone();
-        Some(pond_proto::quorum::SnapshotHead { index, term, members })
+        Some(pond_proto::quorum::SnapshotHeader { index, term, members })
     }
 
     fn tick(&mut self, now: Millis) {
@@ -222,7 +222,7 @@
         }
     }
 
-    fn handle_message(&mut self, now: Millis, message: Letter) {
+    fn handle_message(&mut self, now: Millis, message: Envelope) {
         if message.to != self.id {
             return;
         }
@@ -231,23 +231,27 @@
         // A pre-vote and its approval carry a term that no replica has adopted yet. A request that is
         // refused for the sake of the current leader must not raise the term either.
         let ignores_term = match &body {
-            Body::VoteAsk(request) => request.pre || !self.accepts_candidate(now, request.handover),
-            Body::VoteTell(reply) => reply.pre && reply.granted,
+            Body::VoteRequest(request) => {
+                request.pre_vote || !self.accepts_candidate(now, request.leadership_transfer)
+            }
+            Body::VoteReply(reply) => reply.pre_vote && reply.granted,
             _ => false,
         };
         if message.term > self.hard.term && !ignores_term {
-            let leader = matches!(body, Body::Append(_) | Body::Chunk(_)).then_some(from);
+            let leader = matches!(body, Body::Append(_) | Body::SnapshotChunk(_)).then_some(from);
             self.become_follower(now, message.term, leader);
         }
         match body {
-            Body::VoteAsk(request) => self.handle_vote_request(now, from, message.term, request),
-            Body::VoteTell(reply) => self.handle_vote(now, from, message.term, reply),
+            Body::VoteRequest(request) => {
+                self.handle_vote_request(now, from, message.term, request)
+            }
+            Body::VoteReply(reply) => self.handle_vote(now, from, message.term, reply),
             Body::Append(append) => self.handle_append(now, from, message.term, append),
-            Body::AppendTell(reply) if message.term == self.hard.term => {
+            Body::AppendReply(reply) if message.term == self.hard.term => {
                 self.handle_append_reply(now, from, reply);
             }
-            Body::Chunk(chunk) => self.handle_chunk(now, from, message.term, chunk),
-            Body::ChunkTell(reply) if message.term == self.hard.term => {
+            Body::SnapshotChunk(chunk) => self.handle_chunk(now, from, message.term, chunk),
+            Body::SnapshotChunkReply(reply) if message.term == self.hard.term => {
                 self.handle_chunk_reply(now, from, reply);
             }
             Body::TakeOver(_) if message.term == self.hard.term => self.handle_take_over(now, from),
@@ -279,8 +283,8 @@
         span - span * self.tuning.drift_permille / 1000
     }
 
-    pub(crate) fn message_to(&self, to: u64, body: Body) -> Letter {
-        Letter { from: self.id, to, term: self.hard.term, body: Some(body) }
+    pub(crate) fn message_to(&self, to: u64, body: Body) -> Envelope {
+        Envelope { from: self.id, to, term: self.hard.term, body: Some(body) }
     }
 
     pub(crate) fn send(&mut self, to: u64, body: Body) {
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Body, Letter, VoteAsk, VoteTell};
+use pond_proto::quorum::{Body, Envelope, VoteReply, VoteRequest};
 
 use crate::core::{Core, State};
 use crate::io::Output;
@@ -25,7 +25,7 @@
 
     pub(crate) fn start_pre_vote(&mut self, now: Millis) {
         self.reset_deadline(now);
-        if !self.lists.current().votes(self.id) {
+        if !self.lists.current().is_voter(self.id) {
             return;
         }
         self.leader = None;
@@ -53,15 +53,15 @@
     }
 
     fn request_votes(&mut self, pre: bool, handover: bool) {
-        let request = VoteAsk {
-            pre,
+        let request = VoteRequest {
+            pre_vote: pre,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            handover,
+            leadership_transfer: handover,
         };
         let voters: Vec<u64> = self.lists.current().voters().filter(|id| *id != self.id).collect();
         for to in voters {
-            let mut message = self.message_to(to, Body::VoteAsk(request));
+            let mut message = self.message_to(to, Body::VoteRequest(request));
             message.term += u64::from(pre);
             // The candidate's vote for itself must be durable before it counts.
             let output = if pre { Output::Send(message) } else { Output::SendDurable(message) };
@@ -74,18 +74,18 @@
         now: Millis,
         from: u64,
         term: u64,
-        request: VoteAsk,
+        request: VoteRequest,
     ) {
         let up_to_date = (request.last_term, request.last_index)
             >= (self.log.last_term(), self.log.last_index());
-        let willing = up_to_date && self.accepts_candidate(now, request.handover);
-        if request.pre {
+        let willing = up_to_date && self.accepts_candidate(now, request.leadership_transfer);
+        if request.pre_vote {
             let granted = willing && term > self.hard.term;
-            let message = Letter {
+            let message = Envelope {
                 from: self.id,
                 to: from,
                 term: if granted { term } else { self.hard.term },
-                body: Some(Body::VoteTell(VoteTell { pre: true, granted })),
+                body: Some(Body::VoteReply(VoteReply { pre_vote: true, granted })),
             };
             self.outputs.push(Output::Send(message));
             return;
@@ -96,22 +96,22 @@
             self.hard.vote = from;
             self.reset_deadline(now);
         }
-        self.send_durable(from, Body::VoteTell(VoteTell { pre: false, granted }));
+        self.send_durable(from, Body::VoteReply(VoteReply { pre_vote: false, granted }));
     }
 
-    pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteTell) {
-        if !reply.granted || !self.lists.current().votes(from) {
+    pub(crate) fn handle_vote(&mut self, now: Millis, from: u64, term: u64, reply: VoteReply) {
+        if !reply.granted || !self.lists.current().is_voter(from) {
             return;
         }
         let majority = self.lists.current().majority();
         match &mut self.state {
-            State::PreCandidate(votes) if reply.pre && term == self.hard.term + 1 => {
+            State::PreCandidate(votes) if reply.pre_vote && term == self.hard.term + 1 => {
                 votes.insert(from);
                 if votes.len() >= majority {
                     self.start_vote(now, false);
                 }
             }
-            State::Candidate(votes) if !reply.pre && term == self.hard.term => {
+            State::Candidate(votes) if !reply.pre_vote && term == self.hard.term => {
                 votes.insert(from);
                 if votes.len() >= majority {
                     self.become_leader(now);
@@ -122,7 +122,7 @@
     }
 
     pub(crate) fn handle_take_over(&mut self, now: Millis, from: u64) {
-        if self.leader == Some(from) && self.lists.current().votes(self.id) {
+        if self.leader == Some(from) && self.lists.current().is_voter(self.id) {
             self.start_vote(now, true);
         }
     }
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Append, AppendTell, Body, Chunk, ChunkTell, SnapshotHead};
+use pond_proto::quorum::{
+    Append, AppendReply, Body, SnapshotChunk, SnapshotChunkReply, SnapshotHeader,
+};
 
 use crate::core::{Core, State};
 use crate::io::{Output, SnapshotImage};
@@ -34,16 +36,19 @@
     pub(crate) fn handle_append(&mut self, now: Millis, from: u64, term: u64, append: Append) {
         if !self.heard_leader(now, from, term) {
             // Informs an outdated leader of the new term.
-            let reply = AppendTell { fitted: false, index: 0, hint_term: 0, round: append.round };
-            self.send(from, Body::AppendTell(reply));
+            let reply =
+                AppendReply { matched: false, index: 0, conflict_term: 0, round: append.round };
+            self.send(from, Body::AppendReply(reply));
             return;
         }
         let round = append.round;
         let reply = match self.merge(append) {
-            Ok(index) => AppendTell { fitted: true, index, hint_term: 0, round },
-            Err((index, hint_term)) => AppendTell { fitted: false, index, hint_term, round },
+            Ok(index) => AppendReply { matched: true, index, conflict_term: 0, round },
+            Err((index, hint_term)) => {
+                AppendReply { matched: false, index, conflict_term: hint_term, round }
+            }
         };
-        self.send_durable(from, Body::AppendTell(reply));
+        self.send_durable(from, Body::AppendReply(reply));
     }
 
     /// Merges entries into the log. Returns the last index up to which the log matches the leader's, or,
@@ -88,17 +93,20 @@
         }
     }
 
-    pub(crate) fn handle_chunk(&mut self, now: Millis, from: u64, term: u64, chunk: Chunk) {
+    pub(crate) fn handle_chunk(&mut self, now: Millis, from: u64, term: u64, chunk: SnapshotChunk) {
         if !self.heard_leader(now, from, term) {
             return;
         }
         let (index, round) = (chunk.index, chunk.round);
         let have = self.add_chunk(chunk);
-        self.send_durable(from, Body::ChunkTell(ChunkTell { index, have, round }));
+        self.send_durable(
+            from,
+            Body::SnapshotChunkReply(SnapshotChunkReply { index, received_bytes: have, round }),
+        );
     }
 
     /// Adds a chunk to the incoming snapshot. Returns how many bytes of it have been received.
-    fn add_chunk(&mut self, chunk: Chunk) -> u64 {
+    fn add_chunk(&mut self, chunk: SnapshotChunk) -> u64 {
         if chunk.index <= self.commit {
             return chunk.total;
         }
@@ -121,7 +129,7 @@
         if crc32c::crc32c(&data) != chunk.crc {
             return 0;
         }
-        let head = SnapshotHead { index: chunk.index, term: chunk.term, members: chunk.members };
+        let head = SnapshotHeader { index: chunk.index, term: chunk.term, members: chunk.members };
         self.install(SnapshotImage { head, data: Arc::new(data) });
         have
     }
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -4,7 +4,7 @@
 
 use pond_proto::Millis;
 use pond_proto::quorum::{
-    Append, AppendTell, Body, Chunk, ChunkTell, Kind, Member, Members, TakeOver,
+    Append, AppendReply, Body, Kind, Member, Members, SnapshotChunk, SnapshotChunkReply, TakeOver,
 };
 use prost::Message;
 
@@ -220,19 +220,19 @@
         true
     }
 
-    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: u64, reply: AppendTell) {
+    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: u64, reply: AppendReply) {
         self.record_answer(from, reply.round);
         let last = self.log.last_index();
         let State::Leader(leading) = &mut self.state else { return };
         let Some(progress) = leading.progress.get_mut(&from) else { return };
         progress.in_flight = progress.in_flight.saturating_sub(1);
-        if reply.fitted {
+        if reply.matched {
             progress.record_match(reply.index.min(last));
             self.advance_commit(now);
             self.hand_over_if_ready(from);
         } else if reply.index < progress.next {
             // Backs up to the last index at which the terms of the two logs can match.
-            let at = self.log.last_at_most(reply.index, reply.hint_term);
+            let at = self.log.last_at_most(reply.index, reply.conflict_term);
             progress.next = at.max(progress.matched) + 1;
             progress.probing = true;
             progress.in_flight = 0;
@@ -294,7 +294,7 @@
         progress.sent = now;
         let start = (offset as usize).min(image.data.len());
         let end = (start + size).min(image.data.len());
-        let chunk = Chunk {
+        let chunk = SnapshotChunk {
             index: image.head.index,
             term: image.head.term,
             members: image.head.members.clone(),
@@ -304,10 +304,10 @@
             data: image.data[start..end].to_vec(),
             round,
         };
-        self.send(to, Body::Chunk(chunk));
+        self.send(to, Body::SnapshotChunk(chunk));
     }
 
-    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: ChunkTell) {
+    pub(crate) fn handle_chunk_reply(&mut self, now: Millis, from: u64, reply: SnapshotChunkReply) {
         self.record_answer(from, reply.round);
         let total = self.snapshot.as_ref().map_or(0, |image| image.data.len() as u64);
         let State::Leader(leading) = &mut self.state else { return };
@@ -316,14 +316,14 @@
         if index != reply.index {
             return;
         }
-        if reply.have >= total {
+        if reply.received_bytes >= total {
             progress.snapshot = None;
             progress.in_flight = 0;
             progress.record_match(index);
             progress.next = progress.matched + 1;
             self.advance_commit(now);
-        } else if progress.snapshot != Some((index, reply.have)) {
-            progress.snapshot = Some((index, reply.have));
+        } else if progress.snapshot != Some((index, reply.received_bytes)) {
+            progress.snapshot = Some((index, reply.received_bytes));
             self.send_chunk(now, from);
         }
         self.confirm_reads();
@@ -349,7 +349,7 @@
     fn confirm_reads(&mut self) {
         let members = self.lists.current();
         let State::Leader(leading) = &mut self.state else { return };
-        let own = members.votes(self.id);
+        let own = members.is_voter(self.id);
         while let Some(read) = leading.reads.front() {
             let answered =
                 |id: &u64| leading.progress.get(id).is_some_and(|p| p.round >= read.round);
@@ -375,7 +375,7 @@
         let until = now + self.tuning.election_ms * 2;
         let State::Leader(leading) = &mut self.state else { return };
         let members = self.lists.current();
-        let voters = leading.progress.iter().filter(|(id, _)| members.votes(**id));
+        let voters = leading.progress.iter().filter(|(id, _)| members.is_voter(**id));
         let best = voters.max_by_key(|(_, progress)| (progress.matched, progress.heard));
         let Some(best) = best.map(|(id, _)| *id) else { return };
         leading.handover = Some((best, until));
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -9,9 +9,9 @@
 
 use pond_link::{Config, Event, EventKind, LinkKey, Sender};
 use pond_log::{Logger, event};
-use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Present};
+use pond_proto::quorum::{Announce, Body as Payload, Envelope};
 use pond_proto::wire::{Body, Role as WireRole};
-use pond_proto::{Life, Millis};
+use pond_proto::{Incarnation, Millis};
 use pond_quorum::Input;
 use pond_uplink::{HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 use tokio::net::TcpListener;
@@ -54,10 +54,11 @@
         log: Logger,
     ) -> Peers {
         let own = settings.internal.to_string();
-        let config = Config::new(WireRole::Control, &own, &settings.data_centre, Life::random())
-            .with_limits(MAX_FRAME_BYTES, LINK_QUEUE)
-            .with_address(&own)
-            .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
+        let config =
+            Config::new(WireRole::Control, &own, &settings.data_centre, Incarnation::random())
+                .with_limits(MAX_FRAME_BYTES, LINK_QUEUE)
+                .with_address(&own)
+                .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let config = Arc::new(config);
         tokio::spawn(pond_link::accept(listener, config.clone(), events.clone()));
         let (dialled, addresses) = (BTreeMap::new(), BTreeMap::new());
@@ -100,7 +101,7 @@
     }
 
     /// Sends a message of the quorum to the replica that it names.
-    pub fn send(&self, message: QuorumMessage) {
+    pub fn send(&self, message: Envelope) {
         let peer = self.addresses.get(&message.to).and_then(|address| self.dialled.get(address));
         if let Some(sender) = peer.and_then(|peer| peer.sender.as_ref()) {
             // The quorum repeats lost messages.
@@ -108,7 +109,7 @@
         }
     }
 
-    fn send_presence_to_all(&self, message: &QuorumMessage) {
+    fn send_presence_to_all(&self, message: &Envelope) {
         for sender in self.dialled.values().filter_map(|peer| peer.sender.as_ref()) {
             sender.send(Body::Quorum(message.clone()));
         }
@@ -125,7 +126,7 @@
                     self.peers.add_addresses(&[hello.address]);
                 }
                 if let Some(lead) = &self.announced {
-                    sender.send(Body::Lead(lead.clone()));
+                    sender.send(Body::LeaderInfo(lead.clone()));
                 }
                 self.clients.insert(link, Client { name: hello.name, sender, presented: None });
             }
@@ -170,21 +171,21 @@
     fn handle_frame(&mut self, now: Millis, link: LinkKey, body: Body) {
         match body {
             Body::Quorum(message) => match message.body {
-                Some(Payload::Present(present)) => self.handle_presence(now, link, present),
+                Some(Payload::Announce(present)) => self.handle_presence(now, link, present),
                 _ if self.accepts_messages() => self.core.step(now, Input::Message(message)),
                 // The sender repeats the message.
                 _ => {}
             },
-            Body::Lead(lead) => self.peers.add_addresses(&lead.replicas),
-            Body::Ask(ask) => self.caller_request(now, link, ask),
+            Body::LeaderInfo(lead) => self.peers.add_addresses(&lead.replicas),
+            Body::JobRequest(ask) => self.caller_request(now, link, ask),
             Body::Report(report) => self.report(now, link, report),
             _ => {}
         }
     }
 
-    fn own_presence(&self) -> QuorumMessage {
-        let present = Payload::Present(self.formation.present(self.core.last_index()));
-        QuorumMessage { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
+    fn own_presence(&self) -> Envelope {
+        let present = Payload::Announce(self.formation.present(self.core.last_index()));
+        Envelope { from: self.core.id(), to: 0, term: self.core.term(), body: Some(present) }
     }
 
     /// Announces to all replicas that this one has a log now.
@@ -192,7 +193,7 @@
         self.peers.send_presence_to_all(&self.own_presence());
     }
 
-    fn handle_presence(&mut self, now: Millis, link: LinkKey, present: Present) {
+    fn handle_presence(&mut self, now: Millis, link: LinkKey, present: Announce) {
         let member = &present.member;
         if let Some(client) = self.clients.get_mut(&link) {
             client.presented = Some((member.address.clone(), member.id));
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use pond_link::{Event, EventKind, LinkKey, accept, dial};
-use pond_proto::Life;
-use pond_proto::quorum::{Body as Payload, Letter as QuorumMessage, Member, Present};
+use pond_proto::Incarnation;
+use pond_proto::quorum::{Announce, Body as Payload, Envelope, Member};
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
 use pond_store::Memory;
@@ -66,7 +66,8 @@
 
 impl JoiningReplica {
     fn config(address: SocketAddr) -> Arc<pond_link::Config> {
-        let config = pond_link::Config::new(Role::Control, "newcomer", "here", Life(JOINING_ID));
+        let config =
+            pond_link::Config::new(Role::Control, "newcomer", "here", Incarnation(JOINING_ID));
         Arc::new(
             config
                 .with_address(&address.to_string())
@@ -95,11 +96,11 @@
         }
     }
 
-    fn presence(&self) -> QuorumMessage {
+    fn presence(&self) -> Envelope {
         let address = self.address.to_string();
         let member = Member { id: JOINING_ID, name: address.clone(), address, voter: true };
-        let present = Payload::Present(Present { member, formed: false, last_index: 0 });
-        QuorumMessage { from: JOINING_ID, to: 0, term: 0, body: Some(present) }
+        let present = Payload::Announce(Announce { member, formed: false, last_index: 0 });
+        Envelope { from: JOINING_ID, to: 0, term: 0, body: Some(present) }
     }
 }
 
@@ -112,7 +113,7 @@
         match accepted.recv().await.expect("an event").kind {
             EventKind::Up { sender, .. } => senders.push(sender),
             EventKind::Frame(Body::Quorum(message)) => {
-                if !matches!(message.body, Some(Payload::Present(_)) | None) {
+                if !matches!(message.body, Some(Payload::Announce(_)) | None) {
                     return;
                 }
             }
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pond_proto::quorum::{Batch, Entry, Hard};
+use pond_proto::quorum::{Batch, Entry, HardState};
 
 use crate::batch;
 use crate::snapshot::Snapshot;
@@ -17,7 +17,7 @@
     /// The disk's identity.
     pub id: u64,
     /// Term, vote and commit index.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, in order.
@@ -48,7 +48,7 @@
     disk: Box<dyn Disk>,
     segments: Vec<Segment>,
     next_batch: u64,
-    hard: Hard,
+    hard: HardState,
     failed: bool,
     unsynced: Option<Unsynced>,
     /// Whether a write or a sync failed because the disk was full, so that the content after the last
@@ -72,7 +72,7 @@
             disk,
             segments: Vec::new(),
             next_batch: 1,
-            hard: Hard::default(),
+            hard: HardState::default(),
             failed: false,
             unsynced: None,
             in_doubt: false,
@@ -114,7 +114,7 @@
             let mut last_index = 0;
             for framed in content.batches {
                 self.hard = framed.batch.hard.unwrap_or(self.hard);
-                if let Some(keep_to) = framed.batch.keep_to {
+                if let Some(keep_to) = framed.batch.truncate_after {
                     entries.split_off(&(keep_to + 1));
                 }
                 for entry in framed.batch.entries {
@@ -181,8 +181,8 @@
     /// # Errors
     /// After [`Error::Full`] all earlier data is intact, and the same write can be retried. After any
     /// other error the store may reject further writes.
-    pub fn append(&mut self, hard: Option<Hard>, entries: &[Entry]) -> Result<(), Error> {
-        let batch = Batch { hard, entries: entries.to_vec(), keep_to: None };
+    pub fn append(&mut self, hard: Option<HardState>, entries: &[Entry]) -> Result<(), Error> {
+        let batch = Batch { hard, entries: entries.to_vec(), truncate_after: None };
         self.write(&batch)
     }
 
@@ -296,7 +296,7 @@
     pub fn replace(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         self.save(snapshot)?;
         let keep_to = Some(snapshot.head.index);
-        self.write(&Batch { keep_to, ..Batch::default() })?;
+        self.write(&Batch { truncate_after: keep_to, ..Batch::default() })?;
         self.sync()
     }
 
--- a/crates/pond-test/src/cluster/mod.rs
+++ b/crates/pond-test/src/cluster/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use pond_proto::Millis;
-use pond_proto::quorum::{Entry, Letter, Member, Members};
+use pond_proto::quorum::{Entry, Envelope, Member, Members};
 use pond_quorum::{Core, Input, Role, SnapshotImage, Start, Tuning};
 use pond_store::{Crash, Memory, Store, Writer};
 use rand::rngs::SmallRng;
@@ -111,7 +111,7 @@
 
 struct Running {
     core: Core,
-    writer: Writer<Letter>,
+    writer: Writer<Envelope>,
     applied: u64,
     values: Vec<u64>,
 }
@@ -119,7 +119,7 @@
 /// Message in flight.
 struct InFlight {
     due: u64,
-    message: Letter,
+    message: Envelope,
 }
 
 /// Simulated cluster with the observations that the invariants are checked against.
@@ -596,7 +596,7 @@
         let lists: Vec<(u64, Vec<u64>)> = self
             .nodes
             .keys()
-            .filter(|id| self.core(leader).is_some_and(|core| core.members().votes(**id)))
+            .filter(|id| self.core(leader).is_some_and(|core| core.members().is_voter(**id)))
             .map(|id| (*id, self.values(*id)))
             .collect();
         let longest = lists.iter().map(|(_, list)| list.clone()).max_by_key(Vec::len);
--- a/crates/pond-test/src/colocation.rs
+++ b/crates/pond-test/src/colocation.rs
@@ -325,7 +325,7 @@
             let usage = self.profile(&task.unit).map_or(0.7, |profile| profile.usage);
             let mut p99_us = None;
             if let Some(service) = unit.service() {
-                let kind = unit.kind_name();
+                let kind = unit.workload_kind();
                 let baseline_us = self.scenario.baseline_us.get(kind).copied().unwrap_or(1000.0);
                 let ratio = self.slowdown(kind, task.vm) * load;
                 let noisy_us = baseline_us * ratio * (1.0 + self.rng.random_range(-0.03..0.03));
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use pond_link::{Config, Event, EventKind, LinkKey, Sender, accept};
-use pond_proto::fleet::{Ask, Lead, Tell};
+use pond_proto::fleet::{JobReply, JobRequest, LeaderInfo};
 use pond_proto::wire::{Body, Role};
-use pond_proto::{Life, Millis};
+use pond_proto::{Incarnation, Millis};
 use pond_test::{Blackhole, BlackholeProxy};
 use pond_uplink::{HEARTBEAT_INTERVAL, Notification, SILENCE_TIMEOUT, Uplink};
 use tokio::net::TcpListener;
@@ -31,16 +31,16 @@
     address: SocketAddr,
     events: mpsc::Receiver<Event>,
     /// What it reports about the leader to each process.
-    lead: Lead,
+    lead: LeaderInfo,
     clients: Vec<(LinkKey, Sender)>,
 }
 
 impl Replica {
-    async fn start(lead: Lead) -> Replica {
+    async fn start(lead: LeaderInfo) -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot listen");
         let address = listener.local_addr().expect("no local address");
         let (sender, events) = mpsc::channel(QUEUE_LEN);
-        let config = Config::new(Role::Control, "control", "here", Life(1))
+        let config = Config::new(Role::Control, "control", "here", Incarnation(1))
             .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         tokio::spawn(accept(listener, Arc::new(config), sender));
         Replica { address, events, lead, clients: Vec::new() }
@@ -52,10 +52,10 @@
             let Event { link, kind } = self.events.recv().await.expect("events closed");
             match kind {
                 EventKind::Up { sender, .. } => {
-                    assert!(sender.send(Body::Lead(self.lead.clone())));
+                    assert!(sender.send(Body::LeaderInfo(self.lead.clone())));
                     self.clients.push((link, sender));
                 }
-                EventKind::Frame(Body::Ask(ask)) => return (link, ask.ticket),
+                EventKind::Frame(Body::JobRequest(ask)) => return (link, ask.ticket),
                 EventKind::Frame(other) => panic!("not a request: {other:?}"),
                 EventKind::Down(_) => self.clients.retain(|(other, _)| *other != link),
             }
@@ -65,7 +65,7 @@
     fn send_reply(&self, link: LinkKey, ticket: u64) {
         let (_, sender) =
             self.clients.iter().find(|(other, _)| *other == link).expect("no link to the client");
-        assert!(sender.send(Body::Tell(Tell { ticket, ..Tell::default() })));
+        assert!(sender.send(Body::JobReply(JobReply { ticket, ..JobReply::default() })));
     }
 }
 
@@ -80,7 +80,7 @@
     /// Starts at the first address.
     fn start(addresses: &[SocketAddr]) -> Process {
         let (events, links) = mpsc::channel(QUEUE_LEN);
-        let config = Config::new(Role::Entry, "entry", "here", Life(0));
+        let config = Config::new(Role::Entry, "entry", "here", Incarnation(0));
         let addresses = addresses.iter().map(SocketAddr::to_string).collect();
         let uplink = Uplink::start(addresses, config, events, pond_log::silent(), Millis(0));
         Process { uplink, links, start: Instant::now() }
@@ -115,20 +115,20 @@
     }
 
     fn send_request(&self, ticket: u64) -> bool {
-        self.uplink.send(Body::Ask(Ask { ticket, ..Ask::default() }))
+        self.uplink.send(Body::JobRequest(JobRequest { ticket, ..JobRequest::default() }))
     }
 
     /// Waits for the reply to a request.
     async fn expect_reply(&mut self, ticket: u64) {
         match self.next_notification().await {
-            Notification::Frame(Body::Tell(tell)) => assert_eq!(tell.ticket, ticket),
+            Notification::Frame(Body::JobReply(tell)) => assert_eq!(tell.ticket, ticket),
             other => panic!("not a reply: {other:?}"),
         }
     }
 }
 
-fn leading() -> Lead {
-    Lead { leads: true, term: 1, ..Lead::default() }
+fn leading() -> LeaderInfo {
+    LeaderInfo { is_leader: true, term: 1, ..LeaderInfo::default() }
 }
 
 /// Sends a request to the leader over the existing link and waits for the reply. Returns the link.
@@ -195,7 +195,7 @@
     for blackhole in Blackhole::ALL {
         let leader = Replica::start(leading()).await;
         let proxy = BlackholeProxy::start(leader.address).await;
-        let follows = Lead { leader: proxy.address().to_string(), ..Lead::default() };
+        let follows = LeaderInfo { leader: proxy.address().to_string(), ..LeaderInfo::default() };
         let mut other = Replica::start(follows).await;
         let address = other.address;
         tokio::spawn(async move { other.next_request().await });
