--- a/crates/pond-control/benches/control.rs
+++ b/crates/pond-control/benches/control.rs
@@ -13,7 +13,7 @@
 
 use pond_control::Process;
 use pond_http::{Call, Client, Method};
-use pond_link::{EventKind, LinkKey, Terms, dial};
+use pond_link::{Config, EventKind, LinkKey, dial};
 use pond_proto::Incarnation;
 use pond_proto::operator::{Origin, QuotaOrder, Status};
 use pond_proto::quorum::{Entry, Kind};
@@ -235,10 +235,10 @@
     let mut key = 0;
     for node in 0..FOLLOWERS {
         let terms =
-            Terms::new(WireRole::Endpoint, &format!("node-{node}"), "here", Incarnation::random());
+            Config::new(WireRole::Endpoint, &format!("node-{node}"), "here", Incarnation::random());
         let terms = terms.with_address(&format!("10.0.{}.{}:7", node / 250, node % 250));
         let terms = Arc::new(
-            terms.with_times(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT),
+            terms.with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT),
         );
         for replica in &replicas {
             tokio::spawn(dial(replica.internal, LinkKey(key), terms.clone(), events.clone()));
--- a/crates/pond-control/src/process.rs
+++ b/crates/pond-control/src/process.rs
@@ -5,7 +5,7 @@
 use std::thread::{self, JoinHandle};
 
 use crossbeam_channel::{Sender, bounded};
-use pond_link::{LinkKey, Terms};
+use pond_link::{Config, LinkKey};
 use pond_log::{Logger, event};
 use pond_platform::{HttpPlatform, Platform};
 use pond_process::{Error, Threads, listen, read_token};
@@ -124,12 +124,16 @@
         let address = internal.local_addr().map(|address| address.to_string());
         let token = read_token(settings)?;
         let limits = settings.limits;
-        let terms =
-            Terms::new(Role::Control, &settings.name, &settings.data_centre, Incarnation::random())
-                .with_limits(limits.frame_bytes, limits.link_queue)
-                .with_address(&address.unwrap_or_default())
-                .with_times(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
-                .with_token(&token);
+        let terms = Config::new(
+            Role::Control,
+            &settings.name,
+            &settings.data_centre,
+            Incarnation::random(),
+        )
+        .with_limits(limits.frame_bytes, limits.link_queue)
+        .with_address(&address.unwrap_or_default())
+        .with_heartbeat(pond_follow::HEARTBEAT_INTERVAL, pond_follow::SILENCE_TIMEOUT)
+        .with_token(&token);
         let terms = Arc::new(terms);
         // There is one link for each pair of replicas: the one whose name sorts first dials.
         let dialled: Vec<SocketAddr> = settings
--- a/crates/pond-control/tests/leases.rs
+++ b/crates/pond-control/tests/leases.rs
@@ -260,7 +260,7 @@
         for node in &mut self.nodes {
             node.worker.tick(Millis(self.now * node.rate / 1000));
             let mut taken = Size::default();
-            for task in node.worker.tasks().values().filter(|task| task.runs()) {
+            for task in node.worker.tasks().values().filter(|task| task.is_active()) {
                 *running.entry(task.start.unit.clone()).or_default() += 1;
                 taken = taken.plus(task.start.size);
             }
--- a/crates/pond-endpoint/src/process.rs
+++ b/crates/pond-endpoint/src/process.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pond_link::Terms;
+use pond_link::Config;
 use pond_log::{Logger, event};
 use pond_process::{Error, Threads, listen, read_token};
 use pond_proto::Incarnation;
@@ -33,7 +33,7 @@
         let listener = listen(endpoint.internal)?;
         let address = listener.local_addr().unwrap_or(endpoint.internal);
         let limits = settings.limits;
-        let terms = Terms::new(
+        let terms = Config::new(
             Role::Endpoint,
             &settings.name,
             &settings.data_centre,
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pond_link::{Event, EventKind, LinkKey, Sender, Terms, dial};
+use pond_link::{Config, Event, EventKind, LinkKey, Sender, dial};
 use pond_log::{Logger, event};
 use pond_proto::view::Delta;
 use pond_proto::wire::{Body, ClaimReply, ViewAck};
@@ -55,11 +55,11 @@
     /// Starts connecting to all replicas, on the current Tokio runtime.
     pub fn start(
         replicas: &[Replica],
-        terms: &Arc<Terms>,
+        terms: &Arc<Config>,
         events: &mpsc::Sender<Event>,
         log: Logger,
     ) -> Control {
-        let slow = terms.as_ref().clone().with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
+        let slow = terms.as_ref().clone().with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         let terms = Arc::new(slow);
         let mut peers = BTreeMap::new();
         for (i, replica) in replicas.iter().enumerate() {
--- a/crates/pond-http/tests/stalled_callers.rs
+++ b/crates/pond-http/tests/stalled_callers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use pond_http::{Call, Client, Handler, Limits, Method, Reply, StatusCode, Stop, serve};
-use pond_test::{SwallowProxy, Swallowed};
+use pond_test::{Blackhole, BlackholeProxy};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
@@ -74,9 +74,9 @@
 
 #[tokio::test]
 async fn callers_that_stop_responding_after_an_answer_are_disconnected() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let (address, _, _) = server().await;
-        let proxy = SwallowProxy::start(address).await;
+        let proxy = BlackholeProxy::start(address).await;
         let mut silent = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
             let mut stream = send_request(proxy.address(), "/").await;
@@ -84,7 +84,7 @@
             stream.read_exact(&mut answer).await.expect("an answer");
             silent.push(stream);
         }
-        proxy.swallow(swallowed);
+        proxy.drop_bytes(swallowed);
         assert_served(address).await;
     }
 }
--- a/crates/pond-quorum/tests/suspension.rs
+++ b/crates/pond-quorum/tests/suspension.rs
@@ -13,22 +13,22 @@
 
     #[test]
     fn suspended_replicas_keep_every_guarantee_when_they_resume(seed in any::<u64>()) {
-        let faults = Faults { suspend: 60, steady: CLOCK_STOPS, ..Faults::none() };
+        let faults = Faults { suspend: 60, clocks_stop: CLOCK_STOPS, ..Faults::none() };
         let mut cluster = Cluster::new(3, seed, faults);
         cluster.run_under_load(20_000);
-        cluster.settle();
-        assert_eq!(cluster.wrong, None);
+        cluster.heal_and_check();
+        assert_eq!(cluster.violation, None);
     }
 }
 
 #[test]
 fn leader_that_was_suspended_is_replaced() {
-    let faults = Faults { steady: CLOCK_STOPS, ..Faults::none() };
+    let faults = Faults { clocks_stop: CLOCK_STOPS, ..Faults::none() };
     let mut cluster = Cluster::new(3, 1, faults);
     cluster.run(1_500);
     let leader = cluster.leader().expect("a leader");
     cluster.suspend(leader, 5_000);
     cluster.run(6_000);
-    assert_eq!(cluster.wrong, None);
+    assert_eq!(cluster.violation, None);
     assert_ne!(cluster.leader(), Some(leader));
 }
--- a/crates/pond-replica/tests/silence.rs
+++ b/crates/pond-replica/tests/silence.rs
@@ -12,7 +12,7 @@
 use pond_proto::wire::{Body, Role};
 use pond_replica::Handle;
 use pond_store::Memory;
-use pond_test::{SwallowProxy, Swallowed};
+use pond_test::{Blackhole, BlackholeProxy};
 use pond_uplink::{HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -29,13 +29,13 @@
 
 /// Starts replicas, each with a proxy in front of its listener. The other replicas send all their
 /// messages to it through that proxy.
-async fn start_behind_proxies() -> (Vec<SwallowProxy>, Vec<Handle>) {
+async fn start_behind_proxies() -> (Vec<BlackholeProxy>, Vec<Handle>) {
     let (listeners, addresses) = listeners().await;
     let mut proxies = Vec::new();
     for address in addresses {
-        proxies.push(SwallowProxy::start(address).await);
+        proxies.push(BlackholeProxy::start(address).await);
     }
-    let seeds: Vec<SocketAddr> = proxies.iter().map(SwallowProxy::address).collect();
+    let seeds: Vec<SocketAddr> = proxies.iter().map(BlackholeProxy::address).collect();
     let started = seeds.iter().zip(listeners);
     let handles =
         started.map(|(own, listener)| start(*own, &seeds, listener, Memory::new())).collect();
@@ -44,15 +44,15 @@
 
 #[tokio::test]
 async fn quorum_elects_a_leader_after_all_links_fell_silent() {
-    for swallowed in Swallowed::ALL {
+    for swallowed in Blackhole::ALL {
         let (proxies, handles) = start_behind_proxies().await;
         leader(&handles).await;
-        let taken: Vec<usize> = proxies.iter().map(SwallowProxy::taken).collect();
-        proxies.iter().for_each(|proxy| proxy.swallow(swallowed));
+        let taken: Vec<usize> = proxies.iter().map(BlackholeProxy::accepted).collect();
+        proxies.iter().for_each(|proxy| proxy.drop_bytes(swallowed));
         sleep(SILENCE_NOTICED).await;
         leader(&handles).await;
         for (proxy, taken) in proxies.iter().zip(taken) {
-            assert!(proxy.taken() > taken, "{swallowed:?}: no replica redialled");
+            assert!(proxy.accepted() > taken, "{swallowed:?}: no replica redialled");
         }
     }
 }
@@ -65,17 +65,17 @@
 }
 
 impl JoiningReplica {
-    fn terms(address: SocketAddr) -> Arc<pond_link::Terms> {
+    fn terms(address: SocketAddr) -> Arc<pond_link::Config> {
         let terms =
-            pond_link::Terms::new(Role::Control, "newcomer", "here", Incarnation(JOINING_ID));
+            pond_link::Config::new(Role::Control, "newcomer", "here", Incarnation(JOINING_ID));
         Arc::new(
             terms
                 .with_address(&address.to_string())
-                .with_times(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
+                .with_heartbeat(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT),
         )
     }
 
-    fn start(address: SocketAddr, proxies: &[SwallowProxy]) -> JoiningReplica {
+    fn start(address: SocketAddr, proxies: &[BlackholeProxy]) -> JoiningReplica {
         let (events, dialled) = mpsc::channel(64);
         for (i, proxy) in proxies.iter().enumerate() {
             let (terms, events) = (JoiningReplica::terms(address), events.clone());
@@ -131,7 +131,7 @@
     leader(&handles).await;
     let mut proxies = Vec::new();
     for address in &seeds {
-        proxies.push(SwallowProxy::start(*address).await);
+        proxies.push(BlackholeProxy::start(*address).await);
     }
     // It is not added before it accepts links, because it cannot be reached until then.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
@@ -139,7 +139,7 @@
     let mut joining = JoiningReplica::start(address, &proxies);
     joining.present().await;
     // It receives nothing more, so it redials before the replicas notice that its old link is silent.
-    proxies.iter().for_each(|proxy| proxy.swallow(Swallowed::Answered));
+    proxies.iter().for_each(|proxy| proxy.drop_bytes(Blackhole::FromServer));
     joining.present().await;
     sleep(SILENCE_NOTICED).await;
     timeout(BOUND, becomes_member(listener, address)).await.expect("it is added in time");
