--- a/crates/pond-proto/src/fleet.rs
+++ b/crates/pond-proto/src/fleet.rs
@@ -73,8 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Outcome {
-    /// The job or its cancellation is accepted and committed; it survives the failure of a minority
-    /// of the replicas.
+    /// The job or its cancellation is accepted and durable.
     Accepted = 0,
     /// No queue is configured for the target.
     NoQueue = 1,
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -210,7 +210,7 @@
     Running = 1,
     /// All tasks have completed.
     Completed = 2,
-    /// A task has used up the attempts that its queue allows.
+    /// A task has failed as many times as its queue allows.
     Failed = 3,
     /// Cancelled by the job's owner.
     Cancelled = 4,
