--- a/crates/pond-agent/src/run.rs
+++ b/crates/pond-agent/src/run.rs
@@ -111,13 +111,13 @@
 
     /// Returns the row to report if the worker last answered any call at `answered_at`.
     pub fn row(&self, answered_at: Millis) -> RunRow {
-        let lived = self.confirmed_at.map_or(0, |confirmed_at| answered_at.since(confirmed_at));
-        let lived_ms = u32::try_from(lived).unwrap_or(u32::MAX);
+        let survived = self.confirmed_at.map_or(0, |confirmed_at| answered_at.since(confirmed_at));
+        let survived_ms = u32::try_from(survived).unwrap_or(u32::MAX);
         let unsent = self.start_calls == 0 && self.confirmed_at.is_none();
         let answered_recently =
             self.start_calls > 0 && self.last_start_at.since(answered_at) <= RECENT_ANSWER_MS;
-        let met = self.confirmed_at.is_some() || answered_recently;
-        RunRow { survived_ms: lived_ms, unsent, confirmed_up: met, ..self.row.clone() }
+        let confirmed_up = self.confirmed_at.is_some() || answered_recently;
+        RunRow { survived_ms, unsent, confirmed_up, ..self.row.clone() }
     }
 
     /// Marks the run to be stopped. The stop call does not wait for the answer to a start call in
--- a/crates/pond-agent/tests/late.rs
+++ b/crates/pond-agent/tests/late.rs
@@ -66,13 +66,13 @@
 }
 
 impl Worker {
-    fn end(&mut self, name: RunName, how: EndReason) {
+    fn end(&mut self, name: RunName, reason: EndReason) {
         if self.running.remove(&name) {
             let number = self.ends.len() as u64 + 1;
             self.ends.push(EndRow {
                 number,
                 run: name,
-                how: how as i32,
+                how: reason as i32,
                 checkpoint: String::new(),
             });
         }
@@ -320,8 +320,8 @@
         harness.advance_until(REPORTED_WITHIN_MS, Harness::reports_run);
         harness.order_stop(0);
         harness.advance_until(100, |harness| !harness.last().ends.is_empty());
-        let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        harness.order(Order { committed: settled, ..Order::default() });
+        let committed = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
+        harness.order(Order { committed, ..Order::default() });
         harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
@@ -540,8 +540,8 @@
         let stop = Order { term: TERM + 1, stops: vec![run(0)], ..Order::default() };
         harness.order(stop);
         harness.advance_until(100, |harness| !harness.last().ends.is_empty());
-        let settled = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
-        harness.order(Order { term: TERM + 1, committed: settled, ..Order::default() });
+        let committed = harness.last().ends.iter().map(|end| end.number).max().unwrap_or(0);
+        harness.order(Order { term: TERM + 1, committed, ..Order::default() });
         harness.advance_until(REPORTED_WITHIN_MS, |harness| !harness.reports_run());
     }
 }
--- a/crates/pond-agent/tests/support/mod.rs
+++ b/crates/pond-agent/tests/support/mod.rs
@@ -177,10 +177,10 @@
 
     pub fn list(&mut self, running: &[u32], ended: &[(u64, u32, EndReason)]) {
         let row = |index: &u32| RunRow { run: run(*index), percent: 5, ..RunRow::default() };
-        let end = |(number, index, how): &(u64, u32, EndReason)| EndRow {
+        let end = |(number, index, reason): &(u64, u32, EndReason)| EndRow {
             number: *number,
             run: run(*index),
-            how: *how as i32,
+            how: *reason as i32,
             checkpoint: String::new(),
         };
         let runs = running.iter().map(row).collect();
--- a/crates/pond-command/src/command/describe.rs
+++ b/crates/pond-command/src/command/describe.rs
@@ -28,18 +28,18 @@
 
     fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let path = format!("/v1/units/{}", call.arguments[0]);
-        let shown: UnitDetails = Client::from_call(call)?.get(&path)?;
+        let details: UnitDetails = Client::from_call(call)?.get(&path)?;
         if call.switch("json") {
-            return out.json(&shown).map(|()| Exit::SUCCESS);
+            return out.json(&details).map(|()| Exit::SUCCESS);
         }
-        unit_lines(&shown).iter().try_for_each(|line| out.line(line))?;
-        tasks(&shown.tasks).lines().iter().try_for_each(|line| out.line(line))?;
+        unit_lines(&details).iter().try_for_each(|line| out.line(line))?;
+        tasks(&details.tasks).lines().iter().try_for_each(|line| out.line(line))?;
         Ok(Exit::SUCCESS)
     }
 }
 
-fn unit_lines(shown: &UnitDetails) -> Vec<String> {
-    let unit = &shown.unit;
+fn unit_lines(details: &UnitDetails) -> Vec<String> {
+    let unit = &details.unit;
     let labels: Vec<String> =
         unit.labels.iter().map(|(key, value)| format!("{key}={value}")).collect();
     let kind = match &unit.kind {
@@ -53,8 +53,8 @@
         selector.as_ref().map_or("-".to_owned(), ToString::to_string)
     };
     let mut lines = vec![
-        format!("unit:          {} (version {})", unit.name, shown.row.version),
-        format!("standing:      {}", shown.row.status),
+        format!("unit:          {} (version {})", unit.name, details.row.version),
+        format!("standing:      {}", details.row.status),
         kind,
         format!("size:          {}", unit.size),
         format!("priority:      {}, team {}", unit.priority, unit.team),
@@ -64,10 +64,10 @@
         format!("anti-affinity: {}", optional(&unit.anti_affinity)),
         format!("program:       {}", unit.program),
     ];
-    if let Some(reason) = &shown.reason {
+    if let Some(reason) = &details.reason {
         lines.push(format!("failed:        {reason}"));
     }
-    if let Some(ResumeRow { attempt, checkpoint }) = shown.resume {
+    if let Some(ResumeRow { attempt, checkpoint }) = details.resume {
         lines.push(format!("to resume:     run {attempt} from checkpoint {checkpoint}"));
     }
     lines.push(String::new());
--- a/crates/pond-command/src/command/explain.rs
+++ b/crates/pond-command/src/command/explain.rs
@@ -38,12 +38,12 @@
 
     fn run(&self, call: &Call, out: &mut Output<'_>) -> Result<Exit, Error> {
         let path = format!("/v1/units/{}", call.arguments[0]);
-        let shown: UnitDetails = Client::from_call(call)?.get(&path)?;
+        let details: UnitDetails = Client::from_call(call)?.get(&path)?;
         if call.switch("json") {
-            return out.json(&shown.decisions).map(|()| Exit::SUCCESS);
+            return out.json(&details.decisions).map(|()| Exit::SUCCESS);
         }
-        out.line(summary(&shown))?;
-        for decision in &shown.decisions {
+        out.line(summary(&details))?;
+        for decision in &details.decisions {
             out.line(decision_line(decision))?;
             if let Some(next) = &decision.next_best {
                 out.line(format!("      next best: {next}"))?;
@@ -53,13 +53,13 @@
     }
 }
 
-fn summary(shown: &UnitDetails) -> String {
-    let name = &shown.row.name;
+fn summary(details: &UnitDetails) -> String {
+    let name = &details.row.name;
     let placements: Vec<String> =
-        shown.tasks.iter().map(|task| format!("{} ({})", task.vm, task.phase)).collect();
-    match (shown.row.status.as_str(), placements.is_empty()) {
-        (standing, false) => format!("{name} is {standing}: {}", placements.join(", ")),
-        (standing, true) => format!("{name} is {standing} and has no running task"),
+        details.tasks.iter().map(|task| format!("{} ({})", task.vm, task.phase)).collect();
+    match (details.row.status.as_str(), placements.is_empty()) {
+        (status, false) => format!("{name} is {status}: {}", placements.join(", ")),
+        (status, true) => format!("{name} is {status} and has no running task"),
     }
 }
 
--- a/crates/pond-control/src/formation.rs
+++ b/crates/pond-control/src/formation.rs
@@ -10,18 +10,18 @@
     own: Member,
     names: Vec<String>,
     formed: bool,
-    present: BTreeMap<String, Announce>,
+    announces: BTreeMap<String, Announce>,
 }
 
 impl Formation {
     /// Creates the formation of a replica; `names` are all replicas in the settings, and `formed`
     /// tells whether its disk holds a log.
     pub fn new(own: Member, names: Vec<String>, formed: bool) -> Formation {
-        Formation { own, names, formed, present: BTreeMap::new() }
+        Formation { own, names, formed, announces: BTreeMap::new() }
     }
 
     /// Returns the message in which this replica presents itself, with the index of its last entry.
-    pub fn present(&self, last_index: u64) -> Announce {
+    pub fn announce(&self, last_index: u64) -> Announce {
         Announce { member: self.own.clone(), formed: self.formed, last_index }
     }
 
@@ -31,8 +31,8 @@
     }
 
     /// Records the message in which another replica presented itself.
-    pub fn record_present(&mut self, present: Announce) {
-        self.present.insert(present.member.name.clone(), present);
+    pub fn record_announce(&mut self, announce: Announce) {
+        self.announces.insert(announce.member.name.clone(), announce);
     }
 
     /// Returns the initial members once all replicas in the settings are present and none has a
@@ -46,7 +46,7 @@
         }
         let mut list = vec![Member { voter: true, ..self.own.clone() }];
         for name in self.names.iter().filter(|name| **name != self.own.name) {
-            let other = self.present.get(name).filter(|other| !other.formed)?;
+            let other = self.announces.get(name).filter(|other| !other.formed)?;
             list.push(Member { voter: true, ..other.member.clone() });
         }
         Some(Members::new(list))
@@ -56,8 +56,8 @@
     ///
     /// Members change one at a time: the old member is removed first, then the new one is added.
     pub fn replacement(&self, members: &Members) -> Option<Replacement> {
-        for present in self.present.values().filter(|present| !present.formed) {
-            let new = &present.member;
+        for announce in self.announces.values().filter(|announce| !announce.formed) {
+            let new = &announce.member;
             if members.get(new.id).is_some() {
                 continue;
             }
--- a/crates/pond-control/src/operator/api.rs
+++ b/crates/pond-control/src/operator/api.rs
@@ -170,7 +170,8 @@
     authorize(&context)?;
     let name = path.into_inner().name;
     let wanted = name.clone();
-    let unit = context.context().client.read(move |state| show::unit_shown(state, &wanted)).await?;
+    let unit =
+        context.context().client.read(move |state| show::unit_details(state, &wanted)).await?;
     let missing = || {
         let message = format!("there is no unit {name}");
         let code = dropshot::ClientErrorStatusCode::NOT_FOUND;
@@ -272,8 +273,8 @@
     };
     // The library logs every request; only its warnings are useful here.
     let drain = slog::LevelFilter::new(log.clone(), slog::Level::Warning);
-    let quiet = slog::Logger::root(slog::Fuse::new(drain), slog::o!());
-    ServerBuilder::new(describe()?, api, quiet)
+    let discard_log = slog::Logger::root(slog::Fuse::new(drain), slog::o!());
+    ServerBuilder::new(describe()?, api, discard_log)
         .config(config)
         .start()
         .map_err(|error| Error::Operator { reason: error.to_string() })
--- a/crates/pond-control/src/operator/show.rs
+++ b/crates/pond-control/src/operator/show.rs
@@ -15,14 +15,14 @@
         kind: if unit.service().is_some() { "service" } else { "job" }.to_owned(),
         team: unit.team.clone(),
         priority: unit.priority,
-        status: standing(record),
+        status: status(record),
         running: running as u32,
         desired: if record.ended() { 0 } else { unit.replicas() },
         version: record.version,
     }
 }
 
-fn standing(record: &UnitRecord) -> String {
+fn status(record: &UnitRecord) -> String {
     match &record.standing {
         Standing::Wanted if record.missing().next().is_some() => "waiting",
         Standing::Wanted => "placed",
@@ -98,7 +98,7 @@
 }
 
 /// Returns the details of a unit.
-pub fn unit_shown(state: &State, name: &str) -> Option<UnitDetails> {
+pub fn unit_details(state: &State, name: &str) -> Option<UnitDetails> {
     let record = state.unit(name)?;
     let tasks = record.tasks.values().filter_map(|key| state.task(*key));
     let reason = match &record.standing {
--- a/crates/pond-control/src/replica/links.rs
+++ b/crates/pond-control/src/replica/links.rs
@@ -16,15 +16,15 @@
                 let role = hello.role();
                 self.links.insert(event.link, (role, hello.name.clone()));
                 if role == WireRole::Control {
-                    let present =
-                        QuorumBody::Announce(self.formation.present(self.core.last_index()));
-                    let letter = Envelope {
+                    let announce =
+                        QuorumBody::Announce(self.formation.announce(self.core.last_index()));
+                    let envelope = Envelope {
                         from: self.core.id(),
                         to: 0,
                         term: self.core.term(),
-                        body: Some(present),
+                        body: Some(announce),
                     };
-                    sender.send(Body::Quorum(letter));
+                    sender.send(Body::Quorum(envelope));
                     event!(self.parts.log, LINK_UP, "peer" => hello.name.clone());
                     self.peers.insert(hello.name, (event.link, sender));
                 } else {
@@ -56,24 +56,24 @@
     pub(super) fn frame(&mut self, now: Millis, link: LinkKey, body: Body) {
         let Some((role, _)) = self.links.get(&link) else { return };
         match (role, body) {
-            (WireRole::Control, Body::Quorum(letter)) => self.letter(now, letter),
-            (WireRole::Control, Body::Heartbeat(beat)) => self.compare(link, &beat),
+            (WireRole::Control, Body::Quorum(envelope)) => self.receive_envelope(now, envelope),
+            (WireRole::Control, Body::Heartbeat(heartbeat)) => self.compare(link, &heartbeat),
             (_, Body::ViewAck(ack)) => self.publisher.acknowledged(link, ack),
-            (WireRole::Entry, Body::ClaimRequest(ask)) => self.claim(now, link, ask),
+            (WireRole::Entry, Body::ClaimRequest(request)) => self.claim(now, link, request),
             (WireRole::Entry, Body::ClaimEnd(end)) => self.end_claim(now, end),
             _ => {}
         }
     }
 
-    pub(super) fn letter(&mut self, now: Millis, letter: Envelope) {
-        if let Some(QuorumBody::Announce(present)) = letter.body {
-            self.names.insert(present.member.id, present.member.name.clone());
-            self.refuse_older_disk(now, &present);
-            self.formation.record_present(present);
+    pub(super) fn receive_envelope(&mut self, now: Millis, envelope: Envelope) {
+        if let Some(QuorumBody::Announce(announce)) = envelope.body {
+            self.names.insert(announce.member.id, announce.member.name.clone());
+            self.refuse_older_disk(now, &announce);
+            self.formation.record_announce(announce);
             self.try_to_form();
             return;
         }
-        self.core.step(now, QuorumInput::Message(letter));
+        self.core.step(now, QuorumInput::Message(envelope));
     }
 
     pub(super) fn try_to_form(&mut self) {
@@ -95,20 +95,20 @@
 
     /// Removes a member whose log is shorter than what it has acknowledged: its disk was reset to
     /// an older state, and its votes cannot be trusted.
-    fn refuse_older_disk(&mut self, now: Millis, present: &Announce) {
-        let id = present.member.id;
+    fn refuse_older_disk(&mut self, now: Millis, announce: &Announce) {
+        let id = announce.member.id;
         let acknowledged = self.core.acknowledged(id).unwrap_or(0);
-        if present.last_index < acknowledged {
-            event!(self.parts.log, OLDER_DISK, "replica" => present.member.name.clone(),
-                "has" => present.last_index, "acknowledged" => acknowledged);
+        if announce.last_index < acknowledged {
+            event!(self.parts.log, OLDER_DISK, "replica" => announce.member.name.clone(),
+                "has" => announce.last_index, "acknowledged" => acknowledged);
             self.core.step(now, QuorumInput::Remove(id));
         }
     }
 
     /// Compares the checksum of the state with that of another replica at the same index.
-    pub(super) fn compare(&mut self, link: LinkKey, beat: &Heartbeat) {
+    pub(super) fn compare(&mut self, link: LinkKey, heartbeat: &Heartbeat) {
         let (index, checksum) = self.checksum;
-        if index > 0 && beat.snapshot_index == index && beat.checksum != checksum {
+        if index > 0 && heartbeat.snapshot_index == index && heartbeat.checksum != checksum {
             let peer = self.links.get(&link).map(|(_, name)| name.clone());
             event!(self.parts.log, STATE_DIFFERS,
                 "index" => index, "peer" => peer.unwrap_or_default());
--- a/crates/pond-control/src/replica/orders.rs
+++ b/crates/pond-control/src/replica/orders.rs
@@ -23,14 +23,14 @@
         self.propose(now, Change::Order { meta, order }, Waiter::Operator(reply));
     }
 
-    pub(super) fn claim(&mut self, now: Millis, link: LinkKey, ask: ClaimRequest) {
-        let ticket = ask.ticket;
+    pub(super) fn claim(&mut self, now: Millis, link: LinkKey, request: ClaimRequest) {
+        let ticket = request.ticket;
         let change = Change::Claim {
             at: self.parts.clock.wall(),
-            service: ask.service,
-            key: ask.key,
-            digest: ask.digest,
-            holder: Holder { incarnation: ask.id.incarnation, number: ask.id.number },
+            service: request.service,
+            key: request.key,
+            digest: request.digest,
+            holder: Holder { incarnation: request.id.incarnation, number: request.id.number },
         };
         self.propose(now, change, Waiter::Claim { link, ticket });
     }
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -30,8 +30,10 @@
             }
             for output in &outputs {
                 match output {
-                    Output::Send(letter) => self.send(letter.clone()),
-                    Output::SendDurable(letter) => self.parts.writer.enqueue_after(letter.clone()),
+                    Output::Send(envelope) => self.send(envelope.clone()),
+                    Output::SendDurable(envelope) => {
+                        self.parts.writer.enqueue_after(envelope.clone())
+                    }
                     other => {
                         other
                             .durable_write()
@@ -52,8 +54,8 @@
     fn write(&mut self) -> Result<(), pond_store::Error> {
         let was_full = self.parts.writer.full();
         let flushed = self.parts.writer.flush()?;
-        for letter in flushed.released {
-            self.send(letter);
+        for envelope in flushed.released {
+            self.send(envelope);
         }
         let now = self.parts.clock.now();
         if flushed.all_durable {
@@ -107,10 +109,10 @@
         Ok(())
     }
 
-    pub(super) fn send(&self, letter: Envelope) {
-        let name = self.names.get(&letter.to);
+    pub(super) fn send(&self, envelope: Envelope) {
+        let name = self.names.get(&envelope.to);
         if let Some((_, sender)) = name.and_then(|name| self.peers.get(name)) {
-            sender.send(Body::Quorum(letter));
+            sender.send(Body::Quorum(envelope));
         }
     }
 
--- a/crates/pond-control/src/replica/report.rs
+++ b/crates/pond-control/src/replica/report.rs
@@ -16,7 +16,7 @@
         });
         let version = self.state.version();
         let followers = self.publisher.followers();
-        let told = followers.len() as u32;
+        let follower_count = followers.len() as u32;
         let stragglers: Vec<_> =
             followers.into_iter().filter(|follower| follower.version < version).collect();
         Status {
@@ -25,8 +25,8 @@
             commit: self.core.commit(),
             members: members.collect(),
             version,
-            in_force: told - stragglers.len() as u32,
-            followers: told,
+            in_force: follower_count - stragglers.len() as u32,
+            followers: follower_count,
             stragglers,
             vms_open: self.state.vms().filter(|vm| vm.open()).count() as u32,
             vms: self.state.vms().count() as u32,
--- a/crates/pond-endpoint/src/serve.rs
+++ b/crates/pond-endpoint/src/serve.rs
@@ -164,7 +164,7 @@
         match body {
             Body::Offer(offer) => self.admission.offer(now, link.0, offer),
             Body::Revoke(offer) => self.admission.revoke(link.0, offer),
-            Body::FateRequest(ask) => self.admission.report_fates(link.0, ask),
+            Body::FateRequest(request) => self.admission.report_fates(link.0, request),
             _ => {}
         }
     }
--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -186,7 +186,7 @@
             Body::Refused(refuse) => self.router.offer_refused(now, process, refuse),
             Body::Answer(answer) => self.router.answered(now, process, answer),
             Body::AnswerLost(broken) => self.router.answer_lost(now, process, broken.offer),
-            Body::FateReply(tell) => self.router.fate_reported(now, process, tell),
+            Body::FateReply(reply) => self.router.fate_reported(now, process, reply),
             Body::Leave(leave) => self.router.endpoint_leaving(process, leave.task),
             _ => {}
         }
@@ -204,7 +204,7 @@
                     self.control.request_full_view();
                 }
             }
-            Notification::Claim(tell) => self.router.claim_decided(now, tell),
+            Notification::Claim(reply) => self.router.claim_decided(now, reply),
             Notification::LeaderLost => self.router.control_lost(now),
         }
     }
@@ -233,9 +233,9 @@
             Output::AskFate { process, offers } => {
                 self.send(process, Body::FateRequest(FateRequest { offers }));
             }
-            Output::Claim(ask) => {
-                let ticket = ask.ticket;
-                if !self.control.send_to_leader(Body::ClaimRequest(ask)) {
+            Output::Claim(request) => {
+                let ticket = request.ticket;
+                if !self.control.send_to_leader(Body::ClaimRequest(request)) {
                     self.router.claim_failed(self.now(), ticket);
                 }
             }
--- a/crates/pond-follow/src/control.rs
+++ b/crates/pond-follow/src/control.rs
@@ -92,11 +92,11 @@
         match event.kind {
             EventKind::Up { sender, .. } => self.link_up(link, sender),
             EventKind::Down(error) => return self.link_down(link, &error),
-            EventKind::Frame(Body::Heartbeat(beat)) => {
-                return self.heartbeat(&beat.leader, beat.term);
+            EventKind::Frame(Body::Heartbeat(heartbeat)) => {
+                return self.heartbeat(&heartbeat.leader, heartbeat.term);
             }
             EventKind::Frame(Body::View(delta)) => return Some(Notification::View(delta)),
-            EventKind::Frame(Body::ClaimReply(tell)) => return Some(Notification::Claim(tell)),
+            EventKind::Frame(Body::ClaimReply(reply)) => return Some(Notification::Claim(reply)),
             EventKind::Frame(_) => {}
         }
         None
--- a/crates/pond-intake/src/dispatcher.rs
+++ b/crates/pond-intake/src/dispatcher.rs
@@ -46,7 +46,7 @@
 /// A request that waits for an answer.
 #[derive(Debug)]
 struct Waiting {
-    ask: JobRequest,
+    request: JobRequest,
     /// Whether it was sent to a replica, which may have proposed it.
     sent: bool,
     deadline: Millis,
@@ -91,14 +91,14 @@
             self.outputs.push(Output::Answer { ticket, answer: Answer::NotRun });
             return ticket;
         }
-        let ask = JobRequest { ticket, target, verb: Some(verb) };
+        let request = JobRequest { ticket, target, verb: Some(verb) };
         if self.has_leader {
-            self.outputs.push(Output::Send(ask.clone()));
+            self.outputs.push(Output::Send(request.clone()));
         }
         let deadline = now + timeout_ms;
         self.waiting.insert(
             ticket,
-            Waiting { ask, sent: false, deadline, refused: false, resend_at: None },
+            Waiting { request, sent: false, deadline, refused: false, resend_at: None },
         );
         ticket
     }
@@ -118,7 +118,7 @@
         self.has_leader = true;
         for waiting in self.waiting.values_mut() {
             (waiting.refused, waiting.resend_at) = (false, None);
-            self.outputs.push(Output::Send(waiting.ask.clone()));
+            self.outputs.push(Output::Send(waiting.request.clone()));
         }
     }
 
@@ -144,10 +144,11 @@
     fn complete(&mut self, ticket: u64, answer: Answer) {
         let Some(waiting) = self.waiting.remove(&ticket) else { return };
         // An answered request must not be sent any more.
-        let sends = |output: &Output| matches!(output, Output::Send(ask) if ask.ticket == ticket);
+        let sends =
+            |output: &Output| matches!(output, Output::Send(request) if request.ticket == ticket);
         self.outputs.retain(|output| !sends(output));
         // Read-only requests change nothing, whether or not they were sent.
-        let read_only = matches!(waiting.ask.verb, Some(Verb::Look(_) | Verb::Count(_)));
+        let read_only = matches!(waiting.request.verb, Some(Verb::Look(_) | Verb::Count(_)));
         let answer = match answer {
             Answer::Unknown if read_only || !waiting.sent => Answer::NotRun,
             answer => answer,
@@ -160,7 +161,7 @@
         let leaderless = !self.has_leader && now.since(self.leader_lost_at) >= LEADER_WAIT_MS;
         let expired = |waiting: &&Waiting| leaderless || now >= waiting.deadline;
         let expired: Vec<u64> =
-            self.waiting.values().filter(expired).map(|waiting| waiting.ask.ticket).collect();
+            self.waiting.values().filter(expired).map(|waiting| waiting.request.ticket).collect();
         for ticket in expired {
             self.complete(ticket, Answer::Unknown);
         }
@@ -173,7 +174,7 @@
             let due = *waiting.resend_at.get_or_insert(now + RESEND_DELAY_MS);
             if self.has_leader && now >= due {
                 (waiting.refused, waiting.resend_at) = (false, None);
-                self.outputs.push(Output::Send(waiting.ask.clone()));
+                self.outputs.push(Output::Send(waiting.request.clone()));
             }
         }
     }
--- a/crates/pond-intake/src/intake.rs
+++ b/crates/pond-intake/src/intake.rs
@@ -152,7 +152,7 @@
                 self.last_leader_at = now;
                 self.dispatcher.leader_lost(now);
             }
-            Notification::Frame(Body::JobReply(tell)) => self.dispatcher.answered(tell),
+            Notification::Frame(Body::JobReply(reply)) => self.dispatcher.answered(reply),
             Notification::Frame(_) => {}
         }
     }
@@ -179,9 +179,9 @@
 
     fn execute(&mut self, output: Output) {
         match output {
-            Output::Send(ask) => {
-                let ticket = ask.ticket;
-                let sent = self.uplink.send(Body::JobRequest(ask));
+            Output::Send(request) => {
+                let ticket = request.ticket;
+                let sent = self.uplink.send(Body::JobRequest(request));
                 self.dispatcher.sent(ticket, sent);
             }
             Output::Answer { ticket, answer } => {
--- a/crates/pond-intake/tests/dispatcher.rs
+++ b/crates/pond-intake/tests/dispatcher.rs
@@ -9,7 +9,7 @@
     Verb::Submit(Submit { id: 1, spec: Spec::default() })
 }
 
-fn look() -> Verb {
+fn list_request() -> Verb {
     Verb::Look(JobRef { id: 1 })
 }
 
@@ -46,9 +46,9 @@
         for _ in 0..2 {
             for output in self.dispatcher.tick(self.now) {
                 match output {
-                    Output::Send(ask) => {
+                    Output::Send(request) => {
                         self.sent += usize::from(!self.link_full);
-                        self.dispatcher.sent(ask.ticket, !self.link_full);
+                        self.dispatcher.sent(request.ticket, !self.link_full);
                     }
                     Output::Answer { answer, .. } => self.answers.push(answer),
                 }
@@ -118,7 +118,7 @@
 #[test]
 fn read_only_request_is_never_unknown() {
     let mut harness = Harness::new(true);
-    harness.request(look());
+    harness.request(list_request());
     harness.advance(2_000);
     assert_eq!(harness.answers, [Answer::NotRun]);
 }
--- a/crates/pond-job/benches/plan.rs
+++ b/crates/pond-job/benches/plan.rs
@@ -169,13 +169,13 @@
         let mut state = State::new();
         state.apply(Change::Configure(configuration()));
         state.apply(Change::Learned(estimates()));
-        let terms = Timing {
+        let timing = Timing {
             lease_ms: 6_000,
             drift_permille: 20,
             timer_slack_ms: 100,
             retention_ms: 60_000,
         };
-        let leader = Leader::new(7, terms, Millis(FIRST_TICK.0 - 2_000))
+        let leader = Leader::new(7, timing, Millis(FIRST_TICK.0 - 2_000))
             .with_estimates(&estimates(), FIRST_TICK);
         let mut cluster = Cluster { state, leader, now: FIRST_TICK, workers, reports: 0 };
         for worker in 0..workers {
--- a/crates/pond-job/src/lead/order.rs
+++ b/crates/pond-job/src/lead/order.rs
@@ -209,7 +209,7 @@
     ticket: &str,
 ) -> Option<StartOrder> {
     let job = state.job(run.task.job)?;
-    let save = job.task(run.task)?.checkpoint.clone();
+    let checkpoint = job.task(run.task)?.checkpoint.clone();
     let text = job.spec.text.clone();
-    Some(StartOrder { run, text, checkpoint: save, watch: watch?, ticket: ticket.to_owned() })
+    Some(StartOrder { run, text, checkpoint, watch: watch?, ticket: ticket.to_owned() })
 }
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -78,32 +78,32 @@
         }
     }
 
-    fn apply_end(&mut self, run: RunName, how: EndReason, checkpoint: String) {
+    fn apply_end(&mut self, run: RunName, reason: EndReason, checkpoint: String) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         job.begun = true;
         let max_attempts = job.max_attempts;
         let Some(step) = job.step(run.task) else { return };
-        let (lasting, gang) = (step.long_running, step.gang);
+        let (long_running, gang) = (step.long_running, step.gang);
         let Some(task) = job.task_mut(run.task) else { return };
         if !checkpoint.is_empty() {
             task.checkpoint = checkpoint;
         }
         let newest = task.run == run.number;
-        if how == EndReason::Done && newest {
+        if reason == EndReason::Done && newest {
             task.suspicion = None;
         }
         // A failure does not clear the task: a worker on which every run fails shows nothing about the task's effect on
         // others.
-        let suspicion = task.suspicion.as_mut().filter(|_| how == EndReason::Failed && newest);
+        let suspicion = task.suspicion.as_mut().filter(|_| reason == EndReason::Failed && newest);
         let given_up = suspicion.is_some_and(|suspicion| {
             suspicion.record_failure();
             suspicion.is_culprit()
         });
-        match how {
-            EndReason::Done if !lasting => self.complete_task(run.task, gang),
+        match reason {
+            EndReason::Done if !long_running => self.complete_task(run.task, gang),
             EndReason::Failed => {
-                task.failures += u32::from(!lasting);
-                let exhausted = !lasting && task.failures >= max_attempts;
+                task.failures += u32::from(!long_running);
+                let exhausted = !long_running && task.failures >= max_attempts;
                 if (exhausted || given_up) && !job.phase.ended() {
                     job.phase = Phase::Failed;
                 }
--- a/crates/pond-job/tests/assumptions.rs
+++ b/crates/pond-job/tests/assumptions.rs
@@ -54,12 +54,12 @@
 }
 
 /// Ends several runs in one report.
-fn end_all(harness: &mut Harness, incarnation: &str, runs: &[RunName], how: EndReason) {
+fn end_all(harness: &mut Harness, incarnation: &str, runs: &[RunName], reason: EndReason) {
     let vm = harness.vms.get_mut(incarnation).unwrap();
     for run in runs {
         vm.runs.remove(run);
         let number = vm.ends.len() as u64 + 1;
-        vm.ends.push(EndRow { number, run: *run, how: how as i32, checkpoint: String::new() });
+        vm.ends.push(EndRow { number, run: *run, how: reason as i32, checkpoint: String::new() });
     }
     harness.report(incarnation);
     harness.run_until_idle();
--- a/crates/pond-job/tests/simulation/worker.rs
+++ b/crates/pond-job/tests/simulation/worker.rs
@@ -185,13 +185,13 @@
         Reply::Done
     }
 
-    fn end(&mut self, name: RunName, how: EndReason) {
+    fn end(&mut self, name: RunName, reason: EndReason) {
         let Some(run) = self.runs.remove(&name) else { return };
-        let save = run.checkpoint();
+        let checkpoint = run.checkpoint();
         self.last_end += 1;
         let ended = self.ended.entry(name.task).or_default();
         *ended = name.number.max(*ended);
-        let end = EndRow { number: self.last_end, run: name, how: how as i32, checkpoint: save };
+        let end = EndRow { number: self.last_end, run: name, how: reason as i32, checkpoint };
         self.ends.push(end);
     }
 
@@ -226,14 +226,14 @@
             if self.health != Health::Stalled {
                 run.make_progress(*name, span, rate, complete_gangs);
             }
-            if let Some(how) = run.end_reason(*name, now, complete_gangs, self.health) {
-                ends.push((*name, how));
+            if let Some(reason) = run.end_reason(*name, now, complete_gangs, self.health) {
+                ends.push((*name, reason));
             } else if lease_expired {
                 ends.push((*name, EndReason::Lapsed));
             }
         }
-        for (name, how) in ends {
-            self.end(name, how);
+        for (name, reason) in ends {
+            self.end(name, reason);
         }
     }
 
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -70,8 +70,8 @@
 
 /// Returns the best-effort runs that are placed.
 fn best_effort_runs(harness: &Harness) -> Vec<RunName> {
-    let fills = |run: &RunName| (2..1_000).contains(&run.task.job);
-    harness.state.placed("a").filter(fills).collect()
+    let is_best_effort = |run: &RunName| (2..1_000).contains(&run.task.job);
+    harness.state.placed("a").filter(is_best_effort).collect()
 }
 
 /// When the placed best-effort runs end.
--- a/crates/pond-job/tests/support/crashing.rs
+++ b/crates/pond-job/tests/support/crashing.rs
@@ -192,14 +192,8 @@
         let machine = &self.machines[index];
         let end = machine.down.map_or(self.harness.now, |(since, _)| since);
         let row = |(run, began): (&RunName, &Millis)| {
-            let lived_ms = end.since(*began) as u32;
-            RunRow {
-                run: *run,
-                percent: 10,
-                survived_ms: lived_ms,
-                confirmed_up: true,
-                ..RunRow::default()
-            }
+            let survived_ms = end.since(*began) as u32;
+            RunRow { run: *run, percent: 10, survived_ms, confirmed_up: true, ..RunRow::default() }
         };
         machine.runs.iter().map(row).collect()
     }
--- a/crates/pond-job/tests/support/mod.rs
+++ b/crates/pond-job/tests/support/mod.rs
@@ -304,21 +304,21 @@
     }
 
     /// Ends a run on a worker, which reports it.
-    pub fn end(&mut self, incarnation: &str, run: RunName, how: EndReason) {
-        self.end_with_checkpoint(incarnation, run, how, "");
+    pub fn end(&mut self, incarnation: &str, run: RunName, reason: EndReason) {
+        self.end_with_checkpoint(incarnation, run, reason, "");
     }
 
     pub fn end_with_checkpoint(
         &mut self,
         incarnation: &str,
         run: RunName,
-        how: EndReason,
-        save: &str,
+        reason: EndReason,
+        checkpoint: &str,
     ) {
         let Some(vm) = self.vms.get_mut(incarnation) else { return };
         vm.runs.remove(&run);
         let number = vm.ends.len() as u64 + 1;
-        vm.ends.push(EndRow { number, run, how: how as i32, checkpoint: save.to_owned() });
+        vm.ends.push(EndRow { number, run, how: reason as i32, checkpoint: checkpoint.to_owned() });
         self.report(incarnation);
         self.run_until_idle();
     }
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -28,12 +28,12 @@
 
 fn loss(number: u32, verdict: Verdict) -> Change {
     // A run that was only co-located with the cause of a loss had run for a while.
-    let lived_ms = if verdict == Verdict::Beside { 3_000 } else { 0 };
-    loss_after(number, verdict, lived_ms)
+    let survived_ms = if verdict == Verdict::Beside { 3_000 } else { 0 };
+    loss_after(number, verdict, survived_ms)
 }
 
-fn loss_after(number: u32, verdict: Verdict, lived_ms: Span) -> Change {
-    let blame = vec![Blame::new(run(number), verdict, lived_ms)];
+fn loss_after(number: u32, verdict: Verdict, survived_ms: Span) -> Change {
+    let blame = vec![Blame::new(run(number), verdict, survived_ms)];
     let worker = format!("worker-{number}");
     Change::WorkerLost { worker, checkpoints: vec![], ended: true, blame }
 }
@@ -241,9 +241,9 @@
     met: bool,
     left: bool,
 ) {
-    let row = |(run, lived_ms): &(RunName, u32)| RunRow {
+    let row = |(run, survived_ms): &(RunName, u32)| RunRow {
         run: *run,
-        survived_ms: *lived_ms,
+        survived_ms: *survived_ms,
         confirmed_up: met,
         ..RunRow::default()
     };
@@ -337,7 +337,8 @@
 
 #[test]
 fn each_loss_of_a_run_that_had_just_begun_is_reported_to_operators() {
-    let is_reported = |verdict, lived_ms| Blame::new(run(1), verdict, lived_ms).is_reportable();
+    let is_reported =
+        |verdict, survived_ms| Blame::new(run(1), verdict, survived_ms).is_reportable();
     assert!(is_reported(Verdict::Beside, 99) && is_reported(Verdict::Suspected, 5_000));
     assert!(!is_reported(Verdict::Beside, 100));
 }
--- a/crates/pond-link/tests/silence.rs
+++ b/crates/pond-link/tests/silence.rs
@@ -48,7 +48,7 @@
 
     async fn expect_frame(&mut self, term: u64) {
         match self.event().await.kind {
-            EventKind::Frame(Body::Heartbeat(beat)) => assert_eq!(beat.term, term),
+            EventKind::Frame(Body::Heartbeat(heartbeat)) => assert_eq!(heartbeat.term, term),
             other => panic!("no frame: {other:?}"),
         }
     }
--- a/crates/pond-quorum/src/election.rs
+++ b/crates/pond-quorum/src/election.rs
@@ -13,8 +13,8 @@
     ///
     /// It may not while it leads itself or has heard from a leader within the shortest election
     /// timeout, unless that leader requested the election.
-    pub(crate) fn accepts_candidate(&self, now: Millis, handover: bool) -> bool {
-        if handover {
+    pub(crate) fn accepts_candidate(&self, now: Millis, leadership_transfer: bool) -> bool {
+        if leadership_transfer {
             return true;
         }
         if matches!(self.state, State::Leader(_)) {
@@ -38,7 +38,7 @@
         self.request_votes(true, false);
     }
 
-    pub(crate) fn start_vote(&mut self, now: Millis, handover: bool) {
+    pub(crate) fn start_vote(&mut self, now: Millis, leadership_transfer: bool) {
         self.reset_deadline(now);
         self.hard.term += 1;
         self.hard.vote = self.id;
@@ -49,22 +49,23 @@
             self.become_leader(now);
             return;
         }
-        self.request_votes(false, handover);
+        self.request_votes(false, leadership_transfer);
     }
 
-    fn request_votes(&mut self, pre: bool, handover: bool) {
+    fn request_votes(&mut self, pre_vote: bool, leadership_transfer: bool) {
         let request = VoteRequest {
-            pre_vote: pre,
+            pre_vote,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            leadership_transfer: handover,
+            leadership_transfer,
         };
         let voters: Vec<u64> = self.lists.current().voters().filter(|id| *id != self.id).collect();
         for to in voters {
             let mut message = self.message_to(to, Body::VoteRequest(request));
-            message.term += u64::from(pre);
+            message.term += u64::from(pre_vote);
             // The candidate's vote for itself must be durable before it counts.
-            let output = if pre { Output::Send(message) } else { Output::SendDurable(message) };
+            let output =
+                if pre_vote { Output::Send(message) } else { Output::SendDurable(message) };
             self.outputs.push(output);
         }
     }
--- a/crates/pond-quorum/src/follower.rs
+++ b/crates/pond-quorum/src/follower.rs
@@ -44,8 +44,8 @@
         let round = append.round;
         let reply = match self.merge(append) {
             Ok(index) => AppendReply { matched: true, index, conflict_term: 0, round },
-            Err((index, hint_term)) => {
-                AppendReply { matched: false, index, conflict_term: hint_term, round }
+            Err((index, conflict_term)) => {
+                AppendReply { matched: false, index, conflict_term, round }
             }
         };
         self.send_durable(from, Body::AppendReply(reply));
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's part: replication, commit, reads, members, and the handover of leadership.
+//! The leader's part: replication, commit, reads, members, and the transfer of leadership.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,12 +31,12 @@
     reads: VecDeque<Read>,
     heartbeat_sent: Millis,
     since: Millis,
-    handover: Option<(u64, Millis)>,
+    transfer: Option<(u64, Millis)>,
 }
 
 impl LeaderState {
     pub(crate) fn handing_over(&self) -> bool {
-        self.handover.is_some()
+        self.transfer.is_some()
     }
 }
 
@@ -57,7 +57,7 @@
             reads: VecDeque::new(),
             heartbeat_sent: now,
             since: now,
-            handover: None,
+            transfer: None,
         });
         // The first entry holds the members, so that all replicas agree on them.
         let members = self.lists.current().encode_to_vec();
@@ -117,7 +117,7 @@
             self.become_follower(now, self.hard.term, None);
             return;
         }
-        if leading.handover.is_some_and(|(_, until)| now >= until) {
+        if leading.transfer.is_some_and(|(_, until)| now >= until) {
             // The request to take over may still be in transit, so the lease of this term is no longer safe.
             self.become_follower(now, self.hard.term, None);
             return;
@@ -378,14 +378,14 @@
         let voters = leading.progress.iter().filter(|(id, _)| members.is_voter(**id));
         let best = voters.max_by_key(|(_, progress)| (progress.matched, progress.heard));
         let Some(best) = best.map(|(id, _)| *id) else { return };
-        leading.handover = Some((best, until));
+        leading.transfer = Some((best, until));
         self.hand_over_if_ready(best);
     }
 
     fn hand_over_if_ready(&mut self, id: u64) {
         let last = self.log.last_index();
         let State::Leader(leading) = &self.state else { return };
-        let chosen = leading.handover.is_some_and(|(chosen, _)| chosen == id);
+        let chosen = leading.transfer.is_some_and(|(chosen, _)| chosen == id);
         let caught_up = leading.progress.get(&id).is_some_and(|p| p.matched == last);
         if chosen && caught_up {
             self.send(id, Body::TakeOver(TakeOver {}));
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -44,7 +44,7 @@
     })
 }
 
-fn ask(last_index: u64, last_term: u64) -> VoteRequest {
+fn vote_request(last_index: u64, last_term: u64) -> VoteRequest {
     VoteRequest { pre_vote: false, last_index, last_term, leadership_transfer: false }
 }
 
@@ -61,18 +61,18 @@
 #[test]
 fn vote_is_given_once_per_term_to_an_up_to_date_log() {
     let table: [(&str, u64, u64, u64, VoteRequest, bool); 8] = [
-        ("an equal log", 0, AFTER_TIMEOUT, 6, ask(2, 4), true),
-        ("a longer log", 0, AFTER_TIMEOUT, 6, ask(9, 4), true),
-        ("a shorter log of a later term", 0, AFTER_TIMEOUT, 6, ask(1, 5), true),
-        ("a shorter log", 0, AFTER_TIMEOUT, 6, ask(1, 4), false),
-        ("a longer log of an earlier term", 0, AFTER_TIMEOUT, 6, ask(9, 3), false),
-        ("an older term", 0, AFTER_TIMEOUT, 4, ask(9, 4), false),
-        ("a second candidate of the term", 3, AFTER_TIMEOUT, TERM, ask(2, 4), false),
-        ("the same candidate again", 2, AFTER_TIMEOUT, TERM, ask(2, 4), true),
+        ("an equal log", 0, AFTER_TIMEOUT, 6, vote_request(2, 4), true),
+        ("a longer log", 0, AFTER_TIMEOUT, 6, vote_request(9, 4), true),
+        ("a shorter log of a later term", 0, AFTER_TIMEOUT, 6, vote_request(1, 5), true),
+        ("a shorter log", 0, AFTER_TIMEOUT, 6, vote_request(1, 4), false),
+        ("a longer log of an earlier term", 0, AFTER_TIMEOUT, 6, vote_request(9, 3), false),
+        ("an older term", 0, AFTER_TIMEOUT, 4, vote_request(9, 4), false),
+        ("a second candidate of the term", 3, AFTER_TIMEOUT, TERM, vote_request(2, 4), false),
+        ("the same candidate again", 2, AFTER_TIMEOUT, TERM, vote_request(2, 4), true),
     ];
-    for (name, vote, now, term, ask, expected) in table {
+    for (name, vote, now, term, request, expected) in table {
         let mut core = replica(vote);
-        let reply = granted(answer(&mut core, now, term, Body::VoteRequest(ask)));
+        let reply = granted(answer(&mut core, now, term, Body::VoteRequest(request)));
         assert_eq!(reply, Some(expected), "{name}");
     }
 }
@@ -80,7 +80,10 @@
 #[test]
 fn restarted_replica_does_not_vote_before_the_election_timeout() {
     let mut core = replica(0);
-    assert_eq!(granted(answer(&mut core, 1100, 6, Body::VoteRequest(ask(9, 9)))), Some(false));
+    assert_eq!(
+        granted(answer(&mut core, 1100, 6, Body::VoteRequest(vote_request(9, 9)))),
+        Some(false)
+    );
     assert_eq!(core.term(), TERM, "its term must stay, so that it still follows the leader");
 }
 
@@ -94,13 +97,13 @@
     let mut core = replica(0);
     answer(&mut core, AFTER_TIMEOUT, TERM, heartbeat(Vec::new()));
     assert_eq!(
-        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(ask(9, 9)))),
+        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(vote_request(9, 9)))),
         Some(false)
     );
     assert_eq!(core.term(), TERM);
-    let handover = VoteRequest { leadership_transfer: true, ..ask(9, 9) };
+    let transfer_request = VoteRequest { leadership_transfer: true, ..vote_request(9, 9) };
     assert_eq!(
-        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(handover))),
+        granted(answer(&mut core, AFTER_TIMEOUT + 100, 6, Body::VoteRequest(transfer_request))),
         Some(true)
     );
 }
@@ -108,11 +111,14 @@
 #[test]
 fn pre_vote_changes_neither_term_nor_vote() {
     let mut core = replica(0);
-    let pre = VoteRequest { pre_vote: true, ..ask(9, 9) };
-    assert_eq!(granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(pre))), Some(true));
+    let pre_vote = VoteRequest { pre_vote: true, ..vote_request(9, 9) };
+    assert_eq!(
+        granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(pre_vote))),
+        Some(true)
+    );
     assert_eq!(core.term(), TERM);
     assert_eq!(
-        granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(ask(9, 9)))),
+        granted(answer(&mut core, AFTER_TIMEOUT, 6, Body::VoteRequest(vote_request(9, 9)))),
         Some(true)
     );
 }
@@ -137,15 +143,17 @@
         let entries = vec![entry(previous_index + 1, TERM)];
         let append = Append { previous_index, previous_term, entries, commit: 0, round: 1 };
         let reply = answer(&mut core, AFTER_TIMEOUT, TERM, Body::Append(append));
-        let fitted = matches!(reply, Some(Body::AppendReply(reply)) if reply.matched);
-        assert_eq!((fitted, core.last_index()), (fits, if fits { 3 } else { 2 }), "{name}");
+        let matched = matches!(reply, Some(Body::AppendReply(reply)) if reply.matched);
+        assert_eq!((matched, core.last_index()), (fits, if fits { 3 } else { 2 }), "{name}");
     }
 }
 
 #[test]
 fn votes_and_acknowledgements_wait_for_the_disk() {
-    let cases: [(&str, Body); 2] =
-        [("an append", heartbeat(vec![entry(3, TERM)])), ("a vote", Body::VoteRequest(ask(9, 4)))];
+    let cases: [(&str, Body); 2] = [
+        ("an append", heartbeat(vec![entry(3, TERM)])),
+        ("a vote", Body::VoteRequest(vote_request(9, 4))),
+    ];
     for (name, body) in cases {
         let mut core = replica(0);
         let message = Envelope { from: 2, to: 1, term: 6, body: Some(body) };
@@ -161,7 +169,7 @@
 fn leader() -> Core {
     let mut core = replica(0);
     core.step(Millis(AFTER_TIMEOUT), Input::Tick);
-    let vote = |pre| Body::VoteReply(VoteReply { pre_vote: pre, granted: true });
+    let vote = |pre_vote| Body::VoteReply(VoteReply { pre_vote, granted: true });
     answer(&mut core, AFTER_TIMEOUT, TERM + 1, vote(true));
     let message = Envelope { from: 2, to: 1, term: TERM + 1, body: Some(vote(false)) };
     core.step(Millis(AFTER_TIMEOUT), Input::Message(message));
--- a/crates/pond-replica/src/callers.rs
+++ b/crates/pond-replica/src/callers.rs
@@ -14,20 +14,20 @@
 
 impl Replica {
     /// Handles a caller's request that an entry forwarded.
-    pub(crate) fn caller_request(&mut self, now: Millis, link: LinkKey, ask: JobRequest) {
-        let Some(verb) = ask.verb else { return };
-        let ticket = ask.ticket;
+    pub(crate) fn caller_request(&mut self, now: Millis, link: LinkKey, request: JobRequest) {
+        let Some(verb) = request.verb else { return };
+        let ticket = request.ticket;
         if !self.holds_lease(now) || self.stopping.is_some() {
             self.send_answer(link, answer(ticket, Outcome::NotLeader));
             return;
         }
-        if let Some(outcome) = self.refusal(&ask.target) {
+        if let Some(outcome) = self.refusal(&request.target) {
             self.send_answer(link, answer(ticket, outcome));
             return;
         }
         match verb {
-            Verb::Submit(submit) => self.submit(now, link, ticket, ask.target, submit),
-            Verb::Cancel(job) => self.cancel(now, link, ticket, ask.target, job.id),
+            Verb::Submit(submit) => self.submit(now, link, ticket, request.target, submit),
+            Verb::Cancel(job) => self.cancel(now, link, ticket, request.target, job.id),
             Verb::Look(job) => {
                 let known = self.state.job(job.id).map(|job| job.phase);
                 let answer = match known {
@@ -41,7 +41,7 @@
                 self.send_answer(link, answer);
             }
             Verb::Count(_) => {
-                let count = self.waiting_jobs(&ask.target);
+                let count = self.waiting_jobs(&request.target);
                 self.send_answer(link, JobReply { count, ..answer(ticket, Outcome::Counted) });
             }
         }
@@ -132,10 +132,10 @@
         }
     }
 
-    fn send_answer(&self, link: LinkKey, tell: JobReply) {
+    fn send_answer(&self, link: LinkKey, reply: JobReply) {
         if let Some(client) = self.clients.get(&link) {
             // If the link is full, the message is lost; the entry retries or times out.
-            client.sender.send(Body::JobReply(tell));
+            client.sender.send(Body::JobReply(reply));
         }
     }
 }
--- a/crates/pond-replica/src/peers.rs
+++ b/crates/pond-replica/src/peers.rs
@@ -177,7 +177,7 @@
                 _ => {}
             },
             Body::LeaderInfo(lead) => self.peers.add_addresses(&lead.replicas),
-            Body::JobRequest(ask) => self.caller_request(now, link, ask),
+            Body::JobRequest(request) => self.caller_request(now, link, request),
             Body::Report(report) => self.report(now, link, report),
             _ => {}
         }
--- a/crates/pond-route/src/admission.rs
+++ b/crates/pond-route/src/admission.rs
@@ -473,8 +473,8 @@
     }
 
     /// Answers an entry that asks for the fate of offers made on an earlier link.
-    pub fn report_fates(&mut self, link: Link, ask: FateRequest) {
-        for offer in ask.offers {
+    pub fn report_fates(&mut self, link: Link, request: FateRequest) {
+        for offer in request.offers {
             if self.links.get(&offer.id.incarnation) != Some(&link) {
                 continue;
             }
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -18,7 +18,7 @@
         pending.stage = Stage::Claiming;
         pending.not_before = Micros(u64::MAX);
         let content = &pending.request.content;
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             ticket,
             service: content.service.clone(),
             key: content.key.clone(),
@@ -26,7 +26,7 @@
             id,
         };
         self.tickets.insert(ticket, id);
-        self.outputs.push(Output::Claim(ask));
+        self.outputs.push(Output::Claim(request));
     }
 
     /// Handles control's decision on a claim.
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -44,25 +44,25 @@
     /// Asks a process for the fate of offers whose link was lost. Offers to an earlier incarnation of
     /// the process may have run, and their answers are lost.
     pub(super) fn resolve_offers(&mut self, now: Micros, process: ProcessKey, incarnation: u64) {
-        let mut ask = Vec::new();
+        let mut offer_ids = Vec::new();
         let mut lost = Vec::new();
         for (id, pending) in &self.pending {
             for offer in pending.offers.iter().filter(|offer| offer.process == process) {
                 let offer_id = OfferId { id: *id, attempt: offer.attempt };
                 match offer.state {
                     OfferState::Unresolved if offer.incarnation == incarnation => {
-                        ask.push(offer_id)
+                        offer_ids.push(offer_id)
                     }
                     OfferState::Unresolved => lost.push(offer_id),
                     _ => {}
                 }
             }
         }
-        ask.sort_unstable();
+        offer_ids.sort_unstable();
         lost.sort_unstable();
         lost.into_iter().for_each(|offer| self.answer_lost(now, process, offer));
-        if !ask.is_empty() {
-            self.outputs.push(Output::AskFate { process, offers: ask });
+        if !offer_ids.is_empty() {
+            self.outputs.push(Output::AskFate { process, offers: offer_ids });
         }
     }
 
--- a/crates/pond-state/src/place.rs
+++ b/crates/pond-state/src/place.rs
@@ -111,9 +111,9 @@
     pub(crate) fn refresh_wanting(&mut self, name: &str) {
         let wants = self.units.get(name).is_some_and(|record| record.missing().next().is_some());
         if wants {
-            self.wanting.insert(name.to_owned());
+            self.incomplete_units.insert(name.to_owned());
         } else {
-            self.wanting.remove(name);
+            self.incomplete_units.remove(name);
         }
     }
 
--- a/crates/pond-state/src/state.rs
+++ b/crates/pond-state/src/state.rs
@@ -27,7 +27,8 @@
     pub(crate) vms: BTreeMap<VmKey, VmRecord>,
     pub(crate) vm_names: BTreeMap<String, VmKey>,
     pub(crate) units: BTreeMap<UnitName, UnitRecord>,
-    pub(crate) wanting: BTreeSet<UnitName>,
+    #[serde(rename = "wanting")]
+    pub(crate) incomplete_units: BTreeSet<UnitName>,
     pub(crate) tasks: BTreeMap<TaskKey, Task>,
     pub(crate) by_vm: BTreeMap<VmKey, BTreeSet<TaskKey>>,
     pub(crate) quotas: BTreeMap<String, Size>,
@@ -134,7 +135,7 @@
 
     /// Returns the units that have fewer tasks than they need.
     pub fn incomplete_units(&self) -> impl Iterator<Item = &UnitRecord> {
-        self.wanting.iter().filter_map(|name| self.units.get(name))
+        self.incomplete_units.iter().filter_map(|name| self.units.get(name))
     }
 
     /// Returns the number of tasks.
--- a/crates/pond-test/src/request_path.rs
+++ b/crates/pond-test/src/request_path.rs
@@ -417,7 +417,7 @@
                 match body {
                     Body::Offer(offer) => admission.offer(now, link, offer),
                     Body::Revoke(offer) => admission.revoke(link, offer),
-                    Body::FateRequest(ask) => admission.report_fates(link, ask),
+                    Body::FateRequest(request) => admission.report_fates(link, request),
                     _ => {}
                 }
             }
@@ -459,7 +459,7 @@
             Body::Refused(refuse) => router.offer_refused(now, key, refuse),
             Body::Answer(answer) => router.answered(now, key, answer),
             Body::AnswerLost(broken) => router.answer_lost(now, key, broken.offer),
-            Body::FateReply(tell) => router.fate_reported(now, key, tell),
+            Body::FateReply(reply) => router.fate_reported(now, key, reply),
             Body::Leave(leave) => router.endpoint_leaving(key, leave.task),
             _ => {}
         }
@@ -500,17 +500,18 @@
                 self.send(entry, process, Body::Revoke(offer));
             }
             Output::AskFate { process, offers } => {
-                let ask = pond_proto::wire::FateRequest { offers };
-                self.send(entry, process, Body::FateRequest(ask));
+                let request = pond_proto::wire::FateRequest { offers };
+                self.send(entry, process, Body::FateRequest(request));
             }
-            Output::Claim(ask) => {
+            Output::Claim(request) => {
                 if !self.control_available {
-                    return self.entries[entry].claim_failed(now, ask.ticket);
+                    return self.entries[entry].claim_failed(now, request.ticket);
                 }
-                let holder = *self.claims.entry(ask.key).or_insert(ask.id);
-                let verdict = if holder == ask.id { Verdict::Granted } else { Verdict::Held };
-                let tell = ClaimReply { ticket: ask.ticket, verdict: verdict as i32, answer: None };
-                self.entries[entry].claim_decided(now, tell);
+                let holder = *self.claims.entry(request.key).or_insert(request.id);
+                let verdict = if holder == request.id { Verdict::Granted } else { Verdict::Held };
+                let reply =
+                    ClaimReply { ticket: request.ticket, verdict: verdict as i32, answer: None };
+                self.entries[entry].claim_decided(now, reply);
             }
             Output::EndClaim(end) => {
                 if end.not_run && self.claims.get(&end.key) == Some(&end.id) {
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -55,7 +55,7 @@
                     assert!(sender.send(Body::LeaderInfo(self.lead.clone())));
                     self.clients.push((link, sender));
                 }
-                EventKind::Frame(Body::JobRequest(ask)) => return (link, ask.ticket),
+                EventKind::Frame(Body::JobRequest(request)) => return (link, request.ticket),
                 EventKind::Frame(other) => panic!("not a request: {other:?}"),
                 EventKind::Down(_) => self.clients.retain(|(other, _)| *other != link),
             }
@@ -121,7 +121,7 @@
     /// Waits for the reply to a request.
     async fn expect_reply(&mut self, ticket: u64) {
         match self.next_notification().await {
-            Notification::Frame(Body::JobReply(tell)) => assert_eq!(tell.ticket, ticket),
+            Notification::Frame(Body::JobReply(reply)) => assert_eq!(reply.ticket, ticket),
             other => panic!("not a reply: {other:?}"),
         }
     }
