--- a/crates/pond-job/src/job.rs
+++ b/crates/pond-job/src/job.rs
@@ -31,8 +31,9 @@
     pub target_at: Millis,
     /// The current phase.
     pub phase: Phase,
-    /// Tasks by occurrence of a repeated job and by step; empty once the job has ended and nothing of it runs.
-    pub times: Vec<Vec<Vec<Task>>>,
+    /// Tasks by repetition of the job and by step; empty once the job has ended and nothing of it runs.
+    #[serde(rename = "times")]
+    pub repetitions: Vec<Vec<Vec<Task>>>,
     /// Number of tasks that are not done.
     #[serde(rename = "open")]
     pub unfinished: usize,
@@ -85,31 +86,32 @@
 
     /// Returns the task with a name.
     pub fn task(&self, name: TaskName) -> Option<&Task> {
-        let steps = self.times.get(name.repetition as usize)?;
+        let steps = self.repetitions.get(name.repetition as usize)?;
         steps.get(name.step as usize)?.get(name.index as usize)
     }
 
     pub(crate) fn task_mut(&mut self, name: TaskName) -> Option<&mut Task> {
-        let steps = self.times.get_mut(name.repetition as usize)?;
+        let steps = self.repetitions.get_mut(name.repetition as usize)?;
         steps.get_mut(name.step as usize)?.get_mut(name.index as usize)
     }
 
     /// Returns the placed runs, each with its worker incarnation; `id` is the id of this job.
     pub fn placements(&self, id: u64) -> impl Iterator<Item = (RunName, &str)> {
-        let steps = self.times.iter().zip(0..).flat_map(|(steps, time)| {
-            steps.iter().zip(0..).map(move |(tasks, step)| (time, step, tasks))
+        let steps = self.repetitions.iter().zip(0..).flat_map(|(steps, repetition)| {
+            steps.iter().zip(0..).map(move |(tasks, step)| (repetition, step, tasks))
         });
-        steps.flat_map(move |(time, step, tasks)| {
+        steps.flat_map(move |(repetition, step, tasks)| {
             tasks.iter().zip(0..).filter_map(move |(task, index)| {
-                let name = TaskName { job: id, repetition: time, step, index };
+                let name = TaskName { job: id, repetition, step, index };
                 Some((RunName { task: name, number: task.run }, task.worker.as_deref()?))
             })
         })
     }
 
-    /// Returns whether all steps before a step are done, in one occurrence of the job.
-    pub fn is_step_ready(&self, occurrence: usize, step: usize) -> bool {
-        let (Some(steps), Some(spec)) = (self.times.get(occurrence), self.spec.steps.get(step))
+    /// Returns whether all steps before a step are done, in one repetition of the job.
+    pub fn is_step_ready(&self, repetition: usize, step: usize) -> bool {
+        let (Some(steps), Some(spec)) =
+            (self.repetitions.get(repetition), self.spec.steps.get(step))
         else {
             return false;
         };
@@ -120,11 +122,11 @@
         spec.after.iter().all(done)
     }
 
-    /// Returns when an occurrence of the job is due, on the operators' clock.
-    pub fn due(&self, occurrence: usize) -> Millis {
+    /// Returns when a repetition of the job is due, on the operators' clock.
+    pub fn due(&self, repetition: usize) -> Millis {
         match &self.spec.repeat {
             Some(repeat) => {
-                let since_first = repeat.every_ms.saturating_mul(occurrence as u64);
+                let since_first = repeat.every_ms.saturating_mul(repetition as u64);
                 Millis(repeat.first_ms.saturating_add(since_first))
             }
             None => self.submitted_at,
--- a/crates/pond-job/src/lead/advice.rs
+++ b/crates/pond-job/src/lead/advice.rs
@@ -24,28 +24,28 @@
 /// must still reach the worker.
 const TICKET_MARGIN_DIVISOR: Span = 4;
 
-/// A step in one occurrence of a job. A repeated job has several occurrences, any other job has
+/// A step in one repetition of a job. A repeated job has several repetitions, any other job has
 /// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepName {
     /// The job.
     pub job: u64,
-    /// Index of the occurrence of the job.
-    pub time: u32,
+    /// Index of the repetition of the job.
+    pub repetition: u32,
     /// Index of the step.
     pub step: u32,
 }
 
 impl From<TaskName> for StepName {
     fn from(task: TaskName) -> StepName {
-        StepName { job: task.job, time: task.repetition, step: task.step }
+        StepName { job: task.job, repetition: task.repetition, step: task.step }
     }
 }
 
 impl fmt::Display for StepName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let StepName { job, time, step } = self;
-        write!(f, "{job:016x}.{time}.{step}")
+        let StepName { job, repetition, step } = self;
+        write!(f, "{job:016x}.{repetition}.{step}")
     }
 }
 
--- a/crates/pond-job/src/lead/duration.rs
+++ b/crates/pond-job/src/lead/duration.rs
@@ -148,10 +148,11 @@
         self.jobs.get(queue).map(|mean| mean.sum / mean.weight)
     }
 
-    /// Returns the work of the counted tasks in an occurrence of a job, in thousandths of a
+    /// Returns the work of the counted tasks in a repetition of a job, in thousandths of a
     /// processor times milliseconds.
-    pub fn work(&self, job: &Job, time: usize, counts: impl Fn(&Task) -> bool) -> f64 {
-        let steps = job.spec.steps.iter().zip(job.times.get(time).into_iter().flatten());
+    pub fn work(&self, job: &Job, repetition: usize, counts: impl Fn(&Task) -> bool) -> f64 {
+        let steps =
+            job.spec.steps.iter().zip(job.repetitions.get(repetition).into_iter().flatten());
         let of_step = |(step, tasks): (&Step, &Vec<Task>)| {
             let count = tasks.iter().filter(|task| counts(task)).count() as f64;
             count * self.expected_ms(&job.queue, step) as f64 * f64::from(step.milli_cpu)
--- a/crates/pond-job/src/lead/evacuation.rs
+++ b/crates/pond-job/src/lead/evacuation.rs
@@ -59,7 +59,7 @@
     if !job.step(run.task).is_some_and(|step| step.gang) {
         return Vec::new();
     }
-    let steps = job.times.get(run.task.repetition as usize);
+    let steps = job.repetitions.get(run.task.repetition as usize);
     let Some(tasks) = steps.and_then(|steps| steps.get(run.task.step as usize)) else {
         return Vec::new();
     };
--- a/crates/pond-job/src/lead/mod.rs
+++ b/crates/pond-job/src/lead/mod.rs
@@ -376,6 +376,6 @@
 
 /// Returns the incarnations that have tasks of a job.
 fn placed_incarnations(state: &State, id: u64) -> impl Iterator<Item = &str> {
-    let times = state.job(id).into_iter().flat_map(|job| &job.times);
-    times.flatten().flatten().filter_map(|task| task.worker.as_deref())
+    let repetitions = state.job(id).into_iter().flat_map(|job| &job.repetitions);
+    repetitions.flatten().flatten().filter_map(|task| task.worker.as_deref())
 }
--- a/crates/pond-job/src/lead/ready.rs
+++ b/crates/pond-job/src/lead/ready.rs
@@ -26,8 +26,8 @@
     pub urgency: Urgency,
     /// Id of the job.
     pub id: u64,
-    /// Index of the occurrence of the job.
-    pub time: usize,
+    /// Index of the repetition of the job.
+    pub repetition: usize,
     /// Index of the step.
     pub step_index: usize,
     /// Specification of the step.
@@ -69,14 +69,14 @@
 impl<'a> Group<'a> {
     /// Returns all tasks of the group, including those that are placed or done.
     pub fn tasks(&self) -> &'a [Task] {
-        &self.job.times[self.time][self.step_index]
+        &self.job.repetitions[self.repetition][self.step_index]
     }
 
     /// Returns the name of a task of the group.
     pub fn task(&self, index: usize) -> TaskName {
         TaskName {
             job: self.id,
-            repetition: self.time as u32,
+            repetition: self.repetition as u32,
             step: self.step_index as u32,
             index: index as u32,
         }
@@ -93,21 +93,30 @@
 ) -> Vec<Group<'a>> {
     let mut ready = Vec::new();
     for (id, job) in state.active().filter(|(_, job)| !job.phase.ended()) {
-        for (time, steps) in job.times.iter().enumerate() {
-            if job.spec.repeat.is_some() && wall < job.due(time) {
+        for (repetition, steps) in job.repetitions.iter().enumerate() {
+            if job.spec.repeat.is_some() && wall < job.due(repetition) {
                 continue;
             }
             for (step_index, (step, tasks)) in job.spec.steps.iter().zip(steps).enumerate() {
-                if tasks.iter().any(Task::is_pending) && job.is_step_ready(time, step_index) {
-                    let urgency = urgency(state, durations, job, time, wall);
+                if tasks.iter().any(Task::is_pending) && job.is_step_ready(repetition, step_index) {
+                    let urgency = urgency(state, durations, job, repetition, wall);
                     let serving = interference.new_serving(now, step);
                     let image = interference.image(&step.image);
-                    ready.push(Group { urgency, id, time, step_index, step, job, image, serving });
+                    ready.push(Group {
+                        urgency,
+                        id,
+                        repetition,
+                        step_index,
+                        step,
+                        job,
+                        image,
+                        serving,
+                    });
                 }
             }
         }
     }
-    ready.sort_by_key(|group| (group.urgency, group.id, group.time, group.step_index));
+    ready.sort_by_key(|group| (group.urgency, group.id, group.repetition, group.step_index));
     pack(&mut ready);
     ready
 }
@@ -133,8 +142,14 @@
     });
 }
 
-fn urgency(state: &State, durations: &Durations, job: &Job, time: usize, wall: Millis) -> Urgency {
-    let due = job.due(time);
+fn urgency(
+    state: &State,
+    durations: &Durations,
+    job: &Job,
+    repetition: usize,
+    wall: Millis,
+) -> Urgency {
+    let due = job.due(repetition);
     let takes_ms = |step: &Step| durations.expected_ms(&job.queue, step);
     let mut queues = state.configuration().into_iter().flat_map(|held| &held.queues);
     let queue = queues.find(|queue| queue.name == job.queue);
@@ -143,7 +158,7 @@
         chain_ms.saturating_mul(queue.stretch_permille) / 1000 + queue.target_ms
     });
     let target_at = due + span;
-    let end = wall + remaining_ms(job, time, takes_ms);
+    let end = wall + remaining_ms(job, repetition, takes_ms);
     let prospect = if job.spec.steps.iter().any(|step| step.long_running) || end <= target_at {
         Prospect::InTime
     } else if end <= due + span * WORTHLESS_SPANS {
@@ -151,27 +166,27 @@
     } else {
         Prospect::Worthless
     };
-    let remaining = remaining_share(durations, job, time);
+    let remaining = remaining_share(durations, job, repetition);
     Urgency { priority: job.priority, prospect, remaining, target_at }
 }
 
-/// Returns the remaining work of an occurrence of a job relative to the value of the job, in
+/// Returns the remaining work of a repetition of a job relative to the value of the job, in
 /// hundredths.
 ///
 /// The value of a job depends on its work, and in part is the same for all jobs of its queue. So
 /// jobs that are nearly done are finished first, and of jobs that have not started the small ones
 /// go first: the same processors finish more jobs in time.
-fn remaining_share(durations: &Durations, job: &Job, time: usize) -> u64 {
-    let total = durations.work(job, time, |_| true);
-    let remaining = durations.work(job, time, |task| !task.done);
+fn remaining_share(durations: &Durations, job: &Job, repetition: usize) -> u64 {
+    let total = durations.work(job, repetition, |_| true);
+    let remaining = durations.work(job, repetition, |task| !task.done);
     let mean = durations.mean_work(&job.queue).unwrap_or(total);
     let value = FIXED_VALUE_SHARE * mean + (1.0 - FIXED_VALUE_SHARE) * total;
     (remaining * 100.0 / value.max(1.0)) as u64
 }
 
 /// Returns the longest chain of estimates through the steps that are not done, in milliseconds.
-fn remaining_ms(job: &Job, time: usize, takes_ms: impl Fn(&Step) -> u64) -> u64 {
-    let Some(steps) = job.times.get(time) else { return 0 };
+fn remaining_ms(job: &Job, repetition: usize, takes_ms: impl Fn(&Step) -> u64) -> u64 {
+    let Some(steps) = job.repetitions.get(repetition) else { return 0 };
     let unfinished =
         |i: usize| steps.get(i).is_some_and(|tasks| tasks.iter().any(|task| !task.done));
     critical_path_ms(&job.spec.steps, |i, step| if unfinished(i) { takes_ms(step) } else { 0 })
--- a/crates/pond-job/src/lead/wait.rs
+++ b/crates/pond-job/src/lead/wait.rs
@@ -105,7 +105,7 @@
                 worker.answers && now.since(worker.reported_at) <= REPORT_VALID_MS
             })
         };
-        let tasks = job.times.iter().flatten().flatten();
+        let tasks = job.repetitions.iter().flatten().flatten();
         let mut incarnations = tasks.filter_map(|task| task.worker.as_deref());
         !self.knows_workers(state, now) || incarnations.any(answering)
     }
--- a/crates/pond-job/src/state/mod.rs
+++ b/crates/pond-job/src/state/mod.rs
@@ -193,10 +193,10 @@
         }
         let Some(configuration) = &self.configuration else { return Reply::NotConfigured };
         let Some(queue) = configuration.queue_for(host, path) else { return Reply::NoQueue };
-        let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
+        let repetitions = spec.repeat.map_or(1, |repeat| repeat.times as usize);
         let new_tasks = |tasks: u32| vec![Task::default(); tasks as usize];
         let steps: Vec<Vec<Task>> = spec.steps.iter().map(|step| new_tasks(step.tasks)).collect();
-        let unfinished = times * steps.iter().map(Vec::len).sum::<usize>();
+        let unfinished = repetitions * steps.iter().map(Vec::len).sum::<usize>();
         let stretched_ms = critical_path_ms(&spec.steps, |_, step| step.estimate_ms)
             .saturating_mul(queue.stretch_permille)
             / 1000;
@@ -211,7 +211,7 @@
             submitted_at: at,
             target_at: at + span_ms,
             phase: Phase::Queued,
-            times: vec![steps; times],
+            repetitions: vec![steps; repetitions],
             unfinished,
             placed: 0,
             begun: false,
@@ -246,7 +246,7 @@
         }
         if job.placed == 0 && self.active.remove(&id) {
             // From now on only the phase is queried.
-            job.times = Vec::new();
+            job.repetitions = Vec::new();
             job.spec = Spec::default();
         }
         Some((id, job.phase))
@@ -265,13 +265,13 @@
     /// Returns whether a job's specification is acceptable: steps depend only on earlier steps, and the number of
     /// tasks is limited.
     pub fn is_acceptable(spec: &Spec) -> bool {
-        let times = spec.repeat.map_or(1, |repeat| repeat.times as usize);
+        let repetitions = spec.repeat.map_or(1, |repeat| repeat.times as usize);
         let tasks: usize = spec.steps.iter().map(|step| step.tasks as usize).sum();
-        // Steps and occurrences take memory even without tasks.
+        // Steps and repetitions take memory even without tasks.
         let tasks = tasks.max(spec.steps.len()).max(1);
         let refers_back =
             |(i, step): (usize, &Step)| step.after.iter().all(|before| (*before as usize) < i);
-        tasks.saturating_mul(times) <= MAX_TASKS_PER_JOB
+        tasks.saturating_mul(repetitions) <= MAX_TASKS_PER_JOB
             && spec.steps.iter().enumerate().all(refers_back)
     }
 }
--- a/crates/pond-job/src/state/runs.rs
+++ b/crates/pond-job/src/state/runs.rs
@@ -116,7 +116,7 @@
     fn complete_task(&mut self, name: TaskName, gang: bool) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let mut completed = 0;
-        let steps = job.times.get_mut(name.repetition as usize);
+        let steps = job.repetitions.get_mut(name.repetition as usize);
         let Some(tasks) = steps.and_then(|steps| steps.get_mut(name.step as usize)) else { return };
         for (index, task) in tasks.iter_mut().enumerate() {
             let completes = gang || index == name.index as usize;
--- a/crates/pond-job/tests/simulation/monitor.rs
+++ b/crates/pond-job/tests/simulation/monitor.rs
@@ -231,7 +231,7 @@
         let mut places = job.placements(id).peekable();
         // A gang starts as a whole, once all members of its last run have ended.
         let startable = |step: usize| {
-            let mut tasks = job.times[0][step].iter();
+            let mut tasks = job.repetitions[0][step].iter();
             match job.spec.steps[step].gang {
                 true => tasks.all(pond_job::Task::is_pending),
                 false => tasks.any(pond_job::Task::is_pending),
@@ -283,7 +283,7 @@
         if let Some(job) = self.state.job(id) {
             let steps: Vec<String> = job.spec.steps.iter().map(Step::to_string).collect();
             text += &format!("\n  {} placed {} of {steps:?}", job.queue, job.placed);
-            let placed = job.times.iter().flatten().flatten();
+            let placed = job.repetitions.iter().flatten().flatten();
             for incarnation in placed.filter_map(|task| task.worker.as_ref()) {
                 text += &format!("\n  a run is placed on {incarnation}");
             }
@@ -358,7 +358,7 @@
 
 /// Returns the tasks of a step that are not done.
 fn open_tasks(id: u64, job: &Job, step: usize) -> Vec<TaskName> {
-    let tasks = job.times[0][step].iter().enumerate().filter(|(_, task)| !task.done);
+    let tasks = job.repetitions[0][step].iter().enumerate().filter(|(_, task)| !task.done);
     let name = |index| TaskName { job: id, repetition: 0, step: step as u32, index };
     tasks.map(|(index, _)| name(index as u32)).collect()
 }
--- a/crates/pond-job/tests/suspicion.rs
+++ b/crates/pond-job/tests/suspicion.rs
@@ -380,7 +380,7 @@
     let verdicts = verdicts(&harness);
     assert!(!verdicts.is_empty() && verdicts.iter().all(|verdict| *verdict == Verdict::Beside));
     let job = harness.state.job(2).expect("the job exists");
-    assert!(!job.times[0][0].iter().any(Task::is_suspect));
+    assert!(!job.repetitions[0][0].iter().any(Task::is_suspect));
 }
 
 /// Returns the jobs that are started on a single worker within a few seconds. Each job has one
