--- a/crates/pond-entry/src/route.rs
+++ b/crates/pond-entry/src/route.rs
@@ -230,7 +230,7 @@
             Output::Revoke { process, offer } => {
                 self.send(process, Body::Revoke(offer));
             }
-            Output::AskFate { process, offers } => {
+            Output::RequestFate { process, offers } => {
                 self.send(process, Body::FateRequest(FateRequest { offers }));
             }
             Output::Claim(request) => {
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -10,8 +10,8 @@
 const HELD_RETRY_US: u64 = 50_000;
 
 impl Router {
-    /// Asks control for the claim of a request.
-    pub(super) fn ask_claim(&mut self, id: RequestId) {
+    /// Requests the claim of a request from control.
+    pub(super) fn request_claim(&mut self, id: RequestId) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let Some(pending) = self.pending.get_mut(&id) else { return };
--- a/crates/pond-route/src/router/link.rs
+++ b/crates/pond-route/src/router/link.rs
@@ -62,7 +62,7 @@
         lost.sort_unstable();
         lost.into_iter().for_each(|offer| self.answer_lost(now, process, offer));
         if !offer_ids.is_empty() {
-            self.outputs.push(Output::AskFate { process, offers: offer_ids });
+            self.outputs.push(Output::RequestFate { process, offers: offer_ids });
         }
     }
 
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -77,14 +77,14 @@
         /// The offer.
         offer: OfferId,
     },
-    /// Ask a process for the fate of offers.
-    AskFate {
+    /// Request the fate of offers from a process.
+    RequestFate {
         /// The process.
         process: ProcessKey,
         /// The offers.
         offers: Vec<OfferId>,
     },
-    /// Ask control for a claim; if that is not possible, call [`Router::claim_failed`].
+    /// Request a claim from control; if that is not possible, call [`Router::claim_failed`].
     Claim(ClaimRequest),
     /// Report to control how a claimed request ended.
     EndClaim(ClaimEnd),
@@ -233,7 +233,7 @@
         self.pending.insert(id, pending);
         self.open_numbers.insert(id.number);
         if claims {
-            self.ask_claim(id);
+            self.request_claim(id);
             self.schedule_wake(now, id);
         } else {
             self.enqueue(now, id);
--- a/crates/pond-route/src/router/timer.rs
+++ b/crates/pond-route/src/router/timer.rs
@@ -55,7 +55,7 @@
         if now >= pending.request.deadline {
             self.expire(now, id);
         } else if pending.stage == Stage::Claiming && now >= pending.not_before {
-            self.ask_claim(id);
+            self.request_claim(id);
         } else if pending.stage == Stage::Waiting && pending.not_before != Micros(0) {
             // The delay after a refusal or failure is over.
             if let Some(pending) = self.pending.get_mut(&id) {
--- a/crates/pond-test/src/request_path.rs
+++ b/crates/pond-test/src/request_path.rs
@@ -499,7 +499,7 @@
             Output::Revoke { process, offer } => {
                 self.send(entry, process, Body::Revoke(offer));
             }
-            Output::AskFate { process, offers } => {
+            Output::RequestFate { process, offers } => {
                 let request = pond_proto::wire::FateRequest { offers };
                 self.send(entry, process, Body::FateRequest(request));
             }
