--- a/crates/pond-agent/src/core/mod.rs
+++ b/crates/pond-agent/src/core/mod.rs
@@ -319,11 +319,11 @@
 
     /// Returns whether a worker whose address accepts no calls has left after deregistering.
     fn has_left(&mut self, now: Millis) -> bool {
-        let left = self.deregistered_at.is_some_and(|at| now.since(at) < DEREGISTRATION_MS);
-        if left && let Some(worker) = &mut self.worker {
+        let has_left = self.deregistered_at.is_some_and(|at| now.since(at) < DEREGISTRATION_MS);
+        if has_left && let Some(worker) = &mut self.worker {
             worker.draining = true;
         }
-        left
+        has_left
     }
 
     /// Returns the rows of all runs for a report.
--- a/crates/pond-agent/src/core/previous.rs
+++ b/crates/pond-agent/src/core/previous.rs
@@ -25,7 +25,7 @@
     id: String,
     incarnation: String,
     /// Whether it had deregistered or was draining.
-    left: bool,
+    deregistered: bool,
     /// Its last known runs.
     rows: Vec<RunRow>,
     /// Its ends that were read and are not known to be committed. No other process can report them.
@@ -39,7 +39,7 @@
         Output::Report(Report {
             worker: self.incarnation.clone(),
             gone: true,
-            deregistered: self.left,
+            deregistered: self.deregistered,
             runs: self.rows.clone(),
             ends: self.ends.clone(),
             ..Report::default()
@@ -53,13 +53,13 @@
         let unresolved =
             self.runs.iter().filter(|(_, run)| run.is_unresolved()).map(|(name, _)| *name);
         let unresolved = unresolved.collect();
-        let Registration { id, incarnation, draining: left, .. } = worker;
+        let Registration { id, incarnation, draining: deregistered, .. } = worker;
         self.remember_ended(incarnation.clone());
         let (rows, ends) = (self.rows(), self.ends.values().cloned().collect());
         self.previous.push_back(PreviousIncarnation {
             id,
             incarnation,
-            left,
+            deregistered,
             rows,
             ends,
             unresolved,
--- a/crates/pond-control/src/reconcile/reconciler/judge.rs
+++ b/crates/pond-control/src/reconcile/reconciler/judge.rs
@@ -63,7 +63,7 @@
         let Times { lease_ms, renew_ms, lease_expiry_ms, .. } = self.times;
         let term = self.term;
         let contact = self.contact(record.key);
-        let due = contact.last_lease_call.is_none_or(|asked| now.since(asked) >= renew_ms);
+        let due = contact.last_lease_call.is_none_or(|called_at| now.since(called_at) >= renew_ms);
         // The first call has no stamp; no task can start before it is answered.
         if contact.lease_call_pending || !due {
             return;
--- a/crates/pond-control/src/reconcile/reconciler/work.rs
+++ b/crates/pond-control/src/reconcile/reconciler/work.rs
@@ -90,10 +90,10 @@
     /// and `None` if its last report was requested before the task was seen running here.
     fn status(&mut self, task: &Task, now: Millis) -> Option<Option<TaskStatus>> {
         let seen = *self.seen_running.entry(task.key).or_insert(now);
-        let (asked, statuses) = self.statuses.get(&task.vm)?;
+        let (requested_at, statuses) = self.statuses.get(&task.vm)?;
         match statuses.get(&task.key) {
             Some(status) => Some(Some(status.clone())),
-            None if *asked > seen => Some(None),
+            None if *requested_at > seen => Some(None),
             None => None,
         }
     }
--- a/crates/pond-http/tests/stalled_callers.rs
+++ b/crates/pond-http/tests/stalled_callers.rs
@@ -74,7 +74,7 @@
 
 #[tokio::test]
 async fn callers_that_stop_responding_after_an_answer_are_disconnected() {
-    for swallowed in Blackhole::ALL {
+    for blackhole in Blackhole::ALL {
         let (address, _, _) = server().await;
         let proxy = BlackholeProxy::start(address).await;
         let mut silent = Vec::new();
@@ -84,7 +84,7 @@
             stream.read_exact(&mut answer).await.expect("an answer");
             silent.push(stream);
         }
-        proxy.drop_bytes(swallowed);
+        proxy.drop_bytes(blackhole);
         assert_served(address).await;
     }
 }
--- a/crates/pond-job/src/lead/ask.rs
+++ b/crates/pond-job/src/lead/ask.rs
@@ -50,9 +50,9 @@
             let Some(advice) = group.job.advice else { continue };
             let task = group.task(0);
             let pool = &group.job.pool;
-            let incarnations = |asked: &dyn Fn(&Candidate) -> bool| -> Vec<String> {
-                let asked = candidates.iter().filter(|candidate| asked(candidate));
-                asked.map(|candidate| candidate.incarnation.clone()).collect()
+            let incarnations = |eligible: &dyn Fn(&Candidate) -> bool| -> Vec<String> {
+                let selected = candidates.iter().filter(|candidate| eligible(candidate));
+                selected.map(|candidate| candidate.incarnation.clone()).collect()
             };
             // A forced placement ignores whether workers are busy, so it needs tickets for those as
             // well.
--- a/crates/pond-job/src/lead/ends.rs
+++ b/crates/pond-job/src/lead/ends.rs
@@ -94,17 +94,17 @@
         // Only the last report contains the ends that it listed.
         let last_report = self.last_reports.remove(incarnation);
         let end = end.or(last_report.as_ref());
-        let left = end.is_some_and(|end| end.deregistered)
+        let deregistered = end.is_some_and(|end| end.deregistered)
             || self.workers.get(incarnation).is_some_and(|worker| worker.draining);
         let logged =
             state.placed(incarnation).next().is_some() || state.last_committed_end(incarnation) > 0;
         if logged {
             self.propose_last_ends(state, incarnation, end);
-            let kind = if left { LossKind::Left } else { LossKind::Crashed };
+            let kind = if deregistered { LossKind::Left } else { LossKind::Crashed };
             self.propose_lost(state, now, incarnation, kind, end);
         }
         let known = self.workers.remove(incarnation).is_some();
-        if known && !logged && !left {
+        if known && !logged && !deregistered {
             self.losses.record_idle_loss();
         }
     }
--- a/crates/pond-job/tests/state.rs
+++ b/crates/pond-job/tests/state.rs
@@ -98,11 +98,11 @@
 #[test]
 fn ends_that_the_job_did_not_cause_use_no_attempt() {
     let mut state = state(vec![step(1, 100)]);
-    let hows = [EndReason::Stopped, EndReason::Lapsed, EndReason::Broken, EndReason::Alone];
-    for (i, how) in hows.into_iter().enumerate() {
+    let reasons = [EndReason::Stopped, EndReason::Lapsed, EndReason::Broken, EndReason::Alone];
+    for (i, reason) in reasons.into_iter().enumerate() {
         let number = i as u32 + 1;
         start(&mut state, run(0, 0, number), "a");
-        end(&mut state, "a", u64::from(number), run(0, 0, number), how);
+        end(&mut state, "a", u64::from(number), run(0, 0, number), reason);
     }
     assert_eq!(phase(&state), Phase::Running);
     assert_eq!(start(&mut state, run(0, 0, 5), "a"), 1);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn repeated_job_without_tasks_still_counts_its_times() {
+fn repeated_job_without_tasks_still_counts_its_repetitions() {
     let repeat = pond_proto::job::Repeat { times: u32::MAX, first_ms: 0, every_ms: 1 };
     let endless = Spec { repeat: Some(repeat), ..spec(vec![]) };
     assert!(!State::is_acceptable(&endless));
--- a/crates/pond-load/src/report.rs
+++ b/crates/pond-load/src/report.rs
@@ -16,7 +16,8 @@
     /// Name of the measurement.
     pub name: String,
     /// Number of requests.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub requests: usize,
     /// Complete answers per second.
     pub answered_per_s: f64,
     /// Complete answers.
@@ -61,7 +62,7 @@
         let histogram = histogram(&answered);
         Report {
             name: name.to_owned(),
-            asked: samples.len(),
+            requests: samples.len(),
             answered_per_s: answered.len() as f64 / duration.as_secs_f64().max(1e-9),
             answered: answered.len(),
             failed: count(Outcome::Failed),
@@ -85,7 +86,7 @@
         let ms = |us: u64| format!("{:.3}", us as f64 / 1000.0);
         vec![
             self.name.clone(),
-            self.asked.to_string(),
+            self.requests.to_string(),
             self.answered.to_string(),
             format!("{:.0}", self.answered_per_s),
             self.not_run.to_string(),
--- a/crates/pond-proto/src/job.rs
+++ b/crates/pond-proto/src/job.rs
@@ -154,8 +154,8 @@
 
 impl fmt::Display for TaskName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let TaskName { job, repetition: time, step, index } = self;
-        write!(f, "{job:016x}.{time}.{step}.{index}")
+        let TaskName { job, repetition, step, index } = self;
+        write!(f, "{job:016x}.{repetition}.{step}.{index}")
     }
 }
 
--- a/crates/pond-route/benches/policies.rs
+++ b/crates/pond-route/benches/policies.rs
@@ -78,8 +78,8 @@
         let place = (latencies.len() as f64 * quantile) as usize;
         latencies.get(place).copied().unwrap_or(0) as f64 / 1000.0
     };
-    let asked = path.replies.values().filter(|result| result.requested_at >= since);
-    let bad = asked
+    let replies = path.replies.values().filter(|result| result.requested_at >= since);
+    let bad = replies
         .filter(|result| match &result.finish {
             pond_route::Finish::Answered(answer) => answer.status >= 500,
             other => other.outcome() != Outcome::Answered,
--- a/crates/pond-route/tests/faults.rs
+++ b/crates/pond-route/tests/faults.rs
@@ -208,10 +208,10 @@
     path.set_behaviour(1, SLOW);
     let id = path.request(0, false, "", 300);
     path.run_for(2 * MS);
-    let asked = path.starts.iter().position(|starts| *starts > 0).expect("it runs");
+    let process = path.starts.iter().position(|starts| *starts > 0).expect("it runs");
     let offer = OfferId { id, attempt: 1 };
     let answer = Answer { offer, status: 200, body: b"forged".to_vec(), ..Answer::default() };
-    path.inject(0, 1 - asked, Body::Answer(answer));
+    path.inject(0, 1 - process, Body::Answer(answer));
     path.run_for(100 * MS);
     assert_eq!(body_of(&path, id), id.number.to_be_bytes());
 }
@@ -367,9 +367,9 @@
     (0..10).for_each(|i| path.set_behaviour(i, Behaviour::Fail(500)));
     path.run_load(2000.0, 2_000_000, true, 1000);
     path.run_for(100 * MS);
-    let asked = path.replies.len() as f64;
-    let amplification = path.offers as f64 / asked;
-    assert!(amplification <= 1.1 + 20.0 / asked, "{amplification}");
+    let requests = path.replies.len() as f64;
+    let amplification = path.offers as f64 / requests;
+    assert!(amplification <= 1.1 + 20.0 / requests, "{amplification}");
 }
 
 #[test]
--- a/crates/pond-uplink/tests/silence.rs
+++ b/crates/pond-uplink/tests/silence.rs
@@ -143,7 +143,11 @@
 
 /// Finds the leader, which accepts links meanwhile, sends a request and waits for the reply.
 /// Returns the link.
-async fn find_and_ask(process: &mut Process, leader: &mut Replica, ticket: u64) -> LinkKey {
+async fn find_leader_and_exchange(
+    process: &mut Process,
+    leader: &mut Replica,
+    ticket: u64,
+) -> LinkKey {
     let found = async {
         process.find_leader().await;
         assert!(process.send_request(ticket));
@@ -165,7 +169,7 @@
     mut leader: Replica,
 ) {
     let mut process = Process::start(&[&[proxy.address()], others].concat());
-    let first = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 1))
+    let first = timeout(RECOVERY_LIMIT, find_leader_and_exchange(&mut process, &mut leader, 1))
         .await
         .expect("not within the limit");
     proxy.drop_bytes(blackhole);
@@ -175,7 +179,8 @@
         assert_eq!(leader.next_request().await, (first, 2));
         leader.send_reply(first, 2);
     }
-    let second = timeout(RECOVERY_LIMIT, find_and_ask(&mut process, &mut leader, 2)).await;
+    let second =
+        timeout(RECOVERY_LIMIT, find_leader_and_exchange(&mut process, &mut leader, 2)).await;
     assert_ne!(second.expect("not within the limit"), first, "{blackhole:?}");
     let third = timeout(RECOVERY_LIMIT, exchange(&mut process, &mut leader, 3)).await;
     third.expect("not within the limit");
