--- a/crates/pond-control/src/replica/mod.rs
+++ b/crates/pond-control/src/replica/mod.rs
@@ -234,7 +234,7 @@
         if self.stopping.is_none() {
             event!(self.parts.log, STOPPING);
             self.stopping = Some(now + self.parts.stop_ms);
-            self.core.step(now, QuorumInput::HandOver);
+            self.core.step(now, QuorumInput::TransferLeadership);
         }
     }
 
--- a/crates/pond-control/src/replica/outputs.rs
+++ b/crates/pond-control/src/replica/outputs.rs
@@ -66,7 +66,7 @@
             let free = self.parts.writer.store().free_bytes();
             event!(self.parts.log, DISK_FULL, "waiting" => self.parts.writer.len(),
                 "free_bytes" => free.map_or("unknown".to_owned(), |free| free.to_string()));
-            self.core.step(now, QuorumInput::HandOver);
+            self.core.step(now, QuorumInput::TransferLeadership);
         } else if was_full && !full {
             event!(self.parts.log, DISK_RECOVERED);
         }
--- a/crates/pond-quorum/src/core.rs
+++ b/crates/pond-quorum/src/core.rs
@@ -130,7 +130,7 @@
             Input::Read { ticket } => self.read(ticket),
             Input::Persisted => self.persisted(now),
             Input::Compact(image) => self.compact(image),
-            Input::HandOver => self.hand_over(now),
+            Input::TransferLeadership => self.transfer_leadership(now),
             Input::Add(member) => self.add(member),
             Input::Remove(id) => self.remove(id),
         }
@@ -300,7 +300,7 @@
     /// Appends an entry to the log, as leader.
     pub(crate) fn propose(&mut self, kind: Kind, data: Vec<u8>) -> Result<u64, Rejection> {
         let State::Leader(leading) = &self.state else { return Err(Rejection::NotLeader) };
-        if leading.handing_over() {
+        if leading.is_transferring_leadership() {
             return Err(Rejection::HandingOver);
         }
         let index = self.log.last_index() + 1;
--- a/crates/pond-quorum/src/io.rs
+++ b/crates/pond-quorum/src/io.rs
@@ -32,7 +32,7 @@
     /// The caller has saved a snapshot of the state; entries up to its index may be dropped.
     Compact(SnapshotImage),
     /// The caller wants another replica to take over leadership.
-    HandOver,
+    TransferLeadership,
     /// The caller wants a member added as a learner; it becomes a voter once it has caught up.
     Add(Member),
     /// The caller wants the member with this identity removed.
@@ -55,7 +55,7 @@
     NotLeader,
     /// The leader has not yet committed an entry of its own term.
     NotReady,
-    /// The leader is handing over leadership.
+    /// The leader is transferring leadership.
     HandingOver,
     /// Another change of members is not yet committed.
     MembersChanging,
--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -35,7 +35,7 @@
 }
 
 impl LeaderState {
-    pub(crate) fn handing_over(&self) -> bool {
+    pub(crate) fn is_transferring_leadership(&self) -> bool {
         self.transfer.is_some()
     }
 }
@@ -75,13 +75,13 @@
     }
 
     /// Returns until when no other replica can lead, on this replica's clock; `None` if this replica does
-    /// not lead or is handing over.
+    /// not lead or is transferring leadership.
     ///
     /// The lease starts when the leader sent the last round that a majority answered. That majority elects
     /// no other replica before the election timeout has passed.
     pub fn lease_until(&self) -> Option<Millis> {
         let State::Leader(leading) = &self.state else { return None };
-        if leading.handing_over() {
+        if leading.is_transferring_leadership() {
             return None;
         }
         Some(self.majority_heard()? + self.lease_span())
@@ -229,7 +229,7 @@
         if reply.matched {
             progress.record_match(reply.index.min(last));
             self.advance_commit(now);
-            self.hand_over_if_ready(from);
+            self.request_takeover_if_ready(from);
         } else if reply.index < progress.next {
             // Backs up to the last index at which the terms of the two logs can match.
             let at = self.log.last_at_most(reply.index, reply.conflict_term);
@@ -371,7 +371,7 @@
         }
     }
 
-    pub(crate) fn hand_over(&mut self, now: Millis) {
+    pub(crate) fn transfer_leadership(&mut self, now: Millis) {
         let until = now + self.tuning.election_ms * 2;
         let State::Leader(leading) = &mut self.state else { return };
         let members = self.lists.current();
@@ -379,10 +379,10 @@
         let best = voters.max_by_key(|(_, progress)| (progress.matched, progress.heard));
         let Some(best) = best.map(|(id, _)| *id) else { return };
         leading.transfer = Some((best, until));
-        self.hand_over_if_ready(best);
+        self.request_takeover_if_ready(best);
     }
 
-    fn hand_over_if_ready(&mut self, id: u64) {
+    fn request_takeover_if_ready(&mut self, id: u64) {
         let last = self.log.last_index();
         let State::Leader(leading) = &self.state else { return };
         let chosen = leading.transfer.is_some_and(|(chosen, _)| chosen == id);
--- a/crates/pond-quorum/tests/rules.rs
+++ b/crates/pond-quorum/tests/rules.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn leader_that_hands_over_holds_no_lease() {
+fn leader_that_transfers_leadership_holds_no_lease() {
     let mut core = leader();
     assert!(
         core.lease_until().is_none_or(|until| until < Millis(AFTER_TIMEOUT)),
@@ -217,6 +217,6 @@
     core.step(Millis(AFTER_TIMEOUT), Input::Persisted);
     acknowledge(&mut core, 3);
     assert!(core.lease_until().is_some_and(|until| until > Millis(AFTER_TIMEOUT + 10)));
-    core.step(Millis(AFTER_TIMEOUT + 10), Input::HandOver);
+    core.step(Millis(AFTER_TIMEOUT + 10), Input::TransferLeadership);
     assert_eq!(core.lease_until(), None);
 }
--- a/crates/pond-quorum/tests/schedule.rs
+++ b/crates/pond-quorum/tests/schedule.rs
@@ -216,7 +216,7 @@
 #[test]
 fn planned_stop_hands_over_without_waiting_for_a_timeout() {
     let (mut cluster, old) = with_values();
-    cluster.input(old, Input::HandOver);
+    cluster.input(old, Input::TransferLeadership);
     cluster.run(100);
     let new = cluster.leader().expect("another leader");
     assert_ne!(new, old);
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -83,7 +83,7 @@
         self.full_since = Some(now);
         self.metrics.gauge("disk_full", 1);
         self.log_disk_full(now);
-        self.core.step(now, Input::HandOver);
+        self.core.step(now, Input::TransferLeadership);
     }
 
     fn disk_stays_full(&mut self) {
--- a/crates/pond-replica/src/replica.rs
+++ b/crates/pond-replica/src/replica.rs
@@ -251,7 +251,7 @@
         if self.stopping.is_none() {
             event!(self.log, STOPPING);
             self.stopping = Some(now + STOP_TIMEOUT_MS);
-            self.core.step(now, Input::HandOver);
+            self.core.step(now, Input::TransferLeadership);
         }
     }
 
--- a/crates/pond-test/src/cluster/output.rs
+++ b/crates/pond-test/src/cluster/output.rs
@@ -54,7 +54,7 @@
         }
         let is_full = self.running(id).is_some_and(|running| running.writer.full());
         if is_full && !was_full {
-            self.input(id, Input::HandOver);
+            self.input(id, Input::TransferLeadership);
         }
     }
 
