--- a/crates/pond-agent/src/core/previous.rs
+++ b/crates/pond-agent/src/core/previous.rs
@@ -16,7 +16,7 @@
 use crate::run::{Phase, Run};
 
 /// Number of previous incarnations that are kept to be reported again, the newest. A leader that
-/// got no report of the end of one ends it when it hears of the next.
+/// got no report of the end of one ends it when the next one is reported.
 const MAX_PREVIOUS: usize = 4;
 
 /// An incarnation that has ended, and its last known state.
--- a/crates/pond-control/src/operator/api.rs
+++ b/crates/pond-control/src/operator/api.rs
@@ -205,7 +205,7 @@
     context.context().client.status().await.map(HttpResponseOk)
 }
 
-/// How many records are asked for.
+/// Number of requested records.
 #[derive(Deserialize, JsonSchema)]
 struct AuditQuery {
     /// The newest so many; 50 if it is missing.
--- a/crates/pond-control/src/operator/show.rs
+++ b/crates/pond-control/src/operator/show.rs
@@ -1,4 +1,4 @@
-//! Converts the state to the rows that operators are shown.
+//! Converts the state to the rows that are shown to operators.
 
 use pond_proto::operator::{
     DecisionRow, EvacuationRow, ResumeRow, TaskRow, UnitDetails, UnitRow, VmRow,
--- a/crates/pond-http/tests/silent_connections.rs
+++ b/crates/pond-http/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections that stop answering for good, without a reset, while new connections work.
+//! Idle connections that stop answering permanently, without a reset, while new connections work.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/pond-http/tests/stalled_callers.rs
+++ b/crates/pond-http/tests/stalled_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that stop responding for good, without a reset, do not occupy connections for ever.
+//! Callers that stop responding permanently, without a reset, do not occupy connections forever.
 
 use std::future::{Future, ready};
 use std::net::SocketAddr;
--- a/crates/pond-job/src/lead/cause.rs
+++ b/crates/pond-job/src/lead/cause.rs
@@ -43,8 +43,8 @@
     /// number of workers and how long they were observed; times are in milliseconds.
     pub fn within(&self, window_ms: Span, workers: usize, observed_ms: Span) -> f64 {
         let exposure_ms = workers as f64 * observed_ms as f64 + PRIOR_EXPOSURE_MS;
-        let each_ms = f64::from(self.losses + 1) / exposure_ms;
-        (each_ms * window_ms as f64).min(COMMON_CAUSE)
+        let crashes_per_ms = f64::from(self.losses + 1) / exposure_ms;
+        (crashes_per_ms * window_ms as f64).min(COMMON_CAUSE)
     }
 }
 
--- a/crates/pond-job/tests/starved.rs
+++ b/crates/pond-job/tests/starved.rs
@@ -116,7 +116,7 @@
         harness.submit_batch(job, vec![best_effort("noisy", 40)]);
     }
     assert!(starved_ms(&mut harness, 9, RunEnd::Done) <= MAX_WAIT_MS);
-    // Each of them is starved no longer than that again, whichever is done meanwhile.
+    // Each of them is starved no longer than that again, regardless of which one finishes first.
     for job in (3..10).cycle().take(21) {
         assert!(starved_ms(&mut harness, job, RunEnd::Done) <= MAX_WAIT_MS);
     }
--- a/crates/pond-job/tests/unlisted_runs.rs
+++ b/crates/pond-job/tests/unlisted_runs.rs
@@ -195,9 +195,9 @@
 #[test]
 fn lost_end_counts_although_higher_ones_are_committed_first() {
     // Guards against an end that is never committed because its proposal was lost and a higher one
-    // was committed: the worker is told to forget it, and its task runs again. This happens if only
-    // ends above the proposed ones are proposed while the state takes all ends up to the highest
-    // committed one as known.
+    // was committed: the agent orders the worker to forget it, and its task runs again. This
+    // happens if only ends above the proposed ones are proposed while the state takes all ends up
+    // to the highest committed one as known.
     let mut harness = Harness::new().with_vm("a", 1_000);
     harness.submit(1, vec![step(2, 400)]);
     harness.run_until_idle();
@@ -242,11 +242,11 @@
 fn lost_proposal_of_a_worker_loss_is_repeated_every_three_seconds() {
     let mut harness = running();
     harness.add_vm("b", 1_000);
-    let lease_over_ms = timing().lease_expiry_ms();
+    let lease_expiry_ms = timing().lease_expiry_ms();
     let lost = |change: &Change| matches!(change, Change::WorkerLost { .. });
     let proposed = |harness: &Harness| harness.proposals.iter().any(lost);
     let took = wait_until(&mut harness, 20_000, &["b"], lost, proposed);
-    assert!(took.is_some_and(|took| took <= lease_over_ms + 100), "{took:?}");
+    assert!(took.is_some_and(|took| took <= lease_expiry_ms + 100), "{took:?}");
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
     assert!(took.is_some_and(|took| took <= 3_000 + 150), "{took:?}");
@@ -405,9 +405,9 @@
     harness.add_vm("b", 1_000);
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
-    let lease_over_ms = timing().lease_expiry_ms();
+    let lease_expiry_ms = timing().lease_expiry_ms();
     assert!(
-        took.is_some_and(|took| (lease_over_ms..=lease_over_ms + 150).contains(&took)),
+        took.is_some_and(|took| (lease_expiry_ms..=lease_expiry_ms + 150).contains(&took)),
         "{took:?}"
     );
 }
@@ -421,9 +421,9 @@
     harness.replace_leader();
     let moved = |harness: &Harness| harness.worker_of(task(1, 0, 0)).as_deref() == Some("b");
     let took = wait_until(&mut harness, 20_000, &["b"], drop_nothing, moved);
-    let lease_over_ms = timing().lease_expiry_ms();
+    let lease_expiry_ms = timing().lease_expiry_ms();
     assert!(
-        took.is_some_and(|took| (lease_over_ms..=lease_over_ms + 150).contains(&took)),
+        took.is_some_and(|took| (lease_expiry_ms..=lease_expiry_ms + 150).contains(&took)),
         "{took:?}"
     );
 }
--- a/crates/pond-local/src/folder.rs
+++ b/crates/pond-local/src/folder.rs
@@ -22,8 +22,8 @@
             Some(path) => path.to_owned(),
             None => std::env::temp_dir().join(format!("pondbay-{:016x}", rand::random::<u64>())),
         };
-        let shown = path.display().to_string();
-        fs::create_dir_all(&path).map_err(|source| Error::File { file: shown, source })?;
+        let file = path.display().to_string();
+        fs::create_dir_all(&path).map_err(|source| Error::File { file, source })?;
         Ok(DataFolder { path, temporary: given.is_none() })
     }
 
--- a/crates/pond-process/src/token.rs
+++ b/crates/pond-process/src/token.rs
@@ -10,8 +10,8 @@
 /// [`Error::File`] if the file cannot be read.
 pub fn read_token(settings: &Process) -> Result<String, Error> {
     let Some(file) = &settings.token_file else { return Ok(String::new()) };
-    let shown = file.display().to_string();
+    let path = file.display().to_string();
     let text =
-        std::fs::read_to_string(file).map_err(|source| Error::File { file: shown, source })?;
+        std::fs::read_to_string(file).map_err(|source| Error::File { file: path, source })?;
     Ok(text.trim().to_owned())
 }
--- a/crates/pond-replica/src/callers.rs
+++ b/crates/pond-replica/src/callers.rs
@@ -1,5 +1,5 @@
 //! Handles requests of callers, which entries forward, and reports the result of each proposal to
-//! whoever waits for it.
+//! its proposer.
 
 use pond_job::{Change, Leader, Reply, State};
 use pond_link::LinkKey;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Reports the result of an applied change to whoever proposed it.
+    /// Reports the result of an applied change to its proposer.
     pub(crate) fn notify(&mut self, waiter: Waiter, reply: &Reply) {
         match waiter {
             Waiter::Entry { link, ticket, job } => {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Reports to whoever proposed a change that it is certainly not in the log.
+    /// Reports to the proposer of a change that it is certainly not in the log.
     pub(crate) fn reject(&mut self, waiter: Waiter) {
         match waiter {
             Waiter::Entry { link, ticket, .. } => {
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -252,7 +252,7 @@
         self.leader = None;
         event!(self.log, FOLLOWER, "term" => self.core.term());
         // Pending proposals may still be committed under the next leader. Entries ask that leader;
-        // operators are told that the outcome is unknown.
+        // operators get the reply that the outcome is unknown.
         for waiter in self.pending.drain() {
             if let Waiter::Operator(reply) = waiter {
                 // The operator may have disconnected.
--- a/crates/pond-route/src/router/mod.rs
+++ b/crates/pond-route/src/router/mod.rs
@@ -102,7 +102,7 @@
         /// Address of the process, as `ip:port`.
         address: String,
     },
-    /// Close the link to a process for good.
+    /// Close the link to a process permanently.
     Disconnect {
         /// The process.
         process: ProcessKey,
--- a/crates/pond-store/src/store.rs
+++ b/crates/pond-store/src/store.rs
@@ -114,8 +114,8 @@
             let mut last_index = 0;
             for framed in content.batches {
                 self.hard = framed.batch.hard.unwrap_or(self.hard);
-                if let Some(keep_to) = framed.batch.truncate_after {
-                    entries.split_off(&(keep_to + 1));
+                if let Some(truncate_after) = framed.batch.truncate_after {
+                    entries.split_off(&(truncate_after + 1));
                 }
                 for entry in framed.batch.entries {
                     last_index = last_index.max(entry.index);
@@ -295,8 +295,8 @@
     /// See [`Error`].
     pub fn replace(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         self.save(snapshot)?;
-        let keep_to = Some(snapshot.head.index);
-        self.write(&Batch { truncate_after: keep_to, ..Batch::default() })?;
+        let truncate_after = Some(snapshot.head.index);
+        self.write(&Batch { truncate_after, ..Batch::default() })?;
         self.sync()
     }
 
