--- a/crates/pond-quorum/src/leader.rs
+++ b/crates/pond-quorum/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's part: replication, commit, reads, members, and the handover of leadership.
+//! The leader's part: replication, commit, reads, members, and the transfer of leadership.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,12 +31,12 @@
     reads: VecDeque<Read>,
     heartbeat_sent: Millis,
     since: Millis,
-    handover: Option<(u64, Millis)>,
+    transfer: Option<(u64, Millis)>,
 }
 
 impl LeaderState {
-    pub(crate) fn handing_over(&self) -> bool {
-        self.handover.is_some()
+    pub(crate) fn is_transferring_leadership(&self) -> bool {
+        self.transfer.is_some()
     }
 }
 
@@ -57,7 +57,7 @@
             reads: VecDeque::new(),
             heartbeat_sent: now,
             since: now,
-            handover: None,
+            transfer: None,
         });
         // The first entry holds the members, so that all replicas agree on them.
         let members = self.lists.current().encode_to_vec();
@@ -75,13 +75,13 @@
     }
 
     /// Returns until when no other replica can lead, on this replica's clock; `None` if this replica does
-    /// not lead or is handing over.
+    /// not lead or is transferring leadership.
     ///
     /// The lease starts when the leader sent the last round that a majority answered. That majority elects
     /// no other replica before the election timeout has passed.
     pub fn lease_until(&self) -> Option<Millis> {
         let State::Leader(leading) = &self.state else { return None };
-        if leading.handing_over() {
+        if leading.is_transferring_leadership() {
             return None;
         }
         Some(self.majority_heard()? + self.lease_span())
@@ -117,7 +117,7 @@
             self.become_follower(now, self.hard.term, None);
             return;
         }
-        if leading.handover.is_some_and(|(_, until)| now >= until) {
+        if leading.transfer.is_some_and(|(_, until)| now >= until) {
             // The request to take over may still be in transit, so the lease of this term is no longer safe.
             self.become_follower(now, self.hard.term, None);
             return;
@@ -229,7 +229,7 @@
         if reply.matched {
             progress.record_match(reply.index.min(last));
             self.advance_commit(now);
-            self.hand_over_if_ready(from);
+            self.request_takeover_if_ready(from);
         } else if reply.index < progress.next {
             // Backs up to the last index at which the terms of the two logs can match.
             let at = self.log.last_at_most(reply.index, reply.conflict_term);
@@ -371,21 +371,21 @@
         }
     }
 
-    pub(crate) fn hand_over(&mut self, now: Millis) {
+    pub(crate) fn transfer_leadership(&mut self, now: Millis) {
         let until = now + self.tuning.election_ms * 2;
         let State::Leader(leading) = &mut self.state else { return };
         let members = self.lists.current();
         let voters = leading.progress.iter().filter(|(id, _)| members.is_voter(**id));
         let best = voters.max_by_key(|(_, progress)| (progress.matched, progress.heard));
         let Some(best) = best.map(|(id, _)| *id) else { return };
-        leading.handover = Some((best, until));
-        self.hand_over_if_ready(best);
+        leading.transfer = Some((best, until));
+        self.request_takeover_if_ready(best);
     }
 
-    fn hand_over_if_ready(&mut self, id: u64) {
+    fn request_takeover_if_ready(&mut self, id: u64) {
         let last = self.log.last_index();
         let State::Leader(leading) = &self.state else { return };
-        let chosen = leading.handover.is_some_and(|(chosen, _)| chosen == id);
+        let chosen = leading.transfer.is_some_and(|(chosen, _)| chosen == id);
         let caught_up = leading.progress.get(&id).is_some_and(|p| p.matched == last);
         if chosen && caught_up {
             self.send(id, Body::TakeOver(TakeOver {}));
--- a/crates/pond-replica/src/outputs.rs
+++ b/crates/pond-replica/src/outputs.rs
@@ -83,7 +83,7 @@
         self.full_since = Some(now);
         self.metrics.gauge("disk_full", 1);
         self.log_disk_full(now);
-        self.core.step(now, Input::HandOver);
+        self.core.step(now, Input::TransferLeadership);
     }
 
     fn disk_stays_full(&mut self) {
@@ -252,7 +252,7 @@
         self.leader = None;
         event!(self.log, FOLLOWER, "term" => self.core.term());
         // Pending proposals may still be committed under the next leader. Entries ask that leader;
-        // operators are told that the outcome is unknown.
+        // operators get the reply that the outcome is unknown.
         for waiter in self.pending.drain() {
             if let Waiter::Operator(reply) = waiter {
                 // The operator may have disconnected.
--- a/crates/pond-route/src/router/claim.rs
+++ b/crates/pond-route/src/router/claim.rs
@@ -10,15 +10,15 @@
 const HELD_RETRY_US: u64 = 50_000;
 
 impl Router {
-    /// Asks control for the claim of a request.
-    pub(super) fn ask_claim(&mut self, id: RequestId) {
+    /// Requests the claim of a request from control.
+    pub(super) fn request_claim(&mut self, id: RequestId) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.stage = Stage::Claiming;
         pending.not_before = Micros(u64::MAX);
         let content = &pending.request.content;
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             ticket,
             service: content.service.clone(),
             key: content.key.clone(),
@@ -26,7 +26,7 @@
             id,
         };
         self.tickets.insert(ticket, id);
-        self.outputs.push(Output::Claim(ask));
+        self.outputs.push(Output::Claim(request));
     }
 
     /// Handles control's decision on a claim.
